--- a/benchmarks/plane.py
+++ b/benchmarks/plane.py
@@ -105,7 +105,7 @@
             1,
             (
                 (seen.backend.id, seen.calls, seen.tokens)
-                for seen in candidates.seen.values()
+                for seen in candidates.views.values()
                 if seen.calls or seen.tokens
             ),
         )
--- a/benchmarks/reading_choice.py
+++ b/benchmarks/reading_choice.py
@@ -24,13 +24,13 @@
 from statistics import mean, pstdev
 
 from cranebank.dataplane.blended_draw import BlendedDraw
-from cranebank.dataplane.cache_view import READER_SHARE, CacheView
+from cranebank.dataplane.cache_view import PREFILL_CACHE_SHARE, CacheView
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.open_legs import OpenLegs
 from cranebank.dataplane.pair import PairChooser
 from cranebank.dataplane.policy import Policy, without
 from cranebank.dataplane.prompt import Prompt
-from cranebank.transport.messages import Backend, ReadingBegun
+from cranebank.transport.messages import Backend, PrefillBegun
 
 SERVICE = "svc"
 START_S, DAY_S = 1_000.0, 34.0
@@ -107,37 +107,37 @@
         self.candidates.merge(records)
         self.pairs = PairChooser(self.candidates, self.cache, BlendedDraw(random, policy.blended_draws), policy)
         self.pairs.draws.proxies = deployment.proxies
-        self.pairs.told_by = min(TOLD_MOST, deployment.proxies - 1) if policy.told_readings else NEIGHBOURS
+        self.pairs.prefill_reporters = min(TOLD_MOST, deployment.proxies - 1) if policy.told_readings else NEIGHBOURS
         self.legs = OpenLegs()
 
-    def begin(self, now: float, prompt: Prompt, deployment: Deployment) -> tuple[int, str, ReadingBegun]:
+    def begin(self, now: float, prompt: Prompt, deployment: Deployment) -> tuple[int, str, PrefillBegun]:
         """Choose a reader and ask it; the leg's number, the reader's id, and what others are told."""
-        found = self.pairs.reader(now, SERVICE, prompt, frozenset())
+        found = self.pairs.choose_prefill(now, SERVICE, prompt, frozenset())
         assert found is not None
         seen, _, tokens = found
         wait = self.pairs.wait_ms(now, SERVICE, seen)
         leg = self.legs.open(now, seen, tokens, True, None)
         leg.found_idle = leg.found_idle and not wait and tokens >= prompt.tokens
-        leg.ticket = self.pairs.begin_reading(now, SERVICE, seen, tokens)
-        self.cache.touch(seen.backend.id, prompt.parts, deployment.cache_tokens, READER_SHARE)
-        slowness, seen.untold_slowness = seen.untold_slowness, 0.0
-        told = ReadingBegun(seen.backend.id, tokens, prompt.home_key, prompt.shared_tokens, slowness)
+        leg.ticket = self.pairs.begin_prefill(now, SERVICE, seen, tokens)
+        self.cache.touch(seen.backend.id, prompt.parts, deployment.cache_tokens, PREFILL_CACHE_SHARE)
+        slowness, seen.unreported_slowness = seen.unreported_slowness, 0.0
+        told = PrefillBegun(seen.backend.id, tokens, prompt.home_key, prompt.shared_tokens, slowness)
         return leg.number, seen.backend.id, told
 
-    def hear(self, now: float, told: ReadingBegun, deployment: Deployment) -> None:
+    def hear(self, now: float, told: PrefillBegun, deployment: Deployment) -> None:
         """Another proxy tells of a reading."""
-        seen = self.candidates.seen[told.backend]
+        seen = self.candidates.views[told.backend]
         if told.slowness:
             seen.slowness.observe(now, told.slowness)
-        self.pairs.begin_reading(now, SERVICE, seen, told.tokens)
+        self.pairs.begin_prefill(now, SERVICE, seen, told.tokens)
         if told.part:
-            self.cache.note(told.backend, told.part, told.shared, deployment.cache_tokens, READER_SHARE)
+            self.cache.record_prefix(told.backend, told.part, told.shared, deployment.cache_tokens, PREFILL_CACHE_SHARE)
 
     def end(self, now: float, number: int) -> None:
         """A reading of its own was answered."""
         leg = self.legs.get(number)
         assert leg is not None
-        self.pairs.end_reading(now, SERVICE, leg)
+        self.pairs.end_prefill(now, SERVICE, leg)
         self.legs.close(now, leg)
 
 
@@ -186,8 +186,8 @@
         self.at(now + GOSSIP_S, self.gossip)
         for proxy in self.proxies:
             others = self.random.sample(self.proxies, min(NEIGHBOURS, len(self.proxies)))
-            for name, seen in proxy.candidates.seen.items():
-                seen.others_tokens = sum(o.candidates.seen[name].tokens for o in others if o is not proxy)
+            for name, seen in proxy.candidates.views.items():
+                seen.others_tokens = sum(o.candidates.views[name].tokens for o in others if o is not proxy)
 
     def play(self) -> tuple[float, float]:
         """The share of prompts that are late, and of tokens that are read."""
--- a/cranebank/dataplane/legs.py
+++ b/cranebank/dataplane/backend_connections.py
@@ -21,7 +21,7 @@
 from cranebank.transport.messages import Backend
 
 DIAL_S = 0.3  # many times the way between zones; a backend that has gone dark costs a request no more
-UNACKED_MS = 1000  # bytes that a silent machine has not acknowledged for so long end the connection
+TCP_USER_TIMEOUT_MS = 1000  # bytes that a silent machine has not acknowledged for so long end the connection
 REST_S = 0.005  # before a connection is used again: what belongs to no answer comes right behind it
 IDLE_S = 4.0  # kept idle where a backend names no time
 IDLE_MARGIN_S = 0.6  # closed so much before the backend would: a request must not cross its end
@@ -111,7 +111,7 @@
         self.transport = transport
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
         """Part of an answer, or what belongs to none."""
--- a/cranebank/dataplane/seen.py
+++ b/cranebank/dataplane/backend_view.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from cranebank.dataplane.reading_queue import ReadingQueue, Slowness
+from cranebank.dataplane.prefill_queue import PrefillQueue, Slowness
 from cranebank.transport.messages import Backend
 
 
-class Seen:
+class BackendView:
     """One backend as seen from here. ``calls`` and ``tokens`` are out at it from this proxy, ``others_calls`` and
     ``others_tokens`` from the neighbours that tell us theirs."""
 
@@ -25,7 +25,7 @@
         "readings",
         "slowness",
         "tokens",
-        "untold_slowness",
+        "unreported_slowness",
     )
 
     def __init__(self, backend: Backend) -> None:
@@ -33,8 +33,8 @@
         self.calls = 0
         self.tokens = 0
         self.others_calls = self.others_tokens = 0
-        self.readings, self.slowness = ReadingQueue(), Slowness()
-        self.untold_slowness = 0.0  # observed here last, and not told to others yet
+        self.readings, self.slowness = PrefillQueue(), Slowness()
+        self.unreported_slowness = 0.0  # observed here last, and not told to others yet
         self.figured_at = 0.0  # when the figures last changed, by a call sent or ended
         self.answered_at = float("-inf")
         self.lost_at = 0.0  # when its heartbeats ceased, where they have
--- a/cranebank/dataplane/blended_draw.py
+++ b/cranebank/dataplane/blended_draw.py
@@ -8,7 +8,7 @@
 
 from random import Random
 
-from cranebank.dataplane.seen import Seen
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.decayed_rate import DecayedRate
 from cranebank.decisions.balance import beta
 
@@ -21,30 +21,32 @@
     def __init__(self, random: Random, is_blended: bool = True) -> None:
         self._random, self._is_blended = random, is_blended
         self.proxies = 1  # the told count
-        self.told_at = 0.0  # when neighbours told their figures last
+        self.neighbour_loads_at = 0.0  # when neighbours told their figures last
         self._rates: dict[tuple[str, str], DecayedRate] = {}
 
     def called(self, now: float, service: str, stage: str) -> None:
         """Any call counts in the rate behind b, also one that is refused, fails or is a repeat."""
         self._rates.setdefault((service, stage), DecayedRate(RATE_S)).add(now)
 
-    def blend(self, now: float, service: str, stage: str, listed: list[Seen], drawn: tuple[Seen, Seen]) -> float:
+    def blend(
+        self, now: float, service: str, stage: str, listed: list[BackendView], drawn: tuple[BackendView, BackendView]
+    ) -> float:
         """Beta for two draws: falls as their figures age and as proxies become more."""
         if not self._is_blended:
             return 1.0
-        age = now - max(self.told_at, min(drawn[0].figured_at, drawn[1].figured_at))
+        age = now - max(self.neighbour_loads_at, min(drawn[0].figured_at, drawn[1].figured_at))
         rate = self._rates.get((service, stage))
         calls = (rate.at(now) if rate else 0.0) * self.proxies * min(age, RATE_S)
         return min(1.0, beta(len(listed), calls))
 
-    def draw(self, listed: list[Seen]) -> tuple[Seen, Seen]:
+    def draw(self, listed: list[BackendView]) -> tuple[BackendView, BackendView]:
         """Two uniform draws, different where the list allows."""
         if len(listed) == 1:
             return listed[0], listed[0]
         first, second = self._random.sample(listed, 2)
         return first, second
 
-    def one_of(self, listed: list[Seen]) -> list[Seen]:
+    def one_of(self, listed: list[BackendView]) -> list[BackendView]:
         """One uniform draw from a list that may be empty."""
         return [self._random.choice(listed)] if listed else []
 
--- a/cranebank/dataplane/by_zone.py
+++ b/cranebank/dataplane/by_zone.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.seen import Seen
 
-NONE: list[Seen] = []
+NONE: list[BackendView] = []
 
 
 class ByZone:
@@ -13,9 +13,9 @@
 
     def __init__(self, candidates: Candidates) -> None:
         self._candidates = candidates
-        self._known: dict[tuple[str, str], tuple[list[Seen], int, dict[str, list[Seen]]]] = {}
+        self._known: dict[tuple[str, str], tuple[list[BackendView], int, dict[str, list[BackendView]]]] = {}
 
-    def of(self, listed: list[Seen], zone: str) -> list[Seen]:
+    def of(self, listed: list[BackendView], zone: str) -> list[BackendView]:
         """Those of a ready list that are in a zone; not to be changed."""
         if not zone or not listed:
             return NONE
@@ -23,7 +23,7 @@
         key = (backend.target, backend.stage)
         known = self._known.get(key)
         if known is None or known[0] is not listed or known[1] != version:
-            zones: dict[str, list[Seen]] = {}
+            zones: dict[str, list[BackendView]] = {}
             for seen in listed:
                 zones.setdefault(seen.backend.zone, []).append(seen)
             known = self._known[key] = (listed, version, zones)
--- a/cranebank/dataplane/cache_view.py
+++ b/cranebank/dataplane/cache_view.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-KEPT_SHARE = 0.8  # of a backend's memory: the rest is for what runs
-READER_SHARE = 1.0  # of a prefill backend's: nothing runs there for long, and a part missed is read once more
+CACHE_SHARE = 0.8  # of a backend's memory: the rest is for what runs
+PREFILL_CACHE_SHARE = 1.0  # of a prefill backend's: nothing runs there for long, and a part missed is read once more
 ENTRIES = 4096  # parts a backend, whatever their size
 
 
@@ -47,7 +47,7 @@
     def __init__(self) -> None:
         self._kept: dict[str, _Kept] = {}
 
-    def kept(self, backend: str, parts: tuple[tuple[str, int], ...]) -> int:
+    def cached_tokens(self, backend: str, parts: tuple[tuple[str, int], ...]) -> int:
         """Tokens at the start of these parts that the backend is thought to keep."""
         held = self._kept.get(backend)
         if held is None:
@@ -62,14 +62,14 @@
                 total = before
         return total
 
-    def note(self, backend: str, part: str, tokens: int, most: int, share: float = KEPT_SHARE) -> None:
+    def record_prefix(self, backend: str, part: str, tokens: int, most: int, share: float = CACHE_SHARE) -> None:
         """Another proxy had the backend read a prompt up to and with this part; ``most``: tokens of the backend's
         memory, of which ``share`` is for parts."""
         held = self._kept.setdefault(backend, _Kept())
         held.put(part, _Entry(tokens, is_prefix=True))
         held.trim(most * share)
 
-    def touch(self, backend: str, parts: tuple[tuple[str, int], ...], most: int, share: float = KEPT_SHARE) -> None:
+    def touch(self, backend: str, parts: tuple[tuple[str, int], ...], most: int, share: float = CACHE_SHARE) -> None:
         """The backend has just read or fetched these parts; ``most``: tokens of its memory, of which ``share`` is for
         parts."""
         held = self._kept.setdefault(backend, _Kept())
--- a/cranebank/dataplane/candidates.py
+++ b/cranebank/dataplane/candidates.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable, Set
 
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.cold_backends import ColdBackends
-from cranebank.dataplane.seen import Seen
 from cranebank.dataplane.suspects import Place, Suspects, is_last_resort
 from cranebank.invariants import broken, note
 from cranebank.membership.backends import newer
@@ -27,8 +27,8 @@
 
     def __init__(self) -> None:
         self.records: dict[str, Backend] = {}
-        self.seen: dict[str, Seen] = {}
-        self._ready: dict[Place, list[Seen]] = {}
+        self.views: dict[str, BackendView] = {}
+        self._ready: dict[Place, list[BackendView]] = {}
         self._suspects = Suspects()
         self._holders: dict[str, str] = {}  # address: id of who was last known to serve there
         self.version = 0  # rises whenever the ready ones or the suspects of a service and stage change
@@ -38,7 +38,7 @@
         self._gone: dict[str, None] = {}
         self._lost: dict[str, None] = {}
         self._evacuated_zones: frozenset[str] = frozenset()
-        self._evacuated: dict[str, Seen] = {}  # those there that would be ready or suspects
+        self._evacuated: dict[str, BackendView] = {}  # those there that would be ready or suspects
         self.has_lost_contact: Callable[[], bool] = lambda: False  # with every controller that knows what is in force
 
     def merge(self, records: Iterable[Backend], now: float = 0.0) -> list[str]:
@@ -67,13 +67,13 @@
         known = self.records.get(record.id)
         is_current = known is None or record.call_seq >= known.call_seq
         if record.cold_left_ms > 0 and is_current and record.phase != "gone" and record.id not in self._gone:
-            self.cold.told(now, record)
+            self.cold.observe(now, record)
 
     def _replace(self, record: Backend, now: float) -> None:
         self.records[record.id] = record
-        known = self.seen.get(record.id)
+        known = self.views.get(record.id)
         if known is None:
-            known = self.seen[record.id] = Seen(record)
+            known = self.views[record.id] = BackendView(record)
             self._list(known, now)
         elif (known.backend.phase, *_place(known.backend)) == (record.phase, *_place(record)):
             known.backend = record
@@ -90,14 +90,14 @@
         self._lost.pop(backend, None)
         self._away.discard(backend)
         self.cold.forget(backend)
-        ended = self.seen.pop(backend, None)
+        ended = self.views.pop(backend, None)
         if ended is None:
             return
         self._unlist(ended)
         if self._holders.get(ended.backend.address) == backend:
             del self._holders[ended.backend.address]
 
-    def _list(self, seen: Seen, now: float) -> None:
+    def _list(self, seen: BackendView, now: float) -> None:
         backend = seen.backend
         if backend.phase == "ready":
             self._take_address(seen)
@@ -106,7 +106,7 @@
             seen.is_replaced = self._holders.get(backend.address, backend.id) != backend.id
         self._enter(seen)
 
-    def _enter(self, seen: Seen) -> None:
+    def _enter(self, seen: BackendView) -> None:
         backend, place = seen.backend, _place(seen.backend)
         is_suspect = backend.phase == "lost" and not seen.is_replaced
         if backend.zone in self._evacuated_zones:
@@ -118,10 +118,10 @@
             self._suspects.add(place, seen)
         self.version += 1
 
-    def _take_address(self, seen: Seen) -> None:
+    def _take_address(self, seen: BackendView) -> None:
         """A suspect whose address has passed to another backend is dead."""
         backend = seen.backend
-        before = self.seen.get(self._holders.get(backend.address, ""))
+        before = self.views.get(self._holders.get(backend.address, ""))
         self._holders[backend.address] = backend.id
         seen.is_replaced = False
         if before is not None and before is not seen and before.backend.phase == "lost":
@@ -129,7 +129,7 @@
             self._evacuated.pop(before.backend.id, None)
             self._suspects.remove(_place(before.backend), before.backend.id)
 
-    def _unlist(self, seen: Seen) -> None:
+    def _unlist(self, seen: BackendView) -> None:
         place = _place(seen.backend)
         if self._evacuated.pop(seen.backend.id, None) is not None:
             pass
@@ -144,7 +144,7 @@
     def evacuate(self, now: float, zones: frozenset[str]) -> None:
         """From now on nothing is sent to backends of these zones; those of all others are taken back."""
         returned = self._evacuated_zones - zones
-        moved = [seen for seen in self.seen.values() if seen.backend.zone in self._evacuated_zones ^ zones]
+        moved = [seen for seen in self.views.values() if seen.backend.zone in self._evacuated_zones ^ zones]
         for seen in moved:
             self._unlist(seen)
         self._evacuated_zones = zones
@@ -169,14 +169,14 @@
             return False
         return not self.is_evacuated(record) or self.has_lost_contact()
 
-    def may_begin(self, now: float, seen: Seen) -> bool:
+    def may_begin(self, now: float, seen: BackendView) -> bool:
         """Whether a call to this backend may begin now: where it is cold, a permit is free."""
         return self.may_take(seen.backend.id) and not (self.cold and self.cold.refuses(now, seen))
 
-    def begin_call(self, now: float, seen: Seen) -> float:
+    def begin_call(self, now: float, seen: BackendView) -> float:
         """A call to this backend goes out. Where it is cold: until when the call may be written, by a permit that is
         now used; else 0."""
-        if not self.cold or not self.cold.is_told(now, seen.backend):
+        if not self.cold or not self.cold.is_known_cold(now, seen.backend):
             return 0.0
         permitted_until = self.cold.use_permit(now, seen.backend)
         if permitted_until is None:
@@ -188,14 +188,14 @@
         permit still holds."""
         if not self.may_take(backend.id):
             return False
-        return not self.cold or now <= permitted_until or not self.cold.is_told(now, backend)
+        return not self.cold or now <= permitted_until or not self.cold.is_known_cold(now, backend)
 
     def returned(self, now: float, zones: Set[str]) -> None:
         """These zones are taken back from an evacuation."""
         self.cold.returned(now, [record for record in self.records.values() if record.zone in zones])
         self.version += 1
 
-    def ready(self, now: float, service: str, stage: str, without: Set[str] = frozenset()) -> list[Seen]:
+    def ready(self, now: float, service: str, stage: str, without: Set[str] = frozenset()) -> list[BackendView]:
         """Whom to send to; the list is not to be changed. Those that failed us lately stand back, unless all did.
 
         Invariant: it is empty only where no backend of the service and stage is ready, nor lost and not backed off,
@@ -206,9 +206,9 @@
         if self._suspects:
             listed = self._suspects.merged(now, place, listed)
         if self._away:
-            self._away = {name for name in self._away if self.seen[name].stands_back(now)}
+            self._away = {name for name in self._away if self.views[name].stands_back(now)}
         if self.cold:
-            self.cold.drop_over(now)
+            self.cold.forget_expired(now)
         if without or self._away or self.cold:
             listed = self._usable(now, listed, without)
             listed = [seen for seen in listed if not seen.stands_back(now)] or listed
@@ -230,12 +230,12 @@
         others = self._ready.get(place, [])
         return 2 * sum(seen.has_failed for seen in others) >= len(others)
 
-    def _ready_in_evacuated_zones(self, place: Place) -> list[Seen]:
+    def _ready_in_evacuated_zones(self, place: Place) -> list[BackendView]:
         return [
             seen for seen in self._evacuated.values() if _place(seen.backend) == place and seen.backend.phase == "ready"
         ]
 
-    def _usable(self, now: float, listed: list[Seen], without: Set[str]) -> list[Seen]:
+    def _usable(self, now: float, listed: list[BackendView], without: Set[str]) -> list[BackendView]:
         listed = [seen for seen in listed if seen.backend.id not in without]
         return [seen for seen in listed if not self.cold.refuses(now, seen)] if self.cold else listed
 
@@ -246,11 +246,11 @@
         self._check_again_at = now + CHECK_S
         if any(
             _place(seen.backend) == place and self._may_be_tried(now, seen)
-            for seen in self._usable(now, list(self.seen.values()), without)
+            for seen in self._usable(now, list(self.views.values()), without)
         ):
             note("nobody is passed over where a backend may be tried", f"{place}")
 
-    def _may_be_tried(self, now: float, seen: Seen) -> bool:
+    def _may_be_tried(self, now: float, seen: BackendView) -> bool:
         phase = seen.backend.phase
         if self.is_evacuated(seen.backend):
             return False
@@ -275,7 +275,7 @@
     def failed(self, now: float, backend: str, may_be_down: bool = False) -> None:
         """A call ended without a word, or the backend couldn't be reached. ``may_be_down``: so it may come back
         cold."""
-        seen = self.seen.get(backend)
+        seen = self.views.get(backend)
         if seen is None:
             return
         if seen.away_until <= now:
@@ -287,7 +287,7 @@
 
     def answered(self, now: float, backend: str) -> None:
         """An answer came."""
-        seen = self.seen.get(backend)
+        seen = self.views.get(backend)
         if seen is not None:
             seen.answered_at = now
             seen.away_until = seen.away_for = 0.0
@@ -296,7 +296,7 @@
 
     def hold_off(self, now: float, backend: str, seconds: float) -> None:
         """It is about to change its stage: others are asked for so long, or until its new stage is known."""
-        seen = self.seen.get(backend)
+        seen = self.views.get(backend)
         if seen is not None:
             seen.held_until = now + seconds
             self._away.add(backend)
--- a/cranebank/dataplane/choice.py
+++ b/cranebank/dataplane/choice.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.prompt import Prompt
-from cranebank.dataplane.seen import Seen
 
 
 class Plan(msgspec.Struct, frozen=True):
     """Who is to serve a request. Without a reader the maker does all of it. Tokens are those thought to be read."""
 
-    maker: Seen
-    reader: Seen | None
-    read_tokens: int
+    decode_backend: BackendView
+    prefill_backend: BackendView | None
+    prefill_tokens: int
     figure: float
     blend: float
 
--- a/cranebank/dataplane/cold_backends.py
+++ b/cranebank/dataplane/cold_backends.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from cranebank.dataplane.seen import Seen
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.membership.backends import replace_cold_left
 from cranebank.membership.warm_up import PERMIT_S, SEND_WITHIN_S, Limits
 from cranebank.transport.messages import Backend
@@ -59,7 +59,7 @@
     def __bool__(self) -> bool:
         return bool(self._states) and bool(self.limits)
 
-    def told(self, now: float, record: Backend) -> None:
+    def observe(self, now: float, record: Backend) -> None:
         """A record says whether its backend is cold, and for how long still."""
         if record.cold_left_ms > 0:
             self._extend(record.id, now + record.cold_left_ms / MS_PER_S)
@@ -88,7 +88,7 @@
         """It is over."""
         self._states.pop(backend, None)
 
-    def drop_over(self, now: float) -> None:
+    def forget_expired(self, now: float) -> None:
         """Forget what is over."""
         over = [name for name, state in self._states.items() if state.is_over(now)]
         for name in over:
@@ -96,19 +96,19 @@
             if state.calls:
                 logger.info("backend {}: {} calls while it was cold", name, state.calls)
 
-    def is_told(self, now: float, backend: Backend) -> bool:
+    def is_known_cold(self, now: float, backend: Backend) -> bool:
         """Whether a backend of a service with a limit is told to be cold."""
         state = self._states.get(backend.id)
         return state is not None and state.told_until > now and backend.target in self.limits
 
-    def is_doubted(self, now: float, seen: Seen) -> bool:
+    def is_doubted(self, now: float, seen: BackendView) -> bool:
         """Whether others go first, since it may be cold."""
         state = self._states.get(seen.backend.id)
         return state is not None and state.doubted_until > now >= state.told_until
 
-    def refuses(self, now: float, seen: Seen) -> bool:
+    def refuses(self, now: float, seen: BackendView) -> bool:
         """Whether it is told to be cold and no permit is free."""
-        if not self.is_told(now, seen.backend):
+        if not self.is_known_cold(now, seen.backend):
             return False
         return not any(permit.is_free(now) for permit in self._states[seen.backend.id].permits)
 
--- a/cranebank/dataplane/dispatch.py
+++ b/cranebank/dataplane/dispatch.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 from cranebank.dataplane.attempts import Attempts
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.budget import Budget
-from cranebank.dataplane.cache_view import KEPT_SHARE, READER_SHARE
+from cranebank.dataplane.cache_view import CACHE_SHARE, PREFILL_CACHE_SHARE
 from cranebank.dataplane.choice import Plan
 from cranebank.dataplane.client_answer import ClientAnswer
 from cranebank.dataplane.exchange_events import Call
@@ -12,10 +13,9 @@
 from cranebank.dataplane.pair import ALONE
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Engine, Route
-from cranebank.dataplane.seen import Seen
 from cranebank.dataplane.shared import Shared
 from cranebank.invariants import broken
-from cranebank.transport.messages import ReadingBegun
+from cranebank.transport.messages import PrefillBegun
 
 HANDLE_MARGIN_S = 0.5  # of a handle's life that is not relied on
 SILENT_READ = 4.0  # a reading is given up after so many times its estimate with what is read before it, and a start
@@ -82,28 +82,28 @@
             return None
         self._plan = plan
         if self.handle is not None and now < self.handle.until:
-            return self._make(now, plan.maker, 0)
+            return self._make(now, plan.decode_backend, 0)
         self.handle = None
         alone = self._answer.is_begun or bool(self._legs)  # no time for a reading
-        if plan.reader is not None and self._attempts.may_read() and not alone:
-            return self._read(now, plan.reader, plan.read_tokens)
-        return self._make(now, plan.maker, plan.read_tokens)
+        if plan.prefill_backend is not None and self._attempts.may_read() and not alone:
+            return self._read(now, plan.prefill_backend, plan.prefill_tokens)
+        return self._make(now, plan.decode_backend, plan.prefill_tokens)
 
-    def call_after_reading(self, now: float, reader: Leg, handle: str) -> Call | None:
+    def call_after_reading(self, now: float, prefill_backend: Leg, handle: str) -> Call | None:
         """The prompt was read: go on with the memory under this handle."""
-        took_ms = (now - reader.sent_at) * 1e3
-        self._shared.choices.pairs.end_reading(now, self._service, reader)
+        took_ms = (now - prefill_backend.sent_at) * 1e3
+        self._shared.choices.pairs.end_prefill(now, self._service, prefill_backend)
         self._shared.count("readings")
         self._shared.count("reading_ms", round(took_ms))
         if self._engine is None:
             raise broken("a service without engines reads no prompt apart")
-        self.handle = Handle(reader.seen.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
-        maker = self._maker(now)
-        return self._make(now, maker, 0) if maker is not None else None
+        self.handle = Handle(prefill_backend.seen.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
+        decode_backend = self._maker(now)
+        return self._make(now, decode_backend, 0) if decode_backend is not None else None
 
     def unsent(self, now: float, leg: Leg) -> None:
         """A call never left us: nobody was asked to read."""
-        self._shared.load.read(now, self._service, -leg.reading_s)
+        self._shared.load.add_prefill(now, self._service, -leg.reading_s)
         if leg.ticket is not None:
             leg.seen.readings.take_back(leg.ticket)
         if not leg.reads:
@@ -119,46 +119,46 @@
     def _has_budget(self, now: float) -> bool:
         return self.budget.may(now, self._shared.choices.draws.proxies)
 
-    def _maker(self, now: float) -> Seen | None:
+    def _maker(self, now: float) -> BackendView | None:
         """The planned maker, or another where it may take nothing any more or has failed lately."""
         assert self._plan is not None
-        maker = self._plan.maker
-        may_begin = self._shared.candidates.may_begin(now, maker)
-        if may_begin and not maker.stands_back(now):
-            return maker
-        plan = self._choose(now, self.without | {maker.backend.id})
+        decode_backend = self._plan.decode_backend
+        may_begin = self._shared.candidates.may_begin(now, decode_backend)
+        if may_begin and not decode_backend.stands_back(now):
+            return decode_backend
+        plan = self._choose(now, self.without | {decode_backend.backend.id})
         if plan is not None:
-            return plan.maker
-        return maker if may_begin else None
+            return plan.decode_backend
+        return decode_backend if may_begin else None
 
-    def _read(self, now: float, reader: Seen, tokens: int) -> Call | None:
+    def _read(self, now: float, prefill_backend: BackendView, tokens: int) -> Call | None:
         """Send the request to a backend that reads its prompt only."""
         if self._attempts.readings and not self._may_repeat(now):
             return None
         is_counted = self._attempts.read()
         pairs = self._shared.choices.pairs
         wait_s = (
-            pairs.wait_ms(now, self._service, reader) / 1e3
+            pairs.wait_ms(now, self._service, prefill_backend) / 1e3
         )  # one with much to read is late with it, and not silent
         estimate_s = wait_s + pairs.pace(self._service, "prefill").estimate(tokens) / 1e3
         headers = (("X-Stage", "prefill"), self._priority())
-        leg, call = self._send(now, reader, tokens, True, headers, SILENT_START_S + SILENT_READ * estimate_s)
+        leg, call = self._send(now, prefill_backend, tokens, True, headers, SILENT_START_S + SILENT_READ * estimate_s)
         leg.is_counted = is_counted
         # What is thought to be kept may not be: only a whole prompt at an idle backend tells how fast it reads.
         leg.found_idle = leg.found_idle and not wait_s and tokens >= self._prompt.tokens
-        leg.ticket = pairs.begin_reading(now, self._service, reader, tokens)
-        self._tell_reading(reader, tokens)
+        leg.ticket = pairs.begin_prefill(now, self._service, prefill_backend, tokens)
+        self._tell_reading(prefill_backend, tokens)
         return call
 
-    def _tell_reading(self, reader: Seen, tokens: int) -> None:
+    def _tell_reading(self, prefill_backend: BackendView, tokens: int) -> None:
         """Other proxies count it in the queue of the backend, and as kept there."""
-        tell, prompt = self._shared.on_reading, self._prompt
+        tell, prompt = self._shared.on_prefill_begun, self._prompt
         if tell is not None:
             shared = prompt.shared_tokens if prompt.home_key else 0
-            slowness, reader.untold_slowness = reader.untold_slowness, 0.0
-            tell(ReadingBegun(reader.backend.id, tokens, prompt.home_key, shared, round(slowness, 2)))
+            slowness, prefill_backend.unreported_slowness = prefill_backend.unreported_slowness, 0.0
+            tell(PrefillBegun(prefill_backend.backend.id, tokens, prompt.home_key, shared, round(slowness, 2)))
 
-    def _make(self, now: float, maker: Seen, tokens: int) -> Call | None:
+    def _make(self, now: float, decode_backend: BackendView, tokens: int) -> Call | None:
         """Send the request to the backend that makes the tokens."""
         if self._attempts.arrivals and not self._may_repeat(now):
             return None
@@ -173,7 +173,7 @@
         silent_s = None
         if self._route.repeatable and self._attempts.are_left:
             silent_s = max(SILENT_MAKE_S, SILENT_GOALS * self._route.goal_ms / 1e3)
-        leg, call = self._send(now, maker, tokens, False, tuple(headers), silent_s)
+        leg, call = self._send(now, decode_backend, tokens, False, tuple(headers), silent_s)
         leg.handle = handle
         return call
 
@@ -194,7 +194,7 @@
     def _send(
         self,
         now: float,
-        seen: Seen,
+        seen: BackendView,
         tokens: int,
         reads: bool,
         headers: tuple[tuple[str, str], ...],
@@ -208,10 +208,10 @@
         choices.draws.called(now, self._service, seen.backend.stage)
         if reads or tokens > ALONE:  # also what is read where tokens are made since nobody is there to read it
             leg.reading_s = choices.pairs.pace(self._service, "prefill").token * tokens / 1e3
-            self._shared.load.read(now, self._service, leg.reading_s)
+            self._shared.load.add_prefill(now, self._service, leg.reading_s)
         if self._engine is not None:
             self._shared.count(f"tokens_asked_{seen.backend.stage}", tokens)
-            share = READER_SHARE if reads else KEPT_SHARE
+            share = PREFILL_CACHE_SHARE if reads else CACHE_SHARE
             self._shared.cache.touch(seen.backend.id, self._prompt.parts, self._engine.cache_tokens, share)
         self._shared.count("reads" if reads else "makes")
         return leg, Call(leg.number, seen.backend, headers, permitted_until)
--- a/cranebank/dataplane/exchange.py
+++ b/cranebank/dataplane/exchange.py
@@ -264,7 +264,7 @@
 
     def _tell_read(self, leg: Leg, tokens: int) -> None:
         """A backend has read so many tokens: where shared ones were among them, others want to know."""
-        prompt, tell = self._prompt, self._shared.on_read
+        prompt, tell = self._prompt, self._shared.on_prefix_cached
         if tell is not None and prompt.home_key and tokens > prompt.tokens - prompt.shared_tokens:
             tell(leg.seen.backend.id, prompt.home_key, prompt.shared_tokens)
 
--- a/cranebank/dataplane/offered_load.py
+++ b/cranebank/dataplane/offered_load.py
@@ -10,14 +10,14 @@
 from collections.abc import Iterable
 from math import exp
 
-from cranebank.dataplane.seen import Seen
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.decayed_rate import DecayedRate
 from cranebank.transport.messages import StageLoad
 
-AVERAGED_S = (
+LOAD_AVERAGING_S = (
     10.0  # a burst, or a start with nothing kept, is no lasting load; a lost backend shows at once all the same
 )
-LOADS_MOST = 64  # services that are told of: those with the most load
+MAX_REPORTED_SERVICES = 64  # services that are told of: those with the most load
 LEAST = 0.001  # erlangs; less is not told
 
 
@@ -25,48 +25,48 @@
     """Of one proxy, by service. Times are a steady clock's seconds; bounded by the services that are routed to."""
 
     def __init__(self) -> None:
-        self._reading: dict[str, DecayedRate] = {}
-        self._making: dict[str, float] = {}
+        self._prefill_load: dict[str, DecayedRate] = {}
+        self._decode_load: dict[str, float] = {}
         self._looked_at: float | None = None
 
-    def read(self, now: float, service: str, seconds: float) -> None:
+    def add_prefill(self, now: float, service: str, seconds: float) -> None:
         """A backend is asked for a reading that takes it so long, waiting left out; below zero: it never was."""
         if not seconds:
             return
-        rate = self._reading.get(service)
+        rate = self._prefill_load.get(service)
         if rate is None:
-            rate = self._reading[service] = DecayedRate(AVERAGED_S)
+            rate = self._prefill_load[service] = DecayedRate(LOAD_AVERAGING_S)
         rate.add(now, seconds)
 
-    def tell(self, now: float, backends: Iterable[Seen]) -> tuple[StageLoad, ...]:
+    def report(self, now: float, backends: Iterable[BackendView]) -> tuple[StageLoad, ...]:
         """The load of each service; ``backends`` are all that are known, with the calls that are out there."""
         self._average_making(now, backends)
-        reading = {service: max(0.0, rate.at(now)) for service, rate in self._reading.items()}
+        reading = {service: max(0.0, rate.at(now)) for service, rate in self._prefill_load.items()}
         self._forget_idle(reading)
         loads = [
-            StageLoad(service, round(reading.get(service, 0.0), 4), round(self._making.get(service, 0.0), 4))
-            for service in reading.keys() | self._making.keys()
+            StageLoad(service, round(reading.get(service, 0.0), 4), round(self._decode_load.get(service, 0.0), 4))
+            for service in reading.keys() | self._decode_load.keys()
         ]
         loads = [load for load in loads if max(load.prefill, load.decode) >= LEAST]
-        if len(loads) > LOADS_MOST:
-            loads = sorted(loads, key=lambda load: -max(load.prefill, load.decode))[:LOADS_MOST]
+        if len(loads) > MAX_REPORTED_SERVICES:
+            loads = sorted(loads, key=lambda load: -max(load.prefill, load.decode))[:MAX_REPORTED_SERVICES]
         return tuple(loads)
 
-    def _average_making(self, now: float, backends: Iterable[Seen]) -> None:
+    def _average_making(self, now: float, backends: Iterable[BackendView]) -> None:
         present: dict[str, float] = {}
         for seen in backends:
             backend = seen.backend
             if seen.calls and backend.stage == "decode":
                 present[backend.target] = present.get(backend.target, 0.0) + seen.calls / backend.capacity
         since = self._looked_at if self._looked_at is not None else now  # both loads are averaged from nothing on
-        kept = exp(-max(0.0, now - since) / AVERAGED_S)
+        kept = exp(-max(0.0, now - since) / LOAD_AVERAGING_S)
         self._looked_at = now
-        services = present.keys() | self._making.keys()
-        self._making = {
-            service: kept * self._making.get(service, 0.0) + (1.0 - kept) * present.get(service, 0.0)
+        services = present.keys() | self._decode_load.keys()
+        self._decode_load = {
+            service: kept * self._decode_load.get(service, 0.0) + (1.0 - kept) * present.get(service, 0.0)
             for service in services
         }
 
     def _forget_idle(self, reading: dict[str, float]) -> None:
-        self._reading = {name: rate for name, rate in self._reading.items() if reading[name] >= LEAST / 10}
-        self._making = {name: load for name, load in self._making.items() if load >= LEAST / 10}
+        self._prefill_load = {name: rate for name, rate in self._prefill_load.items() if reading[name] >= LEAST / 10}
+        self._decode_load = {name: load for name, load in self._decode_load.items() if load >= LEAST / 10}
--- a/cranebank/dataplane/open_legs.py
+++ b/cranebank/dataplane/open_legs.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from cranebank.dataplane.reading_queue import Ticket
-from cranebank.dataplane.seen import Seen
+from cranebank.dataplane.backend_view import BackendView
+from cranebank.dataplane.prefill_queue import Ticket
 from cranebank.transport.messages import Backend
 
 
@@ -40,7 +40,9 @@
         "tokens",
     )
 
-    def __init__(self, number: int, seen: Seen, tokens: int, reads: bool, now: float, silent_at: float | None) -> None:
+    def __init__(
+        self, number: int, seen: BackendView, tokens: int, reads: bool, now: float, silent_at: float | None
+    ) -> None:
         self.number, self.seen, self.tokens, self.reads = number, seen, tokens, reads
         self.found_idle = not seen.calls and not seen.others_calls  # as far as this proxy and its neighbours know
         self.sent_at, self.silent_at = now, silent_at
@@ -79,7 +81,7 @@
         """A leg, if it is still out."""
         return self._legs.get(number)
 
-    def open(self, now: float, seen: Seen, tokens: int, reads: bool, silent_s: float | None) -> Leg:
+    def open(self, now: float, seen: BackendView, tokens: int, reads: bool, silent_s: float | None) -> Leg:
         """A call goes out; ``silent_s`` from now without a word it counts as silent."""
         self._opened += 1
         silent_at = None if silent_s is None else now + silent_s
--- a/cranebank/dataplane/pair.py
+++ b/cranebank/dataplane/pair.py
@@ -15,6 +15,7 @@
 from hashlib import blake2b
 from heapq import nlargest
 
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.blended_draw import BlendedDraw
 from cranebank.dataplane.by_zone import ByZone
 from cranebank.dataplane.cache_view import CacheView
@@ -23,10 +24,9 @@
 from cranebank.dataplane.open_legs import Leg
 from cranebank.dataplane.pace import Pace, prior
 from cranebank.dataplane.policy import ALL_ON, Policy
+from cranebank.dataplane.prefill_queue import Ticket
 from cranebank.dataplane.prompt import Prompt
-from cranebank.dataplane.reading_queue import Ticket
 from cranebank.dataplane.routes import Engine
-from cranebank.dataplane.seen import Seen
 
 KEPT_HOMES = 4096  # shared parts of a service whose homes are remembered
 HOMES = 1  # where a long shared prompt that nobody keeps is read; at two it would be read twice
@@ -52,11 +52,13 @@
         self._policy = policy
         self._by_zone = ByZone(candidates)
         self.zone = ""  # this proxy's own
-        self.told_by = 0  # other proxies that tell this one of the readings they begin
+        self.prefill_reporters = 0  # other proxies that tell this one of the readings they begin
         self._began_at: float | None = None
         self._waits = self._readings = 0.0  # milliseconds, decayed at each reading
         self._paces: dict[tuple[str, str], Pace] = {}
-        self._homes: dict[str, tuple[list[Seen], int, dict[str, list[Seen]]]] = {}  # by service: list, version, homes
+        self._homes: dict[
+            str, tuple[list[BackendView], int, dict[str, list[BackendView]]]
+        ] = {}  # by service: list, version, homes
 
     def pace(self, service: str, stage: str) -> Pace:
         """What reading takes there."""
@@ -65,21 +67,21 @@
             found = self._paces[service, stage] = prior(stage)
         return found
 
-    def keepers(self, listed: list[Seen], prompt: Prompt) -> list[Seen]:
+    def keepers(self, listed: list[BackendView], prompt: Prompt) -> list[BackendView]:
         """Who keeps a prompt's long shared part, as far as is known; none known: its home."""
         shared = prompt.shared_tokens
-        found = [seen for seen in listed if self._cache.kept(seen.backend.id, prompt.shared) >= shared]
+        found = [seen for seen in listed if self._cache.cached_tokens(seen.backend.id, prompt.shared) >= shared]
         if not self._policy.cached_parts:
             found = []
         if found or not self._policy.homes:
             return found
         return self._home(listed, prompt.home_key)
 
-    def _is_home(self, service: str, prompt: Prompt, seen: Seen) -> bool:
+    def _is_home(self, service: str, prompt: Prompt, seen: BackendView) -> bool:
         known = self._homes.get(service)
         return known is not None and bool(prompt.home_key) and seen in known[2].get(prompt.home_key, ())
 
-    def _home(self, listed: list[Seen], key: str) -> list[Seen]:
+    def _home(self, listed: list[BackendView], key: str) -> list[BackendView]:
         """The homes of a shared part; remembered while the list stays as it is."""
         service, version = listed[0].backend.target, self._candidates.version
         known = self._homes.get(service)
@@ -94,22 +96,22 @@
         """The share of all proxies' latest readings that this proxy knows of."""
         if self._began_at is None:
             self._began_at = now
-        told = (1 + self.told_by) / max(1, self.draws.proxies)
+        told = (1 + self.prefill_reporters) / max(1, self.draws.proxies)
         return min(1.0, told) * min(1.0, (now - self._began_at) / MEMORY_S)
 
-    def wait_ms(self, now: float, service: str, seen: Seen) -> float:
+    def wait_ms(self, now: float, service: str, seen: BackendView) -> float:
         """Milliseconds before a reading that is asked for now begins there."""
         wait = seen.readings.wait(now) * 1e3
         if wait:
             return wait
         return self.pace(service, "prefill").token * (seen.tokens + seen.others_tokens)  # late, or not told of
 
-    def begin_reading(self, now: float, service: str, seen: Seen, tokens: int) -> Ticket:
+    def begin_prefill(self, now: float, service: str, seen: BackendView, tokens: int) -> Ticket:
         """A reading of so many tokens is asked for there, by whichever proxy."""
         token_ms = self.pace(service, "prefill").token * self._slowness(now, seen)
         return seen.readings.add(now, token_ms * tokens / 1e3)
 
-    def end_reading(self, now: float, service: str, leg: Leg) -> None:
+    def end_prefill(self, now: float, service: str, leg: Leg) -> None:
         """A reading of our own was answered."""
         pace, seen = self.pace(service, "prefill"), leg.seen
         if leg.ticket is not None:
@@ -117,11 +119,13 @@
         if not leg.found_idle:  # it waited for others as well, and the pace would grow with the queue
             return
         took_ms = (now - leg.sent_at) * 1e3
-        seen.untold_slowness = took_ms / pace.estimate(leg.tokens)
-        seen.slowness.observe(now, seen.untold_slowness)
+        seen.unreported_slowness = took_ms / pace.estimate(leg.tokens)
+        seen.slowness.observe(now, seen.unreported_slowness)
         pace.learn(leg.tokens, took_ms)
 
-    def reader(self, now: float, service: str, prompt: Prompt, without: Set[str]) -> tuple[Seen, float, int] | None:
+    def choose_prefill(
+        self, now: float, service: str, prompt: Prompt, without: Set[str]
+    ) -> tuple[BackendView, float, int] | None:
         """Who reads, its estimate in ms, and the tokens thought to be read there."""
         listed = self._candidates.ready(now, service, "prefill", without)
         if not listed:
@@ -132,7 +136,7 @@
         keepers = self.keepers(listed, prompt) if prompt.home_key and self._policy.keepers else []
         is_kept = any(self._unread(prompt, seen) < prompt.tokens for seen in keepers)
 
-        def cost(seen: Seen) -> float:
+        def cost(seen: BackendView) -> float:
             return self._reading_cost(now, service, prompt, seen, congestion, is_kept)
 
         chosen = second if self.draws.takes_second(blend, cost(first), cost(second)) else first
@@ -141,21 +145,21 @@
         read_ms = self.pace(service, "prefill").estimate(tokens)  # slowness is for the choice among readers only
         return chosen, self.wait_ms(now, service, chosen) + read_ms, tokens
 
-    def _near(self, listed: list[Seen], zone: str) -> list[Seen]:
+    def _near(self, listed: list[BackendView], zone: str) -> list[BackendView]:
         """One draw from those in a zone, if there are any."""
         return self.draws.one_of(self._by_zone.of(listed, zone)) if self._policy.near_zone else []
 
-    def _unread(self, prompt: Prompt, seen: Seen) -> int:
+    def _unread(self, prompt: Prompt, seen: BackendView) -> int:
         """Tokens that a backend is thought to have to read."""
         if not self._policy.cached_parts:
             return max(1, prompt.tokens)
-        return max(1, prompt.tokens - self._cache.kept(seen.backend.id, prompt.parts))
+        return max(1, prompt.tokens - self._cache.cached_tokens(seen.backend.id, prompt.parts))
 
-    def _slowness(self, now: float, seen: Seen) -> float:
+    def _slowness(self, now: float, seen: BackendView) -> float:
         return seen.slowness.at(now) if self._policy.slowness else 1.0
 
     def _reading_cost(
-        self, now: float, service: str, prompt: Prompt, seen: Seen, congestion: float, is_kept: bool
+        self, now: float, service: str, prompt: Prompt, seen: BackendView, congestion: float, is_kept: bool
     ) -> float:
         """The wait there, and the work, which whoever comes behind it waits for as well. ``is_kept``: some backend
         keeps the shared part."""
@@ -170,7 +174,7 @@
         work = congestion * self._slowness(now, seen) * tokens + anew
         return self.wait_ms(now, service, seen) + self.pace(service, "prefill").token * work
 
-    def _congestion(self, now: float, service: str, prompt: Prompt, drawn: tuple[Seen, Seen]) -> float:
+    def _congestion(self, now: float, service: str, prompt: Prompt, drawn: tuple[BackendView, BackendView]) -> float:
         """How many times work counts: one, and how many readings wait at a backend on average, by the draws that this
         proxy has made, since so many requests are held up by what one adds. Without it a stage that is asked for more
         than it can do reads ever more anew, and can do ever less."""
@@ -190,7 +194,7 @@
             return None
         first, second = self.draws.draw(listed)
         blend = self.draws.blend(now, service, "decode", listed, (first, second))
-        reading = self.reader(now, service, prompt, without) if prompt.tokens else None
+        reading = self.choose_prefill(now, service, prompt, without) if prompt.tokens else None
         plan = self._plan(first, reading, service, engine, prompt, goal_ms, blend)
         if second is not first:
             other = self._plan(second, reading, service, engine, prompt, goal_ms, blend)
@@ -200,8 +204,8 @@
 
     def _plan(
         self,
-        maker: Seen,
-        reading: tuple[Seen, float, int] | None,
+        decode_backend: BackendView,
+        reading: tuple[BackendView, float, int] | None,
         service: str,
         engine: Engine,
         prompt: Prompt,
@@ -209,19 +213,19 @@
         blend: float,
     ) -> Plan:
         pace = self.pace(service, "decode")
-        streams = maker.all_calls
-        ahead = pace.token * (maker.tokens + maker.others_tokens) + streams
-        tokens = self._unread(prompt, maker)
+        streams = decode_backend.all_calls
+        ahead = pace.token * (decode_backend.tokens + decode_backend.others_tokens) + streams
+        tokens = self._unread(prompt, decode_backend)
         alone = self._cost(pace.estimate(tokens) + ahead, goal_ms) + HOLD_UP * streams * pace.token * tokens
         if reading is None:
-            return Plan(maker, None, tokens, alone, blend)
-        reader, read_ms, read_tokens = reading
-        far = 1.0 if reader.backend.zone == maker.backend.zone else 2.0
+            return Plan(decode_backend, None, tokens, alone, blend)
+        prefill_backend, read_ms, prefill_tokens = reading
+        far = 1.0 if prefill_backend.backend.zone == decode_backend.backend.zone else 2.0
         move = far * prompt.tokens * engine.token_bytes * 8 / max(1.0, engine.link_mbps) / 1e3
         split = self._cost(read_ms + pace.start + move + ahead, goal_ms)
         if tokens <= ALONE and alone <= split and self._policy.short_prompts_at_makers:
-            return Plan(maker, None, tokens, alone, blend)
-        return Plan(maker, reader, read_tokens, split, blend)
+            return Plan(decode_backend, None, tokens, alone, blend)
+        return Plan(decode_backend, prefill_backend, prefill_tokens, split, blend)
 
     def has_maker(self, now: float, service: str, without: Set[str]) -> bool:
         """Whether anybody is ready to make tokens."""
--- a/cranebank/dataplane/plain_choice.py
+++ b/cranebank/dataplane/plain_choice.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Set
 
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.blended_draw import BlendedDraw
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.choice import Plan
 from cranebank.dataplane.prompt import Prompt
-from cranebank.dataplane.seen import Seen
 
 UNSTAGED = ""  # the stage of a backend that names none
 DECODE = "decode"  # takes whole requests as well
@@ -38,13 +38,13 @@
         """Whether another run could go anywhere."""
         return bool(self._ready(now, without)[0])
 
-    def _ready(self, now: float, without: Set[str]) -> tuple[list[Seen], str]:
+    def _ready(self, now: float, without: Set[str]) -> tuple[list[BackendView], str]:
         candidates, service = self._candidates, self._service
         if candidates.has_any(service, UNSTAGED) or not candidates.has_any(service, DECODE):
             return candidates.ready(now, service, UNSTAGED, without), UNSTAGED
         return candidates.ready(now, service, DECODE, without), DECODE
 
 
-def _taken(seen: Seen) -> float:
+def _taken(seen: BackendView) -> float:
     """The part of a backend's places that is taken."""
     return seen.all_calls / max(1, seen.backend.capacity)
--- a/cranebank/dataplane/reading_queue.py
+++ b/cranebank/dataplane/prefill_queue.py
@@ -24,7 +24,7 @@
     over_at: float
 
 
-class ReadingQueue:
+class PrefillQueue:
     """Of one backend. Times in seconds on the steady clock."""
 
     __slots__ = ("_slipped", "_until")
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -12,8 +12,9 @@
 
 from cranebank import background
 from cranebank.dataplane import prompt as prompts
+from cranebank.dataplane.backend_connections import Connection, NoConnectionFree, Pool
 from cranebank.dataplane.budget import Budget
-from cranebank.dataplane.cache_view import KEPT_SHARE, READER_SHARE, CacheView
+from cranebank.dataplane.cache_view import CACHE_SHARE, PREFILL_CACHE_SHARE, CacheView
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.choices import Choices
 from cranebank.dataplane.client_request import ClientRequest
@@ -41,12 +42,11 @@
     WakeAt,
 )
 from cranebank.dataplane.front import ClientConnection, Front, Handler
-from cranebank.dataplane.legs import Connection, NoConnectionFree, Pool
 from cranebank.dataplane.policy import ALL_ON, Policy
 from cranebank.dataplane.routes import ClientLimits, RouteTable
 from cranebank.dataplane.shared import Shared
 from cranebank.dataplane.stage_watch import StageWatch
-from cranebank.transport.messages import Backend, ReadingBegun, StageLoad, WarmUpPermits
+from cranebank.transport.messages import Backend, PrefillBegun, StageLoad, WarmUpPermits
 
 OWN_HEADERS = frozenset({"x-deadline-left", "last-event-id", "x-target-instance", "x-stage", "kv-from", "priority"})
 TOKENS_MOST = 1 << 24  # of one prompt; a figure beyond it is none
@@ -311,7 +311,7 @@
     def permit(self, permits: WarmUpPermits) -> None:
         """A controller leases permits to send to a cold backend."""
         now = asyncio.get_running_loop().time()
-        if permits.backend in self.shared.candidates.seen:
+        if permits.backend in self.shared.candidates.views:
             self.shared.candidates.cold.grant(now, permits.backend, permits.permits, permits.valid_until)
 
     def clock_ms(self) -> int:
@@ -331,25 +331,25 @@
         if not self.shared.choices.policy.stage_loads:
             return ()
         now = asyncio.get_running_loop().time()
-        return self.shared.load.tell(now, self.shared.candidates.seen.values())
+        return self.shared.load.report(now, self.shared.candidates.views.values())
 
     def noted(self, backend: str, part: str, tokens: int) -> None:
         """A neighbour had this backend read a prompt up to and with this shared part."""
         record = self.shared.candidates.records.get(backend)
         service = self.table.services.get(record.target) if record is not None and self.table is not None else None
         if record is not None and service is not None and service.engine is not None and tokens > 0:
-            share = READER_SHARE if record.stage == "prefill" else KEPT_SHARE
-            self.shared.cache.note(backend, part, tokens, service.engine.cache_tokens, share)
+            share = PREFILL_CACHE_SHARE if record.stage == "prefill" else CACHE_SHARE
+            self.shared.cache.record_prefix(backend, part, tokens, service.engine.cache_tokens, share)
 
-    def reading_begun(self, told: ReadingBegun) -> None:
+    def reading_begun(self, told: PrefillBegun) -> None:
         """Another proxy has asked a backend to read a prompt."""
-        seen = self.shared.candidates.seen.get(told.backend)
+        seen = self.shared.candidates.views.get(told.backend)
         if seen is None or seen.backend.stage != "prefill" or not 0 < told.tokens <= TOKENS_MOST:
             return
         now = asyncio.get_running_loop().time()
         if told.slowness > 0.0:
             seen.slowness.observe(now, told.slowness)
-        self.shared.choices.pairs.begin_reading(now, seen.backend.target, seen, told.tokens)
+        self.shared.choices.pairs.begin_prefill(now, seen.backend.target, seen, told.tokens)
         if told.part:
             self.noted(told.backend, told.part, told.shared)
 
--- a/cranebank/dataplane/shared.py
+++ b/cranebank/dataplane/shared.py
@@ -11,7 +11,7 @@
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.choices import Choices
 from cranebank.dataplane.offered_load import OfferedLoad
-from cranebank.transport.messages import ReadingBegun
+from cranebank.transport.messages import PrefillBegun
 
 
 class Shared(msgspec.Struct):
@@ -23,8 +23,8 @@
     budget: Callable[[str], Budget]
     counters: dict[str, int]
     load: OfferedLoad = msgspec.field(default_factory=OfferedLoad)
-    on_read: Callable[[str, str, int], None] | None = None  # backend, last long shared part, tokens up to it
-    on_reading: Callable[[ReadingBegun], None] | None = None
+    on_prefix_cached: Callable[[str, str, int], None] | None = None  # backend, last long shared part, tokens up to it
+    on_prefill_begun: Callable[[PrefillBegun], None] | None = None
 
     def count(self, name: str, more: int = 1) -> None:
         """One more of something, or so many."""
--- a/cranebank/dataplane/suspects.py
+++ b/cranebank/dataplane/suspects.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from cranebank.dataplane.seen import Seen
+from cranebank.dataplane.backend_view import BackendView
 
 ANSWERED_S = 3.0  # an answer vouches for so long: less than the time after which a dead backend is lost
 SUSPECT_S = 60.0  # a backend that was lost, and gave no answer, for longer is dead; controllers forget it then too
@@ -23,8 +23,8 @@
     """The suspects of each service and stage, in the order in which they were lost."""
 
     def __init__(self) -> None:
-        self._by_place: dict[Place, dict[str, Seen]] = {}
-        self._merged: dict[Place, list[Seen]] = {}  # the list that was made last
+        self._by_place: dict[Place, dict[str, BackendView]] = {}
+        self._merged: dict[Place, list[BackendView]] = {}  # the list that was made last
 
     def __bool__(self) -> bool:
         return bool(self._by_place)
@@ -33,7 +33,7 @@
         """Whether there is a suspect of this service and stage."""
         return place in self._by_place
 
-    def add(self, place: Place, seen: Seen) -> None:
+    def add(self, place: Place, seen: BackendView) -> None:
         """Its heartbeats ceased."""
         self._by_place.setdefault(place, {})[seen.backend.id] = seen
 
@@ -45,7 +45,7 @@
             self._by_place.pop(place, None)
             self._merged.pop(place, None)
 
-    def merged(self, now: float, place: Place, ready: list[Seen]) -> list[Seen]:
+    def merged(self, now: float, place: Place, ready: list[BackendView]) -> list[BackendView]:
         """The ready ones, and the suspects that are used like them; the same list for as long as it holds."""
         if place not in self._by_place:
             return ready
@@ -58,11 +58,11 @@
             self._merged[place] = merged
         return self._merged[place]
 
-    def last_resort(self, now: float, place: Place) -> list[Seen]:
+    def last_resort(self, now: float, place: Place) -> list[BackendView]:
         """Suspects that may be tried for want of any other: also those that failed a call, one call at a time."""
         return [seen for seen in self._by_place.get(place, {}).values() if is_last_resort(now, seen)]
 
-    def _like_ready(self, now: float, place: Place, ready: list[Seen]) -> list[Seen]:
+    def _like_ready(self, now: float, place: Place, ready: list[BackendView]) -> list[BackendView]:
         unfailed = [seen for seen in self._by_place.get(place, {}).values() if not seen.has_failed]
         if not _are_enough(now, ready, len(unfailed)):
             return unfailed
@@ -78,7 +78,7 @@
                 self.add(place, seen)
 
 
-def _are_enough(now: float, ready: list[Seen], suspects: int) -> bool:
+def _are_enough(now: float, ready: list[BackendView], suspects: int) -> bool:
     """Whether so many are ready and not backed off that so many suspects are left out. It looks at no more of the ready
     ones than it must: there may be thousands."""
     well = 0
@@ -89,6 +89,6 @@
     return well >= FAIL_OPEN_SHARE * (well + suspects)
 
 
-def is_last_resort(now: float, seen: Seen) -> bool:
+def is_last_resort(now: float, seen: BackendView) -> bool:
     """Whether a suspect may be tried where there is no other."""
     return not seen.is_replaced and now - seen.lost_at <= SUSPECT_S and seen.away_until <= now
--- a/cranebank/membership/neighbours.py
+++ b/cranebank/membership/neighbours.py
@@ -31,9 +31,9 @@
     Gossip,
     Message,
     Note,
+    PrefillBegun,
     Pulse,
     Push,
-    ReadingBegun,
     Shuffle,
 )
 
@@ -83,10 +83,10 @@
     def noted(self, note: Note) -> None:
         """A neighbour had a backend read a shared part."""
 
-    def reading_begun(self, told: ReadingBegun) -> None:
+    def reading_begun(self, told: PrefillBegun) -> None:
         """Another proxy has asked a backend to read a prompt."""
 
-    def told_by(self, proxies: int) -> None:
+    def prefill_reporters(self, proxies: int) -> None:
         """So many other proxies tell of the readings that they begin."""
 
 
@@ -150,7 +150,7 @@
         """Records came that are not merged yet."""
         self.outbox.changes(records, self._plane.records())
 
-    def reading_begun(self, told: ReadingBegun) -> None:
+    def reading_begun(self, told: PrefillBegun) -> None:
         """Tell every proxy that a controller named, and the neighbours: at once, since a queue is soon another."""
         now = asyncio.get_running_loop().time()
         if self._readings.at(now) >= READINGS_MOST:
@@ -174,7 +174,7 @@
         if named != self._welcomed:
             self._welcomed = named
             self._do(now, Welcomed(named))
-            self._plane.told_by(len({*named} - {self._ip}))
+            self._plane.prefill_reporters(len({*named} - {self._ip}))
         self._do(now, Tick(self._plane.revision))
         self._plane.others(self.loads.expire(now))
         gossip = self.outbox.next(now, self._plane.revision, self.digest, self._plane.out())
@@ -247,7 +247,7 @@
                     self._plane.noted(note)
                 if news:
                     self._learn(news)
-            case ReadingBegun():
+            case PrefillBegun():
                 self._plane.reading_begun(message)
             case _:
                 self._count("damaged")
--- a/cranebank/programs/edge.py
+++ b/cranebank/programs/edge.py
@@ -20,7 +20,7 @@
 from cranebank.membership.neighbours import Neighbours
 from cranebank.programs.ring import Ring
 from cranebank.programs.settings import NodeSettings, SettingsError, load
-from cranebank.transport.messages import Backend, Hello, Note, ReadingBegun, StageLoad, WarmUpPermits
+from cranebank.transport.messages import Backend, Hello, Note, PrefillBegun, StageLoad, WarmUpPermits
 
 if TYPE_CHECKING:
     from cranebank.programs.metrics import Exporter
@@ -68,7 +68,7 @@
         """Calls and tokens that this proxy has out at each backend."""
         return (
             (seen.backend.id, seen.calls, seen.tokens)
-            for seen in self._proxy.shared.candidates.seen.values()
+            for seen in self._proxy.shared.candidates.views.values()
             if seen.calls or seen.tokens
         )  # looked for only when loads are due
 
@@ -77,9 +77,9 @@
         if not self._proxy.shared.choices.policy.told_loads:
             return
         if sums:
-            self._proxy.shared.choices.draws.told_at = asyncio.get_running_loop().time()
+            self._proxy.shared.choices.draws.neighbour_loads_at = asyncio.get_running_loop().time()
         for backend, (calls, tokens) in sums.items():
-            seen = self._proxy.shared.candidates.seen.get(backend)
+            seen = self._proxy.shared.candidates.views.get(backend)
             if seen is not None:
                 seen.others_calls, seen.others_tokens = calls, tokens
 
@@ -87,13 +87,13 @@
         """A neighbour had a backend read a shared part."""
         self._proxy.noted(note.backend, note.part, note.tokens)
 
-    def reading_begun(self, told: ReadingBegun) -> None:
+    def reading_begun(self, told: PrefillBegun) -> None:
         """Another proxy has asked a backend to read a prompt."""
         self._proxy.reading_begun(told)
 
-    def told_by(self, proxies: int) -> None:
+    def prefill_reporters(self, proxies: int) -> None:
         """So many other proxies tell of the readings that they begin."""
-        self._proxy.shared.choices.pairs.told_by = proxies
+        self._proxy.shared.choices.pairs.prefill_reporters = proxies
 
     def known(self) -> tuple[Backend, ...]:
         """All records."""
@@ -151,9 +151,9 @@
             neighbours = Neighbours(
                 self._plane, lambda: self.links.neighbours, settings.ip, settings.link_port, Random()
             )
-            self._plane.neighbours, self.proxy.shared.on_read = neighbours, neighbours.read
+            self._plane.neighbours, self.proxy.shared.on_prefix_cached = neighbours, neighbours.read
             if settings.cranebank_policy.told_readings:
-                self.proxy.shared.on_reading = neighbours.reading_begun
+                self.proxy.shared.on_prefill_begun = neighbours.reading_begun
         self.stopping = False
 
     def _has_lost_contact(self) -> bool:
--- a/cranebank/programs/metrics.py
+++ b/cranebank/programs/metrics.py
@@ -279,7 +279,7 @@
 
 def _unread(proxy: Proxy) -> dict[str, int]:
     unread = dict.fromkeys(STAGES, 0)
-    for seen in proxy.shared.candidates.seen.values():
+    for seen in proxy.shared.candidates.views.values():
         if seen.backend.stage in unread:
             unread[seen.backend.stage] += seen.tokens
     return unread
--- a/cranebank/programs/timing.py
+++ b/cranebank/programs/timing.py
@@ -76,7 +76,7 @@
 
 
 def _proxy_requirements() -> Iterable[TimingRequirement]:
-    from cranebank.dataplane import legs  # noqa: PLC0415
+    from cranebank.dataplane import backend_connections  # noqa: PLC0415
     from cranebank.membership import views  # noqa: PLC0415
     from cranebank.transport import links  # noqa: PLC0415
 
@@ -86,4 +86,8 @@
     yield TimingRequirement("the change from a silent link to another", redial_s, "apply_ms")
     yield TimingRequirement("the change from a silent link to another", redial_s, "contact_ms")
     yield TimingRequirement("a configuration's way through a neighbour", fetch_s, "apply_ms")
-    yield TimingRequirement("the end of a connection to a silent backend", legs.UNACKED_MS / MS_PER_S, "reuse_after_s")
+    yield TimingRequirement(
+        "the end of a connection to a silent backend",
+        backend_connections.TCP_USER_TIMEOUT_MS / MS_PER_S,
+        "reuse_after_s",
+    )
--- a/cranebank/transport/messages.py
+++ b/cranebank/transport/messages.py
@@ -212,7 +212,7 @@
     tokens: int
 
 
-class ReadingBegun(msgspec.Struct, frozen=True, tag=17, array_like=True):
+class PrefillBegun(msgspec.Struct, frozen=True, tag=17, array_like=True):
     """Between proxies: the sender has just asked a prefill backend to read so many tokens. ``part``: the deepest of the
     prompt's shared parts where these are long, else nothing; ``shared``: tokens up to and with it. ``slowness``: how
     many times the estimate a reading there took that the sender has observed since it told last; 0: none."""
@@ -296,7 +296,7 @@
     | Fetch
     | Gossip
     | HoldOff
-    | ReadingBegun
+    | PrefillBegun
     | TallyAdds
     | TallyVector
     | TallyBase
--- a/examples/choose_pair.py
+++ b/examples/choose_pair.py
@@ -21,5 +21,5 @@
     asked = prompt.read({"x-token-counts": counts, "x-prompt-prefix": parts})
     plan = chooser.choose(0.0, "chat", engine, asked, 600.0, set())
     assert plan is not None
-    reader = plan.reader.backend.id if plan.reader is not None else "itself"
-    print(f"{asked.tokens} tokens: made by {plan.maker.backend.id}, read by {reader}")
+    prefill_backend = plan.prefill_backend.backend.id if plan.prefill_backend is not None else "itself"
+    print(f"{asked.tokens} tokens: made by {plan.decode_backend.backend.id}, read by {prefill_backend}")
--- a/tests/mutants_data_plane.py
+++ b/tests/mutants_data_plane.py
@@ -80,7 +80,7 @@
     Mutant(
         Point.RIGHT_CALLER,
         "an answer for another request is taken",
-        "dataplane/legs.py",
+        "dataplane/backend_connections.py",
         "named is not None and named != self._attempt",
         "False",
         "test_proxy.py",
@@ -96,7 +96,7 @@
     Mutant(
         Point.RIGHT_CALLER,
         "an answer may run into the head of another",
-        "dataplane/legs.py",
+        "dataplane/backend_connections.py",
         "        _check_no_status_line(reason)",
         "        pass",
         "test_call_faults.py",
@@ -104,7 +104,7 @@
     Mutant(
         Point.RIGHT_CALLER,
         "fields behind an answer's body count as its head's",
-        "dataplane/legs.py",
+        "dataplane/backend_connections.py",
         "        if self._in_head:",
         "        if not self._done:",
         "test_call_faults.py",
@@ -112,7 +112,7 @@
     Mutant(
         Point.RIGHT_CALLER,
         "an answer without an id is taken after a call without one",
-        "dataplane/legs.py",
+        "dataplane/backend_connections.py",
         "if named is None and not self._takes_unnamed:",
         "if False:",
         "test_call_faults.py",
@@ -120,7 +120,7 @@
     Mutant(
         Point.RIGHT_CALLER,
         "bytes behind an answer leave its connection in use",
-        "dataplane/legs.py",
+        "dataplane/backend_connections.py",
         "if self._keep and not self._extra and self._is_all_sent():",
         "if self._keep and self._is_all_sent():",
         "test_call_faults.py",
@@ -128,7 +128,7 @@
     Mutant(
         Point.RIGHT_CALLER,
         "a connection is kept though its request is still on its way",
-        "dataplane/legs.py",
+        "dataplane/backend_connections.py",
         "not self._extra and self._is_all_sent():",
         "not self._extra:",
         "test_call_faults.py",
@@ -233,17 +233,17 @@
         Point.OTHER,
         "a reading that begins is not told",
         "dataplane/dispatch.py",
-        "        self._tell_reading(reader, tokens)\n        return call",
+        "        self._tell_reading(prefill_backend, tokens)\n        return call",
         "        return call",
         "test_exchange.py",
     ),
     Mutant(
         Point.OTHER,
         "a delay counts once for each reading that it holds up",
-        "dataplane/reading_queue.py",
+        "dataplane/prefill_queue.py",
         "slip = now - ticket.over_at - self._slipped",
         "slip = now - ticket.over_at",
-        "test_reading_queue.py",
+        "test_prefill_queue.py",
     ),
     Mutant(
         Point.OTHER,
--- a/tests/mutants_liveness.py
+++ b/tests/mutants_liveness.py
@@ -271,9 +271,9 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a prompt that was read is given up when its only maker has just failed another",
+        "a prompt that was read is given up when its only decode_backend has just failed another",
         "dataplane/dispatch.py",
-        "return maker if may_begin else None",
+        "return decode_backend if may_begin else None",
         "return None",
         "test_exchange.py",
     ),
--- a/tests/mutants_stages.py
+++ b/tests/mutants_stages.py
@@ -129,7 +129,7 @@
         Point.LIVENESS,
         "a reading that never left counts as load",
         "dataplane/dispatch.py",
-        "self._shared.load.read(now, self._service, -leg.reading_s)",
+        "self._shared.load.add_prefill(now, self._service, -leg.reading_s)",
         "pass",
         "test_exchange.py",
     ),
--- a/tests/test_call_faults.py
+++ b/tests/test_call_faults.py
@@ -21,7 +21,7 @@
 import pytest
 import uvloop
 
-from cranebank.dataplane import dispatch, exchange, legs
+from cranebank.dataplane import backend_connections, dispatch, exchange
 from cranebank.dataplane.proxy import Proxy, RetryRule
 from cranebank.transport.messages import Backend
 
@@ -245,8 +245,8 @@
 ) -> Record:
     """A proxy before scripted backends, which retries at once, after ``silence_s`` of silence, and without a bound on
     its budget."""
-    monkeypatch.setattr(legs, "REST_S", 0.0)
-    monkeypatch.setattr(legs, "DIAL_S", PATIENT_DIAL_S)
+    monkeypatch.setattr(backend_connections, "REST_S", 0.0)
+    monkeypatch.setattr(backend_connections, "DIAL_S", PATIENT_DIAL_S)
     monkeypatch.setattr(dispatch, "SILENT_MAKE_S", silence_s)
     monkeypatch.setattr(exchange, "SILENT_STREAM_S", silence_s)
     record = Record()
@@ -268,7 +268,7 @@
                 await story(made, front.sockets[0].getsockname(), record)
                 while made.open:
                     await asyncio.sleep(0.01)
-            assert not any(seen.calls for seen in made.shared.candidates.seen.values()), "a call that nobody ended"
+            assert not any(seen.calls for seen in made.shared.candidates.views.values()), "a call that nobody ended"
         finally:
             front.close()
             for server in servers:
@@ -639,7 +639,7 @@
 
 def test_a_freeing_that_is_not_confirmed_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """Found by a review: the connection stayed busy for ever, and counted against the backend's bound."""
-    monkeypatch.setattr(legs, "FREE_S", 0.01)
+    monkeypatch.setattr(backend_connections, "FREE_S", 0.01)
     monkeypatch.setattr(ScriptedBackend, "_request", lambda *_: None)
 
     async def story(made: Proxy, address: Address, record: Record) -> None:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -21,8 +21,8 @@
 from test_proxy import DOCUMENT as ROUTED
 from test_proxy import play as play_proxy
 
+from cranebank.dataplane.backend_connections import Connection, Pool
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.legs import Connection, Pool
 from cranebank.dataplane.proxy import Proxy, RetryRule
 from cranebank.invariants import violations
 from cranebank.membership.fleet import FleetLinks
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -37,11 +37,11 @@
     Wake,
     WakeAt,
 )
-from cranebank.dataplane.offered_load import AVERAGED_S
-from cranebank.dataplane.reading_queue import ReadingQueue
+from cranebank.dataplane.offered_load import LOAD_AVERAGING_S
+from cranebank.dataplane.prefill_queue import PrefillQueue
 from cranebank.dataplane.routes import Engine, Route
 from cranebank.dataplane.shared import Shared
-from cranebank.transport.messages import Backend, ReadingBegun
+from cranebank.transport.messages import Backend, PrefillBegun
 
 ENGINE = Engine(capacity=32, cache_tokens=400_000, token_bytes=163_840, link_mbps=1.4e6, handle_ttl_s=5.0)
 SEALED = {"x-server-seal": "s", "content-type": "text/event-stream"}
@@ -94,7 +94,7 @@
 
     def out(self) -> dict[str, int]:
         """Calls that are out, by backend."""
-        return {s.backend.id: s.calls for s in self.shared.candidates.seen.values() if s.calls}
+        return {s.backend.id: s.calls for s in self.shared.candidates.views.values() if s.calls}
 
 
 def calls(actions: list[Action]) -> list[Call]:
@@ -334,9 +334,9 @@
 
 
 def test_a_reading_is_told_as_it_begins_with_what_is_not_kept() -> None:
-    story, told = Story(readers=1, tries=1, resumable=False, goal_ms=600.0), list[ReadingBegun]()
-    story.shared.on_reading = told.append
-    story.shared.on_read = lambda backend, part, tokens: pytest.fail("its beginning was told")
+    story, told = Story(readers=1, tries=1, resumable=False, goal_ms=600.0), list[PrefillBegun]()
+    story.shared.on_prefill_begun = told.append
+    story.shared.on_prefix_cached = lambda backend, part, tokens: pytest.fail("its beginning was told")
     for count in (1, 2):
         (read,) = calls(story.begin("17020,17", f"r:300,s:13000,o{count}:3720"))
         assert len(told) == count
@@ -344,16 +344,16 @@
         story.do(LegData(read.leg, b'{"prompt_handle":"h1","tokens":17020,"revision":1}'))
         story.do(LegEnd(read.leg))
     took = 300.0 / story.shared.choices.pairs.pace("svc", "prefill").estimate(17_020)
-    assert told[0] == ReadingBegun("p0", 17_020, "s", 13_300)
-    assert told[1] == ReadingBegun("p0", 3_720, "s", 13_300, told[1].slowness)
+    assert told[0] == PrefillBegun("p0", 17_020, "s", 13_300)
+    assert told[1] == PrefillBegun("p0", 3_720, "s", 13_300, told[1].slowness)
     assert told[1].slowness == pytest.approx(took, rel=0.3), "what the first one showed goes with the second"
     story.begin("1500,6", "a:1500")
-    assert told[2] == ReadingBegun("p0", 1_500), "nothing of it is shared"
+    assert told[2] == PrefillBegun("p0", 1_500), "nothing of it is shared"
 
 
 def test_a_long_shared_part_that_a_maker_has_read_is_told_once() -> None:
     story, told = Story(makers=1, readers=0, tries=1, resumable=False), list[tuple[str, str, int]]()
-    story.shared.on_read = lambda backend, part, tokens: told.append((backend, part, tokens))
+    story.shared.on_prefix_cached = lambda backend, part, tokens: told.append((backend, part, tokens))
     for _ in range(2):
         (make,) = calls(story.begin("17020,17", "r:300,s:13000,o:3720"))
         story.do(LegHead(make.leg, 200, SEALED), 0.3)
@@ -364,7 +364,7 @@
 
 def test_a_reading_waits_behind_those_before_it_until_it_is_over_or_never_left() -> None:
     story = Story(readers=1, tries=1, resumable=False, goal_ms=600.0)
-    pairs, seen = story.shared.choices.pairs, story.shared.candidates.seen["p0"]
+    pairs, seen = story.shared.choices.pairs, story.shared.candidates.views["p0"]
     pace = pairs.pace("svc", "prefill")
     (read,) = calls(story.begin("17020,17", "s:13300,o:3720"))
     assert seen.readings.wait(story.now) == pytest.approx(17.020 * pace.token)
@@ -613,16 +613,16 @@
     story = Story(readers=1, tries=1, resumable=False, goal_ms=600.0)
     pace = story.shared.choices.pairs.pace("svc", "prefill")
     before = pace.estimate(17020)
-    reader = story.shared.candidates.seen["p0"]
+    reader = story.shared.candidates.views["p0"]
     for busy_with in ("calls", "others_calls"):
         setattr(reader, busy_with, 3)
         read_after(story, 2.0, busy_with)
         setattr(reader, busy_with, 0)
     assert pace.estimate(17020) == before
-    reader.readings = ReadingQueue()
+    reader.readings = PrefillQueue()
     read_after(story, 2.0, "calls")
     assert pace.estimate(17020) == before, "part of it was thought to be kept"
-    reader.readings = ReadingQueue()
+    reader.readings = PrefillQueue()
     read_after(story, 0.5, "s")
     assert before < pace.estimate(17020) <= 500.0
 
@@ -631,16 +631,16 @@
     for readers in (1, 0):
         story = Story(readers=readers, tries=1, resumable=False)
         story.begin("17020,17", "s:13300,o:3720")
-        (told,) = story.shared.load.tell(story.now, [])
-        assert told.prefill == pytest.approx(17020 * 0.02e-3 / AVERAGED_S, rel=0.01)
+        (told,) = story.shared.load.report(story.now, [])
+        assert told.prefill == pytest.approx(17020 * 0.02e-3 / LOAD_AVERAGING_S, rel=0.01)
     story = Story()
     story.begin()
-    assert story.shared.load.tell(story.now, []) == ()
+    assert story.shared.load.report(story.now, []) == ()
 
 
 def test_a_reading_behind_a_queue_is_late_and_not_silent() -> None:
     idle, busy = Story(readers=1, tries=1), Story(readers=1, tries=1)
-    reader = busy.shared.candidates.seen["p0"]
+    reader = busy.shared.candidates.views["p0"]
     reader.tokens = reader.others_tokens = 50_000
     due = [
         next(a.at for a in story.begin("17020,17", "s:13300,o:3720") if isinstance(a, WakeAt)) - story.now
@@ -653,9 +653,9 @@
 def test_a_reading_that_never_left_is_no_load() -> None:
     story = Story(tries=1, resumable=False, goal_ms=600.0)
     (read,) = calls(story.begin("17020,17", "s:13300,o:3720"))
-    (once,) = story.shared.load.tell(story.now, [])
+    (once,) = story.shared.load.report(story.now, [])
     story.do(LegFailed(read.leg, SendEvidence.NEVER_CONNECTED))  # and another is asked
-    (told,) = story.shared.load.tell(story.now, [])
+    (told,) = story.shared.load.report(story.now, [])
     assert told.prefill == pytest.approx(once.prefill)
 
 
@@ -663,4 +663,4 @@
     story = Story()
     (call,) = calls(story.begin())
     story.do(LegFailed(call.leg, SendEvidence.BACKEND_WITHDRAWN))
-    assert not story.shared.candidates.seen[call.backend.id].has_failed
+    assert not story.shared.candidates.views[call.backend.id].has_failed
--- a/tests/test_exchange_parts.py
+++ b/tests/test_exchange_parts.py
@@ -6,11 +6,11 @@
 
 from cranebank.dataplane.attempts import UNSENT, Attempts
 from cranebank.dataplane.backend_answers import AnswerKind, handle_in, kind_of
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.client_answer import ClientAnswer
 from cranebank.dataplane.errors import NotRun, OutOfTime, Unknown
 from cranebank.dataplane.exchange_events import Break, Data, Finish, Head, Reply
 from cranebank.dataplane.open_legs import Leg, OpenLegs
-from cranebank.dataplane.seen import Seen
 from cranebank.transport.messages import Backend
 
 BACKEND = Backend("d0", "svc", "10.0.0.1:1", "z", "decode", 4, "ready", 1)
@@ -66,7 +66,7 @@
 
 
 def test_figures_of_a_backend_come_back_to_nothing() -> None:
-    legs, seen = OpenLegs(), Seen(BACKEND)
+    legs, seen = OpenLegs(), BackendView(BACKEND)
     first, second = legs.open(1.0, seen, 100, True, 2.0), legs.open(1.5, seen, 30, False, None)
     assert (seen.calls, seen.tokens, legs.runs, len(legs)) == (2, 130, 1, 2)
     assert legs.next_silence(9.0) == 3.0 and legs.next_silence(2.0) == 2.0
@@ -79,7 +79,7 @@
 
 def leg() -> Leg:
     """A leg that has been answered with a success."""
-    made = OpenLegs().open(0.0, Seen(BACKEND), 0, False, None)
+    made = OpenLegs().open(0.0, BackendView(BACKEND), 0, False, None)
     made.status, made.headers = 200, {"x-server-seal": "s"}
     return made
 
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -334,7 +334,7 @@
     growth(step)
     assert len(candidates._gone) <= GONE_KEPT
     assert len(candidates._ready) == 0
-    assert len(candidates.records) == len(candidates.seen) == (LOST_KEPT if end == "lost" else 0)
+    assert len(candidates.records) == len(candidates.views) == (LOST_KEPT if end == "lost" else 0)
 
 
 def test_a_backend_that_was_forgotten_as_lost_may_come_back() -> None:
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -17,7 +17,7 @@
 from cranebank.programs.settings import NodeSettings
 from cranebank.transport import links
 from cranebank.transport.frames import BadFrame, decode_datagram, encode
-from cranebank.transport.messages import Backend, Fetch, Gossip, Load, Note, Push, ReadingBegun, Shuffle
+from cranebank.transport.messages import Backend, Fetch, Gossip, Load, Note, PrefillBegun, Push, Shuffle
 
 A, B = "127.0.0.11", "127.0.0.12"
 
@@ -30,7 +30,7 @@
         self.end: Neighbours | None = None
         self.load: list[tuple[str, int, int]] = []
         self.notes: list[Note] = []
-        self.readings: list[ReadingBegun] = []
+        self.readings: list[PrefillBegun] = []
         self.tellers = 0
         self.evacuated: tuple[int, tuple[str, ...]] = (0, ())
         self.changed = asyncio.Event()
@@ -67,7 +67,7 @@
 
     def others(self, sums: Sums) -> None:
         for backend, (calls, tokens) in sums.items():
-            seen = self.candidates.seen[backend]
+            seen = self.candidates.views[backend]
             seen.others_calls, seen.others_tokens = calls, tokens
             self.changed.set()
 
@@ -75,11 +75,11 @@
         self.notes.append(note)
         self.changed.set()
 
-    def reading_begun(self, told: ReadingBegun) -> None:
+    def reading_begun(self, told: PrefillBegun) -> None:
         self.readings.append(told)
         self.changed.set()
 
-    def told_by(self, proxies: int) -> None:
+    def prefill_reporters(self, proxies: int) -> None:
         self.tellers = proxies
         self.changed.set()
 
@@ -125,15 +125,15 @@
     async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
         a.load = [("i-1", 3, 700)]
         first.read("i-1", "5c1e07a2", 13_300)
-        await b.until(lambda: b.candidates.seen["i-1"].others_tokens == 700 and bool(b.notes))
-        assert b.candidates.seen["i-1"].others_calls == 3
+        await b.until(lambda: b.candidates.views["i-1"].others_tokens == 700 and bool(b.notes))
+        assert b.candidates.views["i-1"].others_calls == 3
         assert b.notes == [Note("i-1", "5c1e07a2", 13_300)]
         a.load = []
-        await b.until(lambda: b.candidates.seen["i-1"].others_calls == 0)
+        await b.until(lambda: b.candidates.views["i-1"].others_calls == 0)
         assert second.views.neighbours == (A,), "by the shuffle"
         b.learn([_backend("draining", 2)])
         await a.until(lambda: not a.candidates.may_take("i-1"))
-        assert a.candidates.seen["i-1"].others_calls == 0
+        assert a.candidates.views["i-1"].others_calls == 0
 
     play(story)
 
@@ -166,11 +166,11 @@
     async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
         await a.until(lambda: a.tellers == 1)
         assert b.tellers == 0
-        first.reading_begun(ReadingBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25))
+        first.reading_begun(PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25))
         await b.until(lambda: bool(b.readings))
-        assert b.readings == [ReadingBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25)] and not a.readings
+        assert b.readings == [PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25)] and not a.readings
         for _ in range(200):
-            first.reading_begun(ReadingBegun("i-1", 1))
+            first.reading_begun(PrefillBegun("i-1", 1))
         assert 200 - READINGS_MOST - 5 <= first.counters["readings_untold"] <= 200
 
     play(story)
@@ -242,21 +242,21 @@
 
 def test_a_note_counts_for_all_that_comes_before_its_part() -> None:
     cache, parts = CacheView(), (("a", 800), ("b", 410), ("own", 250))
-    cache.note("i-1", "b", 1210, 100_000)
-    assert cache.kept("i-1", parts) == 1210 and cache.kept("i-2", parts) == 0
+    cache.record_prefix("i-1", "b", 1210, 100_000)
+    assert cache.cached_tokens("i-1", parts) == 1210 and cache.cached_tokens("i-2", parts) == 0
     cache.touch("i-1", (("a", 800),), 100_000)
-    assert cache.kept("i-1", (("a", 800), ("c", 5))) == 800
+    assert cache.cached_tokens("i-1", (("a", 800), ("c", 5))) == 800
     for number in range(1000):
-        cache.note("i-1", f"p{number}", 1000, 100_000)
+        cache.record_prefix("i-1", f"p{number}", 1000, 100_000)
         if number < 980:
             cache.touch("i-1", (("a", 800),), 100_000)
-    assert cache.kept("i-1", parts) == 800, "used not long ago"
+    assert cache.cached_tokens("i-1", parts) == 800, "used not long ago"
     for number in range(1000):
-        cache.note("i-1", f"p{number}", 1000, 100_000)
-    assert cache.kept("i-1", parts) == 0, "the longest unused gives way, whoever told of it"
-    assert sum(cache.kept("i-1", ((f"p{number}", 1000),)) for number in range(1000)) <= 80_000
+        cache.record_prefix("i-1", f"p{number}", 1000, 100_000)
+    assert cache.cached_tokens("i-1", parts) == 0, "the longest unused gives way, whoever told of it"
+    assert sum(cache.cached_tokens("i-1", ((f"p{number}", 1000),)) for number in range(1000)) <= 80_000
     cache.forget("i-1")
-    assert cache.kept("i-1", (("p999", 1000),)) == 0
+    assert cache.cached_tokens("i-1", (("p999", 1000),)) == 0
 
 
 @pytest.mark.parametrize("wanted", [True, False])
@@ -265,7 +265,7 @@
         settings = NodeSettings("edge-1", A, "z", (7000, 7010), ("10.0.0.1:80",))
         edge = Edge(settings, with_neighbours=wanted)
         plane, shared = edge.links._plane, edge.proxy.shared
-        assert (shared.on_read is not None) is wanted
+        assert (shared.on_prefix_cached is not None) is wanted
         plane.learn([_backend()])
         services = b'[{"name":"service","engine":{"cache_tokens":9000}}]'
         assert plane.configure(b'{"revision":3,"routes":[],"services":%b}' % services)
@@ -273,13 +273,13 @@
             return
         end = edge._plane.neighbours
         assert end is not None and edge._plane.document.startswith(b'{"revision":3')
-        seen = shared.candidates.seen["i-1"]
+        seen = shared.candidates.views["i-1"]
         seen.calls, seen.tokens = 2, 500
         assert list(edge._plane.out()) == [("i-1", 2, 500)]
         gossip = Gossip(1, 3, end.digest, (Load("i-1", 4, 90),), (Note("i-1", "s", 5000),), (_backend("draining", 2),))
         end.datagram(1.0, B, encode(gossip))
         assert (seen.others_calls, seen.others_tokens) == (4, 90) and not shared.candidates.may_take("i-1")
-        assert shared.cache.kept("i-1", (("r", 100), ("s", 4900), ("own", 7))) == 5000
+        assert shared.cache.cached_tokens("i-1", (("r", 100), ("s", 4900), ("own", 7))) == 5000
         end.tick(1.0 + 1.1)
         assert (seen.others_calls, seen.others_tokens) == (0, 0)
 
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -17,8 +17,8 @@
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.choice import Plan
 from cranebank.dataplane.pair import ANEW, HOMES, MEMORY_S, PairChooser
+from cranebank.dataplane.prefill_queue import PrefillQueue
 from cranebank.dataplane.prompt import Prompt
-from cranebank.dataplane.reading_queue import ReadingQueue
 from cranebank.dataplane.routes import Document, Engine, Route, RouteTable
 from cranebank.invariants import violations
 from cranebank.transport.messages import Backend
@@ -46,7 +46,7 @@
 
 def load(candidates: Candidates, now: float, stage: str = "d") -> None:
     """Backend number i has i calls out; the figures are of this moment."""
-    for name, seen in candidates.seen.items():
+    for name, seen in candidates.views.items():
         if name.startswith(stage):
             seen.calls, seen.tokens, seen.figured_at = int(name[1:]), 400 * int(name[1:]), now
 
@@ -63,7 +63,7 @@
     for _ in range(count):
         plan = choose.choose(now, "svc", ENGINE, SHORT, 300.0, set())
         assert plan is not None
-        found[plan.maker.backend.id] += 1
+        found[plan.decode_backend.backend.id] += 1
     return found
 
 
@@ -120,7 +120,7 @@
     own = Prompt(6_000, 10, (("o", 6_000),))
     found: Counter[str] = Counter()
     for _ in range(6_000):
-        reading = choose.reader(100.0, "svc", own, set())
+        reading = choose.choose_prefill(100.0, "svc", own, set())
         assert reading is not None
         found[reading[0].backend.id] += 1
     for i, share in enumerate(expected(1.0, 4)):
@@ -131,49 +131,51 @@
     homes = set()
     for seed in range(20):
         choose, _ = chooser(seed=seed)
-        choose.draws.proxies, choose.told_by = 350, 64
+        choose.draws.proxies, choose.prefill_reporters = 350, 64
         for _ in range(5):
             plan = choose.choose(100.0, "svc", ENGINE, LONG, 600.0, set())
-            assert plan is not None and plan.reader is not None
-            homes.add(plan.reader.backend.id)
+            assert plan is not None and plan.prefill_backend is not None
+            homes.add(plan.prefill_backend.backend.id)
     assert len(homes) == HOMES
 
 
 def test_a_shared_prompt_that_nobody_keeps_is_read_where_it_waits_least_where_all_tell() -> None:
     choose, candidates = chooser(readers=4)
-    choose.draws.proxies, choose.told_by = 9, 8
+    choose.draws.proxies, choose.prefill_reporters = 9, 8
     assert choose.visibility(100.0) == 0.0 and choose.visibility(100.0 + 2 * MEMORY_S) == 1.0
     now = 100.0 + 2 * MEMORY_S
     for name in ("p0", "p1", "p2"):
-        candidates.seen[name].readings.add(now, 2.0)
-    found = Counter(plan.reader.backend.id for plan in plans(choose, now, 400) if plan.reader is not None)
+        candidates.views[name].readings.add(now, 2.0)
+    found = Counter(
+        plan.prefill_backend.backend.id for plan in plans(choose, now, 400) if plan.prefill_backend is not None
+    )
     home = Counter(seen.backend.id for seen in choose.keepers(candidates.ready(now, "svc", "prefill"), LONG))
     assert abs(found["p3"] / 400 - 1 / 2) < 0.1 or "p3" in home, "it is among two of four in half of all draws"
 
 
 def test_a_keeper_is_taken_unless_reading_anew_costs_less_than_the_wait() -> None:
     choose, candidates, cache = with_cache()
-    cache.note("p3", "s", 13_300, 400_000)
+    cache.record_prefix("p3", "s", 13_300, 400_000)
     pace = choose.pace("svc", "prefill")
-    candidates.seen["p3"].readings.add(100.0, 0.9 * pace.token * 13.300)
-    assert {p.reader.backend.id for p in plans(choose, 100.0, 50) if p.reader is not None} == {"p3"}
-    candidates.seen["p3"].readings.add(100.0, 40 * pace.token * 13.300)
-    assert "p3" not in {p.reader.backend.id for p in plans(choose, 100.0, 50) if p.reader is not None}
+    candidates.views["p3"].readings.add(100.0, 0.9 * pace.token * 13.300)
+    assert {p.prefill_backend.backend.id for p in plans(choose, 100.0, 50) if p.prefill_backend is not None} == {"p3"}
+    candidates.views["p3"].readings.add(100.0, 40 * pace.token * 13.300)
+    assert "p3" not in {p.prefill_backend.backend.id for p in plans(choose, 100.0, 50) if p.prefill_backend is not None}
 
 
 def test_a_backend_that_reads_slowly_is_left_to_others_and_comes_again() -> None:
     choose, candidates, _ = with_cache()
     own = Prompt(6_000, 10, (("o", 6_000),))
     for _ in range(12):
-        candidates.seen["p1"].slowness.observe(100.0, 5.0)
+        candidates.views["p1"].slowness.observe(100.0, 5.0)
 
     def readers(now: float) -> set[str]:
-        found = [choose.reader(now, "svc", own, set()) for _ in range(200)]
+        found = [choose.choose_prefill(now, "svc", own, set()) for _ in range(200)]
         return {reading[0].backend.id for reading in found if reading is not None}
 
     assert readers(100.0) == {"p0", "p2", "p3"}
-    assert choose.reader(100.0, "svc", own, {"p0", "p2", "p3"}) is not None, "alone it is used"
-    for seen in candidates.seen.values():
+    assert choose.choose_prefill(100.0, "svc", own, {"p0", "p2", "p3"}) is not None, "alone it is used"
+    for seen in candidates.views.values():
         if seen.backend.id != "p1":
             seen.readings.add(160.0, 0.05)
     assert "p1" in readers(160.0), "what was seen has faded, and the others have something to do"
@@ -195,7 +197,7 @@
 def test_where_all_are_alike_the_body_stays_within_the_zone() -> None:
     choose, _ = zoned({"a": 4, "b": 4, "c": 4}, "b")
     own = Prompt(6_000, 10, (("o", 6_000),))
-    readings = [choose.reader(100.0, "svc", own, set()) for _ in range(100)]
+    readings = [choose.choose_prefill(100.0, "svc", own, set()) for _ in range(100)]
     assert {reading[0].backend.zone for reading in readings if reading is not None} == {"b"}
 
 
@@ -203,17 +205,17 @@
     """One zone may have a single maker: those who are near it must not all go there."""
     choose, _ = zoned({"a": 4, "b": 4, "c": 4}, "b")
     short = [choose.choose(100.0, "svc", ENGINE, SHORT, 300.0, set()) for _ in range(900)]
-    found = Counter(plan.maker.backend.zone for plan in short if plan is not None)
+    found = Counter(plan.decode_backend.backend.zone for plan in short if plan is not None)
     assert all(abs(found[zone] - 300) < 75 for zone in "abc")
 
 
 def test_a_reader_in_a_zone_that_is_busier_than_others_is_left_to_the_two_draws() -> None:
     choose, candidates = zoned({"a": 4, "b": 4, "c": 4}, "b")
-    for name, seen in candidates.seen.items():
+    for name, seen in candidates.views.items():
         if name.startswith("p-b"):
             seen.readings.add(100.0, 9.0)
     own = Prompt(6_000, 10, (("o", 6_000),))
-    readings = [choose.reader(100.0, "svc", own, set()) for _ in range(400)]
+    readings = [choose.choose_prefill(100.0, "svc", own, set()) for _ in range(400)]
     away = sum(reading[0].backend.zone != "b" for reading in readings if reading is not None)
     assert abs(away / 400 - (1 - 4 / 12 * 3 / 11)) < 0.05, "unless both draws are there"
 
@@ -221,9 +223,11 @@
 def test_a_part_that_is_kept_elsewhere_is_read_anew_only_where_three_readings_of_it_are_saved() -> None:
     for wait, is_left in ((ANEW - 0.5, False), (ANEW + 0.5, True)):
         choose, candidates, cache = with_cache()
-        cache.note("p3", "s", 13_300, 400_000)
-        candidates.seen["p3"].readings.add(100.0, wait * choose.pace("svc", "prefill").token * 13.300)
-        readers = {plan.reader.backend.id for plan in plans(choose, 100.0, 100) if plan.reader is not None}
+        cache.record_prefix("p3", "s", 13_300, 400_000)
+        candidates.views["p3"].readings.add(100.0, wait * choose.pace("svc", "prefill").token * 13.300)
+        readers = {
+            plan.prefill_backend.backend.id for plan in plans(choose, 100.0, 100) if plan.prefill_backend is not None
+        }
         assert ("p3" not in readers) is is_left
 
 
@@ -231,31 +235,31 @@
     wait = 1.2 * ANEW  # of the time that its shared part takes to read
     for congested in (False, True):
         choose, candidates, cache = with_cache()
-        cache.note("p3", "s", 13_300, 400_000)
+        cache.record_prefix("p3", "s", 13_300, 400_000)
         second = choose.pace("svc", "prefill").token * 13.300
         if congested:
             for _ in range(60):  # waits of eight readings are what this proxy has met
-                for seen in candidates.seen.values():
-                    seen.readings = ReadingQueue()
+                for seen in candidates.views.values():
+                    seen.readings = PrefillQueue()
                     seen.readings.add(100.0, 8 * second)
-                choose.reader(100.0, "svc", LONG, set())
-        for seen in candidates.seen.values():
-            seen.readings = ReadingQueue()
-        candidates.seen["p3"].readings.add(100.0, wait * second)
-        reading = choose.reader(100.0, "svc", LONG, set())
+                choose.choose_prefill(100.0, "svc", LONG, set())
+        for seen in candidates.views.values():
+            seen.readings = PrefillQueue()
+        candidates.views["p3"].readings.add(100.0, wait * second)
+        reading = choose.choose_prefill(100.0, "svc", LONG, set())
         assert reading is not None and (reading[0].backend.id == "p3") is congested
 
 
 def test_who_keeps_a_shared_prompt_reads_it_unless_it_is_far_behind() -> None:
     choose, candidates, cache = with_cache()
-    cache.note("p3", "s", 13_300, 400_000)
+    cache.record_prefix("p3", "s", 13_300, 400_000)
 
     def readers() -> set[str]:
         found = [choose.choose(100.0, "svc", ENGINE, LONG, 600.0, set()) for _ in range(100)]
-        return {p.reader.backend.id for p in found if p is not None and p.reader is not None}
+        return {p.prefill_backend.backend.id for p in found if p is not None and p.prefill_backend is not None}
 
     assert readers() == {"p3"}
-    candidates.seen["p3"].others_tokens = 40_000
+    candidates.views["p3"].others_tokens = 40_000
     assert "p3" not in readers() and len(readers()) > 1
 
 
@@ -305,12 +309,12 @@
 def test_parts_are_kept_only_behind_all_that_come_before_them_and_within_bounds() -> None:
     view = CacheView()
     view.touch("d0", (("a", 50), ("b", 30)), 1_000)
-    assert view.kept("d0", (("a", 50), ("b", 30), ("c", 5))) == 80
-    assert view.kept("d0", (("x", 50), ("b", 30))) == 0
+    assert view.cached_tokens("d0", (("a", 50), ("b", 30), ("c", 5))) == 80
+    assert view.cached_tokens("d0", (("x", 50), ("b", 30))) == 0
     view.touch("d0", (("big", 790),), 1_000)
-    assert view.kept("d0", (("a", 50),)) == 0 and view.kept("d0", (("big", 790),)) == 790
+    assert view.cached_tokens("d0", (("a", 50),)) == 0 and view.cached_tokens("d0", (("big", 790),)) == 790
     view.forget("d0")
-    assert view.kept("d0", (("big", 790),)) == 0
+    assert view.cached_tokens("d0", (("big", 790),)) == 0
 
 
 def test_routes_match_the_longest_prefix_of_the_host() -> None:
--- a/tests/test_plain_service.py
+++ b/tests/test_plain_service.py
@@ -58,7 +58,7 @@
     found: Counter[str] = Counter()
     for _ in range(count):
         plan = choice.choose(NOW, NO_PROMPT, 300.0, set())
-        found[plan.maker.backend.id if plan is not None else "none"] += 1
+        found[plan.decode_backend.backend.id if plan is not None else "none"] += 1
     return found
 
 
@@ -68,7 +68,7 @@
     choices, candidates = choices_over(*(backend(f"b{i}") for i in range(size)))
     choices.draws.proxies = proxies
     for i in range(size):
-        seen = candidates.seen[f"b{i}"]
+        seen = candidates.views[f"b{i}"]
         seen.calls, seen.figured_at = i, NOW - age
     for _ in range(calls):
         choices.draws.called(NOW, "svc", "")
@@ -83,11 +83,11 @@
 
 def test_load_is_the_part_of_the_places_that_is_taken_and_ties_break_at_random() -> None:
     choices, candidates = choices_over(backend("small", capacity=4), backend("large", capacity=16))
-    candidates.seen["small"].calls, candidates.seen["large"].calls = 2, 6
+    candidates.views["small"].calls, candidates.views["large"].calls = 2, 6
     assert chosen(choices, count=50) == {"large": 50}
-    candidates.seen["large"].calls = 8
+    candidates.views["large"].calls = 8
     assert abs(chosen(choices, count=4_000)["small"] - 2_000) < 200
-    candidates.seen["large"].others_calls = 1
+    candidates.views["large"].others_calls = 1
     assert chosen(choices, count=50) == {"small": 50}
 
 
@@ -140,7 +140,7 @@
 
     def out(self) -> int:
         """Calls that are out."""
-        return sum(seen.calls for seen in self.candidates.seen.values())
+        return sum(seen.calls for seen in self.candidates.views.values())
 
 
 def test_the_answer_is_passed_on_and_the_place_is_free_again() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -86,14 +86,14 @@
 def readers(made: Choices, now: float = 100.0) -> set[str]:
     """Who reads a long shared prompt."""
     plans = [made.of("svc", ENGINE).choose(now, LONG, 600.0, set()) for _ in range(200)]
-    return {plan.reader.backend.id for plan in plans if plan is not None and plan.reader is not None}
+    return {plan.prefill_backend.backend.id for plan in plans if plan is not None and plan.prefill_backend is not None}
 
 
 @pytest.mark.parametrize("mechanism", ["keepers", "cached_parts"])
 def test_who_keeps_a_part_is_found_only_with(mechanism: str) -> None:
     for off in ((), (mechanism,)):
         made, _, cache = choices("near_zone", "homes", *off)
-        cache.note("prefill-3", "s", 13_300, 400_000)
+        cache.record_prefix("prefill-3", "s", 13_300, 400_000)
         assert (readers(made) == {"prefill-3"}) is not bool(off)
 
 
@@ -114,7 +114,7 @@
     for off in ((), ("slowness",)):
         made, candidates, _ = choices("near_zone", "homes", *off)
         for _ in range(9):
-            candidates.seen["prefill-0"].slowness.observe(100.0, 8.0)
+            candidates.views["prefill-0"].slowness.observe(100.0, 8.0)
         assert ("prefill-0" in readers(made)) is bool(off)
 
 
@@ -122,7 +122,7 @@
     for off in ((), ("short_prompts_at_makers",)):
         made, _, _ = choices(*off)
         plan = made.of("svc", ENGINE).choose(100.0, SHORT, 300.0, set())
-        assert plan is not None and (plan.reader is not None) is bool(off)
+        assert plan is not None and (plan.prefill_backend is not None) is bool(off)
 
 
 def test_draws_are_always_compared_where_the_blend_is_off() -> None:
--- a/tests/test_reading_queue.py
+++ b/tests/test_prefill_queue.py
@@ -5,11 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranebank.dataplane.reading_queue import MOST_S, SLOWNESS_BOUNDS, SLOWNESS_S, ReadingQueue, Slowness
+from cranebank.dataplane.prefill_queue import MOST_S, SLOWNESS_BOUNDS, SLOWNESS_S, PrefillQueue, Slowness
 
 
 def test_readings_stand_one_behind_the_other_and_time_ends_them() -> None:
-    queue = ReadingQueue()
+    queue = PrefillQueue()
     assert queue.wait(10.0) == 0.0
     assert queue.add(10.0, 0.3).over_at == 10.3 and queue.add(10.1, 0.2).over_at == 10.5
     assert abs(queue.wait(10.2) - 0.3) < 1e-9 and queue.wait(11.0) == 0.0
@@ -17,7 +17,7 @@
 
 
 def test_the_end_of_one_reading_shows_how_late_or_early_those_behind_it_are() -> None:
-    queue = ReadingQueue()
+    queue = PrefillQueue()
     first, second, third = (queue.add(10.0, 0.3) for _ in range(3))
     queue.over(10.5, first)
     assert abs(queue.wait(10.5) - 0.6) < 1e-9
@@ -28,7 +28,7 @@
 
 
 def test_a_reading_that_never_left_is_taken_out_again() -> None:
-    queue = ReadingQueue()
+    queue = PrefillQueue()
     ticket = queue.add(10.0, 0.3)
     queue.add(10.0, 0.5)
     queue.take_back(ticket)
@@ -37,7 +37,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 60), st.booleans()), max_size=60))
 def test_the_wait_is_never_below_zero_nor_without_bound(steps: list[tuple[float, float, bool]]) -> None:
-    queue, now = ReadingQueue(), 0.0
+    queue, now = PrefillQueue(), 0.0
     ticket = queue.add(now, 1.0)
     for pause, seconds, ends in steps:
         now += pause
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -12,12 +12,12 @@
 import uvloop
 
 from cranebank.dataplane import proxy as plane
+from cranebank.dataplane.backend_connections import Connection, Pool
 from cranebank.dataplane.exchange import Exchange
 from cranebank.dataplane.exchange_events import (
     WakeAt,
 )
 from cranebank.dataplane.front import ClientConnection
-from cranebank.dataplane.legs import Connection, Pool
 from cranebank.dataplane.proxy import Proxy, RetryRule
 from cranebank.transport.messages import Backend
 
--- a/tests/test_stage_load.py
+++ b/tests/test_stage_load.py
@@ -14,9 +14,9 @@
 from cranebank.control.registry import Registry
 from cranebank.control.stage_events import Stage
 from cranebank.control.stage_order import BackendOrder
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.offered_load import AVERAGED_S, LOADS_MOST, OfferedLoad
-from cranebank.dataplane.seen import Seen
+from cranebank.dataplane.offered_load import LOAD_AVERAGING_S, MAX_REPORTED_SERVICES, OfferedLoad
 from cranebank.programs.settings import NodeSettings
 from cranebank.programs.stage_duty import StageDuty
 from cranebank.transport.frames import Decoder, encode
@@ -27,19 +27,19 @@
     return Backend(name, "s", f"10.0.0.{name[-1]}:80", "a", stage, 8, phase, call_seq)
 
 
-def steady(load: OfferedLoad, seen: list[Seen], seconds: float, reads_each_s: float) -> tuple[StageLoad, ...]:
+def steady(load: OfferedLoad, seen: list[BackendView], seconds: float, reads_each_s: float) -> tuple[StageLoad, ...]:
     """What is told after so long with a reading of so many seconds in every second."""
     told: tuple[StageLoad, ...] = ()
     for tick in range(int(seconds * 10)):
-        load.read(tick / 10, "s", reads_each_s / 10)
-        told = load.tell(tick / 10, seen)
+        load.add_prefill(tick / 10, "s", reads_each_s / 10)
+        told = load.report(tick / 10, seen)
     return told
 
 
 def test_a_proxy_tells_its_load_in_backends_kept_busy() -> None:
-    seen = Seen(backend())
+    seen = BackendView(backend())
     seen.calls = 4  # of its eight places
-    (told,) = steady(OfferedLoad(), [seen], 10 * AVERAGED_S, 1.5)
+    (told,) = steady(OfferedLoad(), [seen], 10 * LOAD_AVERAGING_S, 1.5)
     assert told.service == "s"
     assert told.prefill == pytest.approx(1.5, rel=0.05)
     assert told.decode == pytest.approx(0.5, rel=0.05)
@@ -47,37 +47,37 @@
 
 def test_a_proxy_that_has_just_started_tells_neither_stage_more_load_than_the_other() -> None:
     """All clients come back at once after a restart: what is open then is no average."""
-    load, seen = OfferedLoad(), Seen(backend())
+    load, seen = OfferedLoad(), BackendView(backend())
     seen.calls = 8
-    load.tell(1000.0, [seen])
-    load.read(1000.0, "s", 0.1)
-    (told,) = load.tell(1000.1, [seen])
-    assert told.decode == pytest.approx(0.1 / AVERAGED_S, rel=0.05)
-    assert told.prefill == pytest.approx(0.1 / AVERAGED_S, rel=0.05)
+    load.report(1000.0, [seen])
+    load.add_prefill(1000.0, "s", 0.1)
+    (told,) = load.report(1000.1, [seen])
+    assert told.decode == pytest.approx(0.1 / LOAD_AVERAGING_S, rel=0.05)
+    assert told.prefill == pytest.approx(0.1 / LOAD_AVERAGING_S, rel=0.05)
 
 
 def test_prefill_backends_hold_no_streams() -> None:
-    seen = Seen(backend(stage="prefill"))
+    seen = BackendView(backend(stage="prefill"))
     seen.calls = 4
-    (told,) = steady(OfferedLoad(), [seen], AVERAGED_S, 1.0)
+    (told,) = steady(OfferedLoad(), [seen], LOAD_AVERAGING_S, 1.0)
     assert told.decode == 0.0
 
 
 def test_load_that_has_ended_is_forgotten() -> None:
     load = OfferedLoad()
-    steady(load, [], AVERAGED_S, 1.0)
-    assert load.tell(20 * AVERAGED_S, []) == ()
-    assert not load._reading
-    assert not load._making
+    steady(load, [], LOAD_AVERAGING_S, 1.0)
+    assert load.report(20 * LOAD_AVERAGING_S, []) == ()
+    assert not load._prefill_load
+    assert not load._decode_load
 
 
 def test_no_more_services_are_told_of_than_the_bound_and_the_busiest_are() -> None:
     load = OfferedLoad()
-    for number in range(2 * LOADS_MOST):
-        load.read(0.0, f"s{number}", 1.0 + number)
-    told = load.tell(0.0, [])
-    assert len(told) == LOADS_MOST
-    assert min(one.prefill for one in told) > (1.0 + LOADS_MOST - 2) / AVERAGED_S
+    for number in range(2 * MAX_REPORTED_SERVICES):
+        load.add_prefill(0.0, f"s{number}", 1.0 + number)
+    told = load.report(0.0, [])
+    assert len(told) == MAX_REPORTED_SERVICES
+    assert min(one.prefill for one in told) > (1.0 + MAX_REPORTED_SERVICES - 2) / LOAD_AVERAGING_S
 
 
 def test_a_controller_sums_up_what_proxies_told_last() -> None:
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from cranebank.dataplane import candidates as candidates_module
+from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.seen import Seen
 from cranebank.dataplane.suspects import ANSWERED_S, SUSPECT_S, Suspects
 from cranebank.invariants import violations
 from cranebank.transport.messages import Backend
@@ -125,7 +125,7 @@
     """A fleet of thousands has lost somebody within the last minute nearly always."""
     looks = 0
 
-    class Counted(Seen):
+    class Counted(BackendView):
         @property
         def away_until(self) -> float:
             nonlocal looks
@@ -136,10 +136,10 @@
         def away_until(self, value: float) -> None:
             pass
 
-    suspects, lost = Suspects(), Seen(backend(9999, "lost"))
+    suspects, lost = Suspects(), BackendView(backend(9999, "lost"))
     lost.lost_at = LOST_AT
     suspects.add(("svc", "decode"), lost)
-    ready: list[Seen] = [Counted(backend(number)) for number in range(1000)]
+    ready: list[BackendView] = [Counted(backend(number)) for number in range(1000)]
     assert suspects.merged(LOST_AT, ("svc", "decode"), ready) == ready
     assert looks < 10
 
--- a/tests/test_warm_up.py
+++ b/tests/test_warm_up.py
@@ -115,12 +115,12 @@
             if isinstance(message, WarmUpPermits):
                 self.cold.grant(clock, message.backend, message.permits, message.valid_until)
             else:
-                self.cold.told(clock, record(max(0.0, message)))
+                self.cold.observe(clock, record(max(0.0, message)))
         self.inbox.clear()
         written = sum(up_at <= now and clock <= until for up_at, until in self.dials)
         self.dials = [dial for dial in self.dials if dial[0] > now]
-        self.cold.drop_over(clock)
-        while self.cold.is_told(clock, record(0)):
+        self.cold.forget_expired(clock)
+        while self.cold.is_known_cold(clock, record(0)):
             until = self.cold.use_permit(clock, record(0))
             if until is None:
                 break
