--- a/benchmarks/plane.py
+++ b/benchmarks/plane.py
@@ -150,7 +150,7 @@
     """A controller's core with so many proxies."""
     delivery = Delivery("c", Random(1), lambda _now, _revision: True)
     delivery.set_primary(0.0, True)
-    delivery.know_controllers([f"10.9.0.{number}" for number in range(6)])
+    delivery.update_controllers([f"10.9.0.{number}" for number in range(6)])
     for number in range(count):
         delivery.join(0.0, number, f"edge-{number}", f"10.8.{number // 250}.{number % 250}", True, 0, ())
     delivery.pop_messages()
--- a/cranebank/control/consensus.py
+++ b/cranebank/control/consensus.py
@@ -1,4 +1,4 @@
-"""What the control program needs of the consensus core, as a protocol: `Custody` provides it, tests may stand in.
+"""The consensus core as the control program uses it: a protocol that `ConsensusReplica` implements, as may tests.
 
 The core is a state machine free of I/O: it is told events and returns actions. What it answers is true at the time
 that it is asked for; before every answer that confirms or refuses it is asked again.
@@ -21,7 +21,7 @@
     def handle(self, now: float, event: events.Event) -> list[events.Action]:
         """What to do after an event."""
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether this is the primary, by a lease that still runs."""
 
     def status(self, now: float) -> events.Status:
@@ -42,5 +42,5 @@
     def may_be_forgotten(self, revision: int) -> bool:
         """Whether a call of this revision may have been taken and have fallen out of that table."""
 
-    def may_end(self, now: float) -> bool:
+    def may_shut_down(self, now: float) -> bool:
         """After Retire: whether nothing is left that another replica could take over."""
--- a/cranebank/control/custody.py
+++ b/cranebank/control/consensus_replica.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Mapping
 
 from cranebank.control import events as ev
-from cranebank.control.custody_types import (
-    FILE,
-    PUBLISHED,
-    CustodySettings,
+from cranebank.control.consensus_types import (
+    CONSENSUS_FILE,
+    PUBLISHED_KEY,
+    ConsensusSettings,
     Leadership,
     PendingChange,
     State,
@@ -29,21 +29,29 @@
 from cranebank.control.replica import DISK_AGAIN_S, LEAVING_FRESH_S
 from cranebank.invariants import InvariantBroken
 
-__all__ = ["FILE", "PUBLISHED", "Custody", "CustodySettings", "InvariantBroken", "State", "Value"]
+__all__ = [
+    "CONSENSUS_FILE",
+    "PUBLISHED_KEY",
+    "ConsensusReplica",
+    "ConsensusSettings",
+    "InvariantBroken",
+    "State",
+    "Value",
+]
 
-CANDIDACY_S = 1.0  # after which a candidate gives up
-JOIN_S = 0.3  # between asks to be admitted, or to be told of a newer record
-WRITE_S = 3.5  # in which a write is answered
+CANDIDACY_TIMEOUT_S = 1.0  # after which a candidate gives up
+JOIN_INTERVAL_S = 0.3  # between asks to be admitted, or to be told of a newer record
+WRITE_TIMEOUT_S = 3.5  # in which a write is answered
 QUEUE = 64  # writes that wait
 REMEMBERED_S = 60.0  # addresses of replicas that were heard but aren't members
 MOST_STRANGERS = 64  # controllers that haven't asked to be admitted whose zones are kept, the newest
 
 
-class Custody(Primary):
+class ConsensusReplica(Primary):
     """One controller's part. Tell it events with `handle`; do the actions that it returns in their order."""
 
     def fence(self) -> int:
-        """Return the number that fences off earlier primaries; to be used only while `holds`."""
+        """Return the number that fences off earlier primaries; to be used only while `holds_lease`."""
         return self._acceptor.epoch
 
     def status(self, now: float) -> ev.Status:
@@ -56,7 +64,7 @@
             epoch=self._acceptor.epoch,
             primary=primary,
             primary_ip=ip_of(primary),
-            is_primary=self.holds(now),
+            is_primary=self.holds_lease(now),
             copies=record.copies if record is not None else (),
             members=record.members if record is not None else (),
             revision=self._value.revision,
@@ -96,7 +104,7 @@
             self._tick()
         elif isinstance(event, ev.Persisted):
             self._persisted(event.token)
-        elif isinstance(event, ev.DiskTrouble):
+        elif isinstance(event, ev.PersistFailed):
             if event.token in self._waiting:
                 self._waiting[event.token].again_at = now + DISK_AGAIN_S
         elif isinstance(event, ev.LinkDown):
@@ -108,7 +116,7 @@
             self._write(event)
         elif isinstance(event, ev.Evacuate):
             self._evacuate(event)
-        elif isinstance(event, ev.Located):
+        elif isinstance(event, ev.ZoneReported):
             self._locate(event)
         elif isinstance(event, ev.SetIntents):
             if self._leadership is not None:
@@ -132,10 +140,10 @@
             self._flush()
             if not self._local and not self._after:
                 break
-        acting = self.holds(self._now)
+        acting = self.holds_lease(self._now)
         if acting != self._is_acting:
             self._is_acting = acting
-            self._actions.append(ev.Became(self._acceptor.epoch) if acting else ev.Ceased())
+            self._actions.append(ev.LeadershipGained(self._acceptor.epoch) if acting else ev.LeadershipLost())
 
     def _receive(self, message: ev.AnyMessage) -> None:
         self._heard[message.sender] = self._now
@@ -156,7 +164,7 @@
         if self._state is State.PRIMARY:
             self._tick_primary()
         elif self._state is State.CANDIDATE and self._proposal is not None:
-            if now >= self._proposal.started + CANDIDACY_S:
+            if now >= self._proposal.started + CANDIDACY_TIMEOUT_S:
                 self._election_at = now + self._election_timeout()
                 self._change(State.FOLLOWER, "candidacy came to nothing")
         elif self._may_campaign():
@@ -165,7 +173,7 @@
             self._try_again(self._proposal)
         is_lost = self._state is not State.PRIMARY and now - self._primary_heard > self._settings.lease_s
         if (self._state is State.OUTSIDER or is_lost) and now >= self._join_at and not self._is_retired:
-            self._join_at = now + JOIN_S
+            self._join_at = now + JOIN_INTERVAL_S
             for ip in sorted(self.known_ips() - {self._settings.ip}):
                 self._actions.append(ev.Send(ip, ev.Join(self._id, self._acceptor.epoch)))
         if self._is_retired and now >= self._leave_at:
@@ -190,13 +198,13 @@
             number = leadership.lease.ask(now)
             for replica in record.members:
                 self._send(replica, self._lease_request(leadership, record, number, replica))
-        if self.holds(now):
+        if self.holds_lease(now):
             if self._is_committable(leadership, record):
                 self._commit(leadership)
             self._start_writes(leadership)
             self._answer_evacuations(leadership, record)
         self._send_stores(leadership, record)
-        if self._proposal is None and self.holds(now):
+        if self._proposal is None and self.holds_lease(now):
             changed = (
                 self._changed_copies(leadership, record)
                 or self._changed_members(record)
@@ -206,7 +214,7 @@
             if changed is not None:
                 self._propose(changed)
 
-    def _locate(self, event: ev.Located) -> None:
+    def _locate(self, event: ev.ZoneReported) -> None:
         """Note a controller's zone. It tells that when it connects, before it can have asked to be admitted."""
         self._zones.pop(event.ip, None)
         self._zones[event.ip] = event.zone
@@ -225,7 +233,7 @@
     def _evacuate(self, event: ev.Evacuate) -> None:
         if self._leadership is None:
             self._actions.append(ev.Answer(event.request, self._not_primary()))
-        elif not self._leadership.evacuations.add(event, self._now + WRITE_S):
+        elif not self._leadership.evacuations.add(event, self._now + WRITE_TIMEOUT_S):
             self._actions.append(ev.Answer(event.request, ev.Busy()))
 
     def _write(self, write: ev.Write) -> None:
@@ -234,7 +242,7 @@
         elif len(self._queue) >= QUEUE:
             self._actions.append(ev.Answer(write.request, ev.Busy()))
         else:
-            self._queue.append((write, self._now + WRITE_S))
+            self._queue.append((write, self._now + WRITE_TIMEOUT_S))
 
     def _answer_late(self) -> None:
         if self._leadership is not None:
--- a/cranebank/control/custody_types.py
+++ b/cranebank/control/consensus_types.py
@@ -12,10 +12,10 @@
 from cranebank.control.epochs import HeldLease, OrderIntent
 from cranebank.control.evacuation_queue import EvacuationQueue
 
-FILE = "custody"
+CONSENSUS_FILE = "custody"
 """Name of the file in the data folder."""
 
-PUBLISHED = "handed"
+PUBLISHED_KEY = "handed"
 """Key there of the newest committed configuration that this controller has published, spelt as earlier versions did."""
 
 
@@ -29,7 +29,7 @@
     OUTSIDER = "outsider"  # no member of the newest record
 
 
-class CustodySettings(msgspec.Struct, frozen=True):
+class ConsensusSettings(msgspec.Struct, frozen=True):
     """`seeds` are IPs; `tolerance` is how many machines may be lost at once; `zones` names the zone of an IP.
 
     Where zones or regions may be lost (``is_counted_in_machines`` is false), `tolerance` is any high number.
--- a/cranebank/control/delivery.py
+++ b/cranebank/control/delivery.py
@@ -15,8 +15,8 @@
 
 from cranebank.transport.messages import Backend, ConfigPush, Evacuations, Message, Push, Welcome
 
-BACKUP_S = 0.3  # how long others than the primary wait for its push to show
-CONTROLLER_S = 0.5  # how long a controller has to learn of a configuration through the custody
+BACKUP_PUSH_DELAY_S = 0.3  # how long others than the primary wait for its push to show
+CONTROLLER_PUSH_DELAY_S = 0.5  # how long a controller has to learn of a configuration through the custody
 WELCOME_S = 0.5  # how long changes are gathered for one round of Welcome
 NEIGHBOURS = 64  # proxies that a Welcome names
 MOST_PENDING = 1024  # changes of one kind that are awaited; whoever waits for an older one waits out its time
@@ -117,7 +117,9 @@
         if is_proxy:
             slot = self._free.pop() if self._free else self._slots
             self._slots = max(self._slots, slot + 1)
-        wait = 0.0 if is_proxy and not revision else BACKUP_S if is_proxy else CONTROLLER_S  # who has none waits for it
+        wait = (
+            0.0 if is_proxy and not revision else BACKUP_PUSH_DELAY_S if is_proxy else CONTROLLER_PUSH_DELAY_S
+        )  # who has none waits for it
         peer = self.peers[link] = Peer(name, ip, slot, revision, now + wait)
         if is_proxy:
             self._stale_welcome = True
@@ -147,7 +149,7 @@
                 needs[peer.slot] = self._push(link, peer, records)
         return self._await(self._backend_acks, needs)
 
-    def tell_proxies(self, message: Message) -> None:
+    def send_to_proxies(self, message: Message) -> None:
         """Send to every proxy that is linked; nothing is acknowledged."""
         self._out += [(link, message) for link, peer in self.peers.items() if peer.slot >= 0]
 
@@ -174,7 +176,7 @@
         before, self.revision, self.document = self.revision, revision, document
         for link, peer in self.peers.items():
             if max(peer.revision, peer.sent) >= before:  # else its wait has begun: changes in a row don't lengthen it
-                peer.due = max(peer.due, now + (BACKUP_S if peer.slot >= 0 else CONTROLLER_S))
+                peer.due = max(peer.due, now + (BACKUP_PUSH_DELAY_S if peer.slot >= 0 else CONTROLLER_PUSH_DELAY_S))
             self._configure(now, link, peer)
         return True
 
@@ -196,11 +198,11 @@
             {peer.slot: revision for peer in self.peers.values() if peer.slot >= 0 and peer.revision < revision},
         )
 
-    def know_evacuations(self, number: int, zones: tuple[str, ...]) -> None:
+    def update_evacuations(self, number: int, zones: tuple[str, ...]) -> None:
         """The newest evacuations known to be chosen; every linked proxy is told when they are news."""
         if number > self.evacuations.number:
             self.evacuations = Evacuations(number, zones)
-            self.tell_proxies(self.evacuations)
+            self.send_to_proxies(self.evacuations)
 
     def acknowledged_evacuations(self, link: Hashable, number: int) -> None:
         """The evacuations of this number, or of a later one, bind at the end of this link."""
@@ -220,7 +222,7 @@
             {peer.slot: number for peer in self.peers.values() if peer.slot >= 0 and peer.evacuation_number < number},
         )
 
-    def know_controllers(self, ips: Iterable[str]) -> None:
+    def update_controllers(self, ips: Iterable[str]) -> None:
         """The controllers' IPs, all that are known."""
         controllers = tuple(sorted(ips))
         if controllers != self._controllers:
--- a/cranebank/control/election.py
+++ b/cranebank/control/election.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from cranebank.control import events as ev
-from cranebank.control.custody_types import State
+from cranebank.control.consensus_types import State
 from cranebank.control.epochs import Ballot, EpochRecord, Proposal, choose_by_zone
 from cranebank.control.replica import ELECTION_TIMEOUT_S, SHORT_ELECTION_TIMEOUT_S
 from cranebank.control.voter import PHASE_AGAIN_S, Voter
--- a/cranebank/control/events.py
+++ b/cranebank/control/events.py
@@ -158,7 +158,7 @@
     token: int
 
 
-class DiskTrouble(msgspec.Struct, frozen=True):
+class PersistFailed(msgspec.Struct, frozen=True):
     """What was to be persisted under this token is not durable; it will be tried again."""
 
     token: int
@@ -180,7 +180,7 @@
     digest: bytes
 
 
-class Located(msgspec.Struct, frozen=True):
+class ZoneReported(msgspec.Struct, frozen=True):
     """The controller at this address is in this zone (or region, where whole regions may be lost)."""
 
     ip: str
@@ -205,7 +205,7 @@
     """The process will end soon: give up the primary's part and don't stand again."""
 
 
-Event = Tick | Received | Persisted | DiskTrouble | LinkDown | Write | Located | SetIntents | Evacuate | Retire
+Event = Tick | Received | Persisted | PersistFailed | LinkDown | Write | ZoneReported | SetIntents | Evacuate | Retire
 
 
 # Results of a write or an evacuation.
@@ -249,15 +249,15 @@
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Make these values durable in the order of the tokens, then tell Persisted or DiskTrouble."""
+    """Make these values durable in the order of the tokens, then tell Persisted or PersistFailed."""
 
     token: int
     values: dict[str, bytes]
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """The result of a write or an evacuation; one for each. To be answered only if `holds` still says so, except for
-    refusals."""
+    """The result of a write or an evacuation; one for each. To be answered only if `holds_lease` is still true, except
+    for refusals."""
 
     request: int
     result: Result
@@ -271,17 +271,17 @@
     digest: bytes
 
 
-class Became(msgspec.Struct, frozen=True):
+class LeadershipGained(msgspec.Struct, frozen=True):
     """From here on this controller acts as primary."""
 
     epoch: int
 
 
-class Ceased(msgspec.Struct, frozen=True):
+class LeadershipLost(msgspec.Struct, frozen=True):
     """This controller acts as primary no longer."""
 
 
-Action = Send | Persist | Answer | Committed | Became | Ceased
+Action = Send | Persist | Answer | Committed | LeadershipGained | LeadershipLost
 
 
 class Status(msgspec.Struct, frozen=True):
--- a/cranebank/control/membership.py
+++ b/cranebank/control/membership.py
@@ -29,7 +29,7 @@
 REPLACED_S = 0.6
 """Silence of a member whose address a newcomer speaks from: that machine has lost its disk and its votes."""
 
-SPARE_S = 1.0
+STANDBY_REPLACEMENT_S = 1.0
 """Silence of a member whom a newcomer at another address replaces: longer than any pause of a process in order."""
 
 UNREPLACED_S = 8.0
@@ -76,7 +76,7 @@
     at_home = {ip_of(member) for member in members}
     newcomers = [newcomer for newcomer in newcomers if ip_of(newcomer) not in at_home]
     newcomers = choose_by_zone(newcomers, members, view.zones)
-    missing = [member for member in removable if member in view.leaving or view.silence[member] > SPARE_S]
+    missing = [member for member in removable if member in view.leaving or view.silence[member] > STANDBY_REPLACEMENT_S]
     if len(members) % 2 == 0 and len(members) > size.smallest and missing:
         return members - {missing[0]}
     if newcomers and missing:
--- a/cranebank/control/operator_api.py
+++ b/cranebank/control/operator_api.py
@@ -26,17 +26,17 @@
     revision_of,
 )
 from cranebank.control.delivery import PendingAcks
-from cranebank.control.registry import ENDING, BadHeartbeat, Registry
+from cranebank.control.registry import ENDING_PHASES, BadHeartbeat, Registry
 
 CONFIGURATION_BYTES = 9 << 20
 BEAT_BYTES = 64 << 10
 EVACUATION_BYTES = 1 << 10  # none is asked for; what comes is not looked at
 REVISION_DIGITS = 18
-WRITE_S = 4.0  # the custody answers by itself before
-REVISION_ACK_S = 0.4  # how long a 200 waits for the proxies
+WRITE_TIMEOUT_S = 4.0  # the custody answers by itself before
+REVISION_ACK_TIMEOUT_S = 0.4  # how long a 200 waits for the proxies
 EVACUATION_ACK_S = 0.4  # how long the answer to an evacuation waits for the proxies
 MOST_EVACUATED = 256  # zones: each message that asks for the lease names them
-ENDING_S = 0.6  # how long a drain or a leave waits for a majority and the proxies: callers wait for one second
+ENDING_TIMEOUT_S = 0.6  # how long a drain or a leave waits for a majority and the proxies: callers wait for one second
 RETRY_S = "0.2"
 
 _RETRY = (("Retry-After", RETRY_S),)
@@ -68,7 +68,7 @@
     def now(self) -> float:
         """The steady clock."""
 
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this is the primary, by a lease that still runs."""
 
     def primary(self) -> str | None:
@@ -151,7 +151,7 @@
     async def read(self, request: Request) -> Response:
         """The newest configuration."""
         current = self._plane.current()
-        if not self._plane.holds():
+        if not self._plane.holds_lease():
             return self._redirect(request)
         if current is None or not current[0]:
             return refusal(503, "no_configuration", headers=_RETRY)
@@ -159,7 +159,7 @@
 
     async def start_evacuation(self, request: Request) -> Response:
         """Nothing more is to be sent to the backends of a zone."""
-        if self._plane.holds() and len({*self._plane.evacuated(), unquote(request.argument)}) > MOST_EVACUATED:
+        if self._plane.holds_lease() and len({*self._plane.evacuated(), unquote(request.argument)}) > MOST_EVACUATED:
             return refusal(503, "too_many_zones", "zone", f"at most {MOST_EVACUATED} evacuated", headers=_RETRY)
         return await self._evacuate(request, True)
 
@@ -168,7 +168,7 @@
         return await self._evacuate(request, False)
 
     async def _evacuate(self, request: Request, is_start: bool) -> Response:
-        if not self._plane.holds():
+        if not self._plane.holds_lease():
             return self._redirect(request)
         zone = unquote(request.argument)
         if not self._plane.knows_zone(zone):
@@ -190,7 +190,7 @@
             record = self._plane.registry.heartbeat(self._plane.now(), request.argument, request.body)
         except BadHeartbeat as error:
             return refusal(400, error.code, error.key, error.expected)
-        if record.phase in ENDING:
+        if record.phase in ENDING_PHASES:
             return await self._ending(record.id)
         self._plane.publish_registry(at_once=False)
         if self._plane.is_isolated():  # the backend goes on to another controller, which is heard
@@ -207,7 +207,7 @@
         return Response(200, msgspec.json.encode(self._plane.overview()))
 
     async def _ending(self, backend_id: str) -> Response:
-        if await self._plane.confirm_ending(backend_id, ENDING_S):
+        if await self._plane.confirm_ending(backend_id, ENDING_TIMEOUT_S):
             return _OK
         return refusal(503, "no_majority", headers=_RETRY)
 
@@ -219,7 +219,7 @@
         return refusal(307, "not_primary", headers=(("Location", place),))
 
     async def _change(self, call: str, request: Request) -> Response:
-        if not self._plane.holds():
+        if not self._plane.holds_lease():
             return self._redirect(request)
         base = _base_of(request)
         if base is None:
@@ -262,7 +262,7 @@
 
     def _under_lease(self, request: Request, response: Response) -> Response:
         """The last look at the lease: an answer that depends on the current configuration is given only under it."""
-        return response if self._plane.holds() else self._redirect(request)
+        return response if self._plane.holds_lease() else self._redirect(request)
 
     def _conflict(self, request: Request, revision: int, current: int) -> Response:
         """Another revision is current. A call that may have put it, or an earlier one, in force is not refused."""
@@ -271,9 +271,9 @@
         return self._under_lease(request, refusal(412, "base", "X-Base-Version", str(current)))
 
     async def _in_force(self, request: Request, revision: int) -> Response:
-        if not self._plane.holds():
+        if not self._plane.holds_lease():
             return self._redirect(request)
-        await self._plane.wait_for_acks(self._plane.await_revision(revision), REVISION_ACK_S)
+        await self._plane.wait_for_acks(self._plane.await_revision(revision), REVISION_ACK_TIMEOUT_S)
         return self._under_lease(request, _OK)
 
 
--- a/cranebank/control/primary.py
+++ b/cranebank/control/primary.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from cranebank.control import events as ev
-from cranebank.control.custody_types import Leadership
+from cranebank.control.consensus_types import Leadership
 from cranebank.control.election import RETIRED_PAUSE_S, Candidate
 from cranebank.control.epochs import EpochRecord, choose_by_zone, is_majority
 from cranebank.control.membership import View, next_members
@@ -27,7 +27,7 @@
 
 
 class Primary(Candidate):
-    """Holder of the lease and source of the value. Extended by ``custody.Custody``."""
+    """Holder of the lease and source of the value. Extended by ``consensus_replica.ConsensusReplica``."""
 
     @property
     def current(self) -> tuple[int, bytes, bytes] | None:
@@ -60,7 +60,7 @@
             self._step_down("own disk is stuck", STEP_DOWN_PAUSE_S)
         elif self._is_retired and not self._must_lead_on():
             self._step_down("retire", RETIRED_PAUSE_S)
-        elif not self.holds(now) and now >= leadership.establish_by:
+        elif not self.holds_lease(now) and now >= leadership.establish_by:
             # Voters that can still hear this one must not be kept from choosing another.
             self._step_down("lease ran out", self._settings.lease_s / 2)
             self._election_at = max(self._election_at, now + self._election_timeout())
@@ -79,7 +79,7 @@
 
     def _lease_request(self, leadership: Leadership, record: EpochRecord, number: int, replica: str) -> ev.AskLease:
         committed = leadership.committed
-        if committed is None or not self.holds(self._now):
+        if committed is None or not self.holds_lease(self._now):
             return ev.AskLease(self._id, record, number)
         return ev.AskLease(self._id, record, number, leadership.stamps.get(replica), committed.revision)
 
--- a/cranebank/control/registry.py
+++ b/cranebank/control/registry.py
@@ -16,17 +16,17 @@
 from cranebank.membership.warm_up import Limits
 from cranebank.transport.messages import Backend
 
-ENDING = frozenset({"draining", "gone"})  # phases that are never taken back
+ENDING_PHASES = frozenset({"draining", "gone"})  # phases that are never taken back
 LIVING = frozenset({"ready", "draining"})  # phases of backends that beat
 TOMBSTONE_S = 60.0  # how long ends and losses are remembered
 TOMBSTONES_MOST = 20_000
 STRAYS_MOST = 4096  # backends that proxies were told to be lost while they were unknown here, the newest
-LARGEST_COUNT = 2**63 - 1  # of a heartbeat's whole numbers: all of them go out in messages, which hold no larger ones
+MAX_COUNT = 2**63 - 1  # of a heartbeat's whole numbers: all of them go out in messages, which hold no larger ones
 LARGEST_FIGURE = 2.0**40
 LARGEST_PORT = 65_535
 COLD_NEWS_S = 0.1  # a backend that is cold for so much longer than was known is news
 MS_PER_S = 1000.0
-REJOIN_S = 2.5  # after a time without most other controllers: until their news of who was heard has come again
+REJOIN_GRACE_S = 2.5  # after a time without most other controllers: until their news of who was heard has come again
 
 
 class BadHeartbeat(Exception):
@@ -43,7 +43,7 @@
     target: str
     address: str
     phase: str
-    call_seq: Annotated[int, msgspec.Meta(ge=0, le=LARGEST_COUNT)]
+    call_seq: Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
     zone: str = ""
     stage: str = ""
     capacity: Annotated[float, msgspec.Meta(le=LARGEST_FIGURE)] = 1
@@ -144,7 +144,7 @@
         for record in records:
             self._apply(now, record)
 
-    def greet(self, now: float, records: Iterable[Backend], hears_all: bool) -> list[Backend]:
+    def merge_proxy_records(self, now: float, records: Iterable[Backend], hears_all: bool) -> list[Backend]:
         """Records from a proxy that has just come. What is unknown here is learnt while this controller is young, or
         doesn't hear all others (``hears_all`` is false): it is lost as usual if nobody hears it. Else this controller
         knows better, and returns it as lost, for that proxy alone. What the proxy holds for lost is hearsay."""
@@ -214,7 +214,7 @@
         """Records whose heartbeats ceased, now lost. Nothing expires while this controller is out of touch with most
         of the others (``in_touch`` is false): who beats may be heard by them."""
         if in_touch and not self._in_touch:
-            self._quiet_until = max(self._quiet_until, now + REJOIN_S)
+            self._quiet_until = max(self._quiet_until, now + REJOIN_GRACE_S)
         self._in_touch = in_touch
         found: list[Backend] = []
         if in_touch and now >= self._quiet_until:
@@ -269,16 +269,16 @@
     def has_ended(self, records: Iterable[Backend]) -> bool:
         """Whether each of these that drains or is gone does so here too."""
         return all(
-            (known := self.records.get(record.id)) is not None and known.phase in ENDING
+            (known := self.records.get(record.id)) is not None and known.phase in ENDING_PHASES
             for record in records
-            if record.phase in ENDING
+            if record.phase in ENDING_PHASES
         )
 
     def endings(self) -> tuple[Backend, ...]:
         """The records of all that drain or are gone, the last minute's."""
-        return tuple(record for record in self.records.values() if record.phase in ENDING)
+        return tuple(record for record in self.records.values() if record.phase in ENDING_PHASES)
 
-    def everything(self) -> tuple[Backend, ...]:
+    def all_records(self) -> tuple[Backend, ...]:
         """All records, ends of the last minute too."""
         return tuple(self.records.values())
 
--- a/cranebank/control/replica.py
+++ b/cranebank/control/replica.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from cranebank.control import events as ev
-from cranebank.control.custody_types import (
+from cranebank.control.consensus_types import (
     NO_VALUE,
-    CustodySettings,
+    ConsensusSettings,
     Leadership,
     State,
     Value,
@@ -49,7 +49,7 @@
 class Replica:
     """Identity, durable state, messages to send and what was heard. Extended by ``voter.Voter``."""
 
-    def __init__(self, settings: CustodySettings, stored: Mapping[str, bytes], random: Random, now: float) -> None:
+    def __init__(self, settings: ConsensusSettings, stored: Mapping[str, bytes], random: Random, now: float) -> None:
         """Begin from what the disk holds (keys `id`, `control`, `value`; empty at the first start or after a wipe)."""
         self._settings = settings
         self._random = random
@@ -131,7 +131,7 @@
         """The newest record known to be chosen."""
         return self._acceptor.chosen
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Tell whether this controller may act as primary at this time; to be asked right before each answer."""
         record = self._acceptor.chosen
         if self._leadership is None or record is None:
@@ -284,6 +284,6 @@
         return HeldLease(self._settings.lease_s, MARGIN_S)
 
     @staticmethod
-    def _require(holds: bool, what: str) -> None:
-        if not holds:
+    def _require(holds_lease: bool, what: str) -> None:
+        if not holds_lease:
             raise broken(what)
--- a/cranebank/control/stage_balancer.py
+++ b/cranebank/control/stage_balancer.py
@@ -28,8 +28,8 @@
     Connect,
     Connected,
     Event,
-    Look,
     NotConnected,
+    Observation,
     Order,
     Reported,
     Service,
@@ -114,7 +114,7 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event at a time of the steady clock; return what is to be done, in order."""
         self._actions = []
-        if isinstance(event, Look):
+        if isinstance(event, Observation):
             self._look(now, event)
         else:
             order = self._orders.get(event.number)
@@ -154,7 +154,7 @@
 
     # Looking.
 
-    def _look(self, now: float, look: Look) -> None:
+    def _look(self, now: float, look: Observation) -> None:
         if now - self._looked_at > STALL_S:
             self._needed.clear()
             self._unattended_since.clear()
@@ -189,7 +189,7 @@
         is_recorded = (authority.recorded or {}).get(order.backend.id) == order.stage
         return is_recorded and self._may_order(authority) and self._intents.is_turn(now, order.backend.id)
 
-    def _follow_former(self, now: float, look: Look) -> None:
+    def _follow_former(self, now: float, look: Observation) -> None:
         """Look after orders that a former primary may have sent: they may be under way, and their backends switch."""
         if not look.authority.holds_lease or not look.is_registry_current:
             return
@@ -205,7 +205,7 @@
             self._orders[order.number] = order
             self._change(now, order, OrderState.UNKNOWN)
 
-    def _follow(self, now: float, order: BackendOrder, look: Look) -> None:
+    def _follow(self, now: float, order: BackendOrder, look: Observation) -> None:
         """What the registry tells of an order's backend, and what time does."""
         record = look.records.get(order.backend.id)
         if record is None or record.phase != "ready":
@@ -255,7 +255,7 @@
         now: float,
         service: Service,
         stages: ServiceStages,
-        look: Look,
+        look: Observation,
     ) -> None:
         """Order a backend where a stage needs one and has needed it for long enough."""
         load = look.loads.get(service.name)
@@ -297,7 +297,7 @@
             holds = len(under_way) <= _most_ordered(stages)
             self._require(holds, "no more than a share of a service is ordered at once")
 
-    def _by_service(self, now: float, look: Look) -> dict[str, ServiceStages]:
+    def _by_service(self, now: float, look: Observation) -> dict[str, ServiceStages]:
         """The ready backends of each service that is routed to; who is under an order counts for its new stage."""
         expected = {order.backend.id: order.stage for order in self.orders if order.blocks(now)}
         found: dict[str, ServiceStages] = {}
--- a/cranebank/control/stage_events.py
+++ b/cranebank/control/stage_events.py
@@ -54,7 +54,7 @@
 # Events.
 
 
-class Look(msgspec.Struct, frozen=True):
+class Observation(msgspec.Struct, frozen=True):
     """How things stand now: the services by name, the registry's records by the backend's id, and when the newest
     heartbeat of each was received by any controller. ``is_registry_current``: a backend that has no record isn't there.
     ``loads``: what proxies ask of each service's stages, as far as it is known.
@@ -109,7 +109,7 @@
     number: int
 
 
-Event = Look | Connected | NotConnected | Answered | Unanswered | Reported | Unreported
+Event = Observation | Connected | NotConnected | Answered | Unanswered | Reported | Unreported
 
 # Actions.
 
--- a/cranebank/control/voter.py
+++ b/cranebank/control/voter.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from cranebank.control import events as ev
-from cranebank.control.custody_types import Leadership, State, Value
+from cranebank.control.consensus_types import Leadership, State, Value
 from cranebank.control.epochs import EpochRecord, ip_of
 from cranebank.control.replica import SHORT_ELECTION_TIMEOUT_S, Replica
 
@@ -28,13 +28,13 @@
         """
         # A primary that has just taken over may not know the newest value to be committed yet.
         is_settled = self._leadership is not None and self._leadership.committed is not None
-        return (is_settled and self.holds(now)) or now < self._contact_at + self._settings.lease_s
+        return (is_settled and self.holds_lease(now)) or now < self._contact_at + self._settings.lease_s
 
     def is_current(self, now: float, revision: int) -> bool:
         """Tell whether this revision was the newest committed one at some time within the last lease's length."""
         return self.in_contact(now) and revision >= self._newest_committed
 
-    def may_end(self, now: float) -> bool:
+    def may_shut_down(self, now: float) -> bool:
         """Tell a replica that was told to retire whether it has handed over all that others can take from it.
 
         False while it is a copy that another member could relieve, or a member in whose place a newcomer could come.
--- a/cranebank/control/warm_up.py
+++ b/cranebank/control/warm_up.py
@@ -30,7 +30,7 @@
 from cranebank.transport.messages import WarmUpPermits
 
 CONTROLLERS_LEAST = 3  # that count, however few are known
-CLOCK_OLD_S = 1.0  # a proxy whose clock was told longer ago gets no permits: two of its heartbeats are missing
+CLOCK_MAX_AGE_S = 1.0  # a proxy whose clock was told longer ago gets no permits: two of its heartbeats are missing
 WORTH_S = 0.1  # what is cold for less gets no permits
 
 
@@ -42,7 +42,7 @@
     until: float
 
 
-class Bound(NamedTuple):
+class RateBound(NamedTuple):
     """The rule's figures: requests a second stay within ``warmup_per_s x over + slack``."""
 
     over: float
@@ -54,7 +54,7 @@
     clock: float
 
 
-def most_permits(limit: WarmUpLimit, bound: Bound) -> int:
+def max_permits(limit: WarmUpLimit, bound: RateBound) -> int:
     """The permits for one backend, over all controllers: no more than its rate allows over the time that a permit is in
     use, and no more than the rule's bound allows within one second."""
     return int(min(limit.per_s * PERMIT_S, limit.per_s * bound.over + bound.slack))
@@ -63,7 +63,7 @@
 class PermitIssuer:
     """The permits of one controller. Times are a steady clock's seconds."""
 
-    def __init__(self, now: float, random: Random, ip: str, tolerated_losses: int, bound: Bound) -> None:
+    def __init__(self, now: float, random: Random, ip: str, tolerated_losses: int, bound: RateBound) -> None:
         self._random, self._ip, self._bound = random, ip, bound
         self._controllers_least = max(2 * tolerated_losses + 1, CONTROLLERS_LEAST)
         self._quiet_until = now + LEASE_MOST_S + RELEASE_S
@@ -80,7 +80,7 @@
 
     def share(self, limit: WarmUpLimit, controllers: Set[str]) -> int:
         """This controller's permits for one backend, where these controllers are known."""
-        most = most_permits(limit, self._bound)
+        most = max_permits(limit, self._bound)
         known = sorted(controllers | {self._ip})
         count = max(len(known), self._controllers_least)
         has_rest = len(known) >= self._controllers_least and known.index(self._ip) < most % count
@@ -94,7 +94,7 @@
         if now < self._quiet_until:
             return []
         self._leased = {backend: until for backend, until in self._leased.items() if until > now}
-        links = [link for link, clock in self._clocks.items() if now - clock.told_at <= CLOCK_OLD_S]
+        links = [link for link, clock in self._clocks.items() if now - clock.told_at <= CLOCK_MAX_AGE_S]
         if not links:
             return []
         out: list[tuple[Hashable, WarmUpPermits]] = []
@@ -114,7 +114,7 @@
     def _lease(
         self, now: float, backend: ColdBackend, drawn: Counter[Hashable]
     ) -> list[tuple[Hashable, WarmUpPermits]]:
-        lease_s = min(LEASE_MOST_S, backend.until - now + CLOCK_OLD_S)
+        lease_s = min(LEASE_MOST_S, backend.until - now + CLOCK_MAX_AGE_S)
         self._leased[backend.id] = now + lease_s + RELEASE_S
         return [
             (link, WarmUpPermits(backend.id, permits, self._clocks[link].clock + lease_s))
--- a/cranebank/programs/command.py
+++ b/cranebank/programs/command.py
@@ -248,11 +248,11 @@
     :param folder: data folder of a controller (data_dir of its settings)
     :param file: where the copy goes; there must be no file yet
     """
-    from cranebank.control.custody_file import CustodyFileError, back_up  # noqa: PLC0415
+    from cranebank.control.consensus_file import ConsensusFileError, back_up  # noqa: PLC0415
 
     try:
         found = back_up(folder, file)
-    except CustodyFileError as error:
+    except ConsensusFileError as error:
         raise CommandError(str(error)) from None
     print(f"{file}: replica {found.replica or '-'}, epoch {found.epoch}, committed configuration {found.committed}")
     if found.stored > found.committed:
@@ -276,12 +276,12 @@
     :param folder: data folder of a controller that does not run; must be empty
     :param replace: keep the custody file that stands there under another name, and put the new one in its place
     """
-    from cranebank.control.custody_file import CustodyFileError  # noqa: PLC0415
-    from cranebank.control.custody_file import restore as put_back  # noqa: PLC0415
+    from cranebank.control.consensus_file import ConsensusFileError  # noqa: PLC0415
+    from cranebank.control.consensus_file import restore as put_back  # noqa: PLC0415
 
     try:
         found = put_back(file, folder, replace)
-    except CustodyFileError as error:
+    except ConsensusFileError as error:
         raise CommandError(str(error)) from None
     print(f"{folder}: configuration {found.committed} for a new replica; start it with is_first_start: false")
     return 0
--- a/cranebank/programs/consensus_driver.py
+++ b/cranebank/programs/consensus_driver.py
@@ -16,13 +16,13 @@
 
 from cranebank.control import events
 from cranebank.control.consensus import ConsensusCore
-from cranebank.control.operator_api import WRITE_S
+from cranebank.control.operator_api import WRITE_TIMEOUT_S
 from cranebank.invariants import InvariantBroken
 from cranebank.programs.controller_links import ControllerLinks
 from cranebank.programs.local_state import LocalState, Storage
 from cranebank.storage.records import StorageError
 from cranebank.transport.links import Link
-from cranebank.transport.messages import Custodial
+from cranebank.transport.messages import ConsensusEnvelope
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(events.AnyMessage).decode
@@ -57,9 +57,9 @@
         self.results: dict[str, int] = {}  # of writes, by kind
         self.broken = asyncio.Event()
 
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this is the primary, by a lease that still runs."""
-        return not self.broken.is_set() and self._core.holds(self._now())
+        return not self.broken.is_set() and self._core.holds_lease(self._now())
 
     def in_contact(self, now: float) -> bool:
         """Whether this controller is in contact with a majority."""
@@ -120,7 +120,7 @@
         result: events.Result = events.Unknown()
         try:
             self.feed(event(request))
-            async with asyncio.timeout(WRITE_S):
+            async with asyncio.timeout(WRITE_TIMEOUT_S):
                 result = await future
         except TimeoutError:
             pass
@@ -133,7 +133,7 @@
             case events.Send(ip, message):
                 link = self._links.to(ip)
                 if link is not None:
-                    link.send(Custodial(_encode(message)))
+                    link.send(ConsensusEnvelope(_encode(message)))
             case events.Persist(token, values):
                 self._local_state.start_task(self._persist(token, values))
             case events.Answer(request, result):
@@ -142,10 +142,10 @@
                     future.set_result(result)
             case events.Committed(revision, document):
                 self._listener.committed(revision, document)
-            case events.Became(epoch):
+            case events.LeadershipGained(epoch):
                 logger.info("primary in epoch {}", epoch)
                 self._listener.leadership_changed(True)
-            case events.Ceased():
+            case events.LeadershipLost():
                 logger.info("no longer primary")
                 self._listener.leadership_changed(False)
 
@@ -154,7 +154,7 @@
             await self._storage.put(values)
         except StorageError as error:
             logger.warning("disk: {}", error)
-            self.feed(events.DiskTrouble(token))
+            self.feed(events.PersistFailed(token))
             return
         except Exception as error:  # the core would wait for the write's result for ever
             self._give_up(error)
--- a/cranebank/programs/control.py
+++ b/cranebank/programs/control.py
@@ -17,7 +17,7 @@
 from loguru import logger
 
 from cranebank.control.consensus import ConsensusCore
-from cranebank.control.custody import FILE, PUBLISHED, Custody, CustodySettings
+from cranebank.control.consensus_replica import CONSENSUS_FILE, PUBLISHED_KEY, ConsensusReplica, ConsensusSettings
 from cranebank.programs import ring as ring_module
 from cranebank.programs.controller import Controller
 from cranebank.programs.local_state import NoDisk, Storage, recalled_records
@@ -62,12 +62,12 @@
 
 async def make_controller(settings: NodeSettings, reload: Callable[[], NodeSettings]) -> Controller:
     """A controller with its disk opened."""
-    stored, storage, is_damaged = await _open(settings, FILE)
+    stored, storage, is_damaged = await _open(settings, CONSENSUS_FILE)
     stored_tallies, tally_storage, _ = await _open(settings, TALLY_FILE)
 
     def make_consensus(now: float, random: Random) -> ConsensusCore:
-        made: ConsensusCore = Custody(
-            CustodySettings(
+        made: ConsensusCore = ConsensusReplica(
+            ConsensusSettings(
                 settings.ip,
                 settings.seed_ips,
                 settings.is_first_start and not is_damaged,
@@ -81,7 +81,9 @@
         )
         return made
 
-    published = msgspec.msgpack.decode(stored[PUBLISHED], type=tuple[int, bytes]) if PUBLISHED in stored else None
+    published = (
+        msgspec.msgpack.decode(stored[PUBLISHED_KEY], type=tuple[int, bytes]) if PUBLISHED_KEY in stored else None
+    )
     tally_disk = TallyDisk(stored_tallies, tally_storage)
     recalled = recalled_records(stored)
     return Controller(settings, make_consensus, storage, SystemRandom(), reload, published, recalled, tally_disk)
--- a/cranebank/programs/controller.py
+++ b/cranebank/programs/controller.py
@@ -89,7 +89,7 @@
             settings,
             self.now,
             self._consensus,
-            self._driver.holds,
+            self._driver.holds_lease,
             self.registry,
             self._protocol.loads.total,
             self._tell_proxies,
@@ -138,7 +138,7 @@
             if isinstance(link, Link):
                 link.close()
         self._api.abort()
-        await self._local_state.close(self.registry.everything())
+        await self._local_state.close(self.registry.all_records())
         await self.tallies.close()
         await asyncio.sleep(0)
 
@@ -148,10 +148,10 @@
 
     def _may_end(self, successor_by: float) -> bool:
         now = self.now()
-        return self._consensus.may_end(now) and (self._has_successor() or now >= successor_by)
+        return self._consensus.may_shut_down(now) and (self._has_successor() or now >= successor_by)
 
     def _has_successor(self) -> bool:
-        return not self.holds() and self._consensus.status(self.now()).primary_ip not in {"", self._settings.ip}
+        return not self.holds_lease() and self._consensus.status(self.now()).primary_ip not in {"", self._settings.ip}
 
     async def _until(self, condition: Callable[[], bool], seconds: float) -> None:
         end = self.now() + seconds
@@ -179,9 +179,9 @@
         """The steady clock."""
         return self._loop.time()
 
-    def holds(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this is the primary, by a lease that still runs."""
-        return self._driver.holds()
+        return self._driver.holds_lease()
 
     def primary(self) -> str | None:
         """IP of the primary, if it is another controller that was heard lately and is known to lead: the record names
@@ -273,7 +273,7 @@
         return overview(
             self._settings.node_name,
             status,
-            self.holds(),
+            self.holds_lease(),
             self._protocol.known_controllers(),
             self._delivery,
             self.registry,
@@ -294,7 +294,7 @@
 
     def _tell_proxies(self, message: Message) -> None:
         """Send to every proxy that is linked here."""
-        self._delivery.tell_proxies(message)
+        self._delivery.send_to_proxies(message)
         send_deliveries(self._delivery)
 
     def _tell_evacuations(self) -> None:
@@ -303,7 +303,7 @@
         before = self._delivery.evacuations
         if status.evacuation_number <= before.number:
             return
-        self._delivery.know_evacuations(status.evacuation_number, status.evacuated)
+        self._delivery.update_evacuations(status.evacuation_number, status.evacuated)
         send_deliveries(self._delivery)
         for zone in sorted({*before.zones} - {*status.evacuated}):
             self._registry_service.zone_returned(zone)
@@ -339,7 +339,7 @@
         self.tallies.know(members - own, self._protocol.known_controllers() - own)
         self._registry_service.tick(now)
         self.publish_registry()
-        self._local_state.keep_registry(now, self.registry.everything, len(self.registry.records))
+        self._local_state.keep_registry(now, self.registry.all_records, len(self.registry.records))
         self._protocol.dial()
         self._api.sweep()
 
--- a/cranebank/programs/controller_protocol.py
+++ b/cranebank/programs/controller_protocol.py
@@ -22,7 +22,7 @@
 from cranebank.transport.messages import (
     ConfigAck,
     ConfigPush,
-    Custodial,
+    ConsensusEnvelope,
     EvacuationsAck,
     Hello,
     Message,
@@ -90,7 +90,7 @@
     def link_message(self, link: Link, message: Message) -> None:
         """A message came."""
         match message:
-            case Custodial(body):
+            case ConsensusEnvelope(body):
                 self._driver.receive(link, body)
             case PushAck(number):
                 self._delivery.acknowledged(link, number)
@@ -126,7 +126,7 @@
     def dial(self) -> None:
         """Dial all known controllers, and name them to proxies."""
         known = self.known_controllers()
-        self._delivery.know_controllers(known)
+        self._delivery.update_controllers(known)
         self._links.dial(self, known)
 
     def _pulse(self) -> Pulse:
@@ -135,13 +135,13 @@
 
     def _greet(self, link: Link, hello: Hello) -> None:
         is_proxy = hello.role != "controller"
-        records = self._registry.greet(hello.backends) if is_proxy else ()
+        records = self._registry.merge_proxy_records(hello.backends) if is_proxy else ()
         older = self._delivery.join(self._now(), link, hello.name, link.peer, is_proxy, hello.revision, records)
         if isinstance(older, Link):
             older.close()
         if is_proxy:
             return
-        self._driver.feed(events.Located(link.peer, self.settings.failure_domain(hello.zone)))
+        self._driver.feed(events.ZoneReported(link.peer, self.settings.failure_domain(hello.zone)))
         self._links.add(link)
         link.send(self._registry.whole())
         controllers = tuple(sorted(self.known_controllers()))
--- a/cranebank/programs/controller_status.py
+++ b/cranebank/programs/controller_status.py
@@ -35,7 +35,7 @@
         "evacuation_number": status.evacuation_number,
         "backends": [
             {"id": record.id, "target": record.target, "address": record.address, "phase": record.phase}
-            for record in registry.everything()
+            for record in registry.all_records()
         ],
         "proxies": [
             {
--- a/cranebank/programs/local_state.py
+++ b/cranebank/programs/local_state.py
@@ -16,7 +16,7 @@
 from loguru import logger
 
 from cranebank.background import BackgroundTasks
-from cranebank.control.custody import PUBLISHED
+from cranebank.control.consensus_replica import PUBLISHED_KEY
 from cranebank.storage.records import StorageError
 from cranebank.transport.messages import Backend
 
@@ -63,7 +63,7 @@
 
     def keep_published(self, revision: int, document: bytes) -> None:
         """Keep the configuration that was published last, for the next start."""
-        self.start_task(self._try_to_keep(PUBLISHED, _encode((revision, document))))
+        self.start_task(self._try_to_keep(PUBLISHED_KEY, _encode((revision, document))))
 
     def keep_registry(self, now: float, records: Callable[[], tuple[Backend, ...]], count: int) -> None:
         """Keep the registry for the next start, now and then: after a loss of all power proxies need not wait a beat
--- a/cranebank/programs/metrics.py
+++ b/cranebank/programs/metrics.py
@@ -179,7 +179,7 @@
 def of_control(controller: ControllerState) -> list[Metric]:
     """A controller's figures."""
     told, prefix = controller.overview(), "cranebank_control_"
-    phases = Counter(record.phase for record in controller.registry.everything())
+    phases = Counter(record.phase for record in controller.registry.all_records())
     proxies = told["proxies"]
 
     def gauge(name: str, text: str, value: int) -> Metric:
@@ -214,7 +214,7 @@
             label="phase",
             values={phase: phases[phase] for phase in PHASES},
         ),
-        _ready_by_stage(prefix, controller.registry.everything()),
+        _ready_by_stage(prefix, controller.registry.all_records()),
         Metric(
             f"{prefix}wrong_losses_total",
             "counter",
--- a/cranebank/programs/registry_service.py
+++ b/cranebank/programs/registry_service.py
@@ -20,9 +20,9 @@
 from cranebank.control.consensus import ConsensusCore
 from cranebank.control.delivery import Delivery, PendingAcks
 from cranebank.control.epochs import ip_of
-from cranebank.control.registry import ENDING, Registry
+from cranebank.control.registry import ENDING_PHASES, Registry
 from cranebank.control.replication import RegistryReplication
-from cranebank.control.warm_up import Bound, PermitIssuer
+from cranebank.control.warm_up import PermitIssuer, RateBound
 from cranebank.membership.warm_up import read_limits
 from cranebank.programs.controller_links import ControllerLinks, send_deliveries
 from cranebank.programs.local_state import LocalState
@@ -63,7 +63,7 @@
         self._seed_ips = settings.seed_ips
         bounds = settings.bounds
         self._permits = PermitIssuer(
-            began, random, settings.ip, settings.tolerance.machines, Bound(bounds.cold_over, bounds.cold_slack)
+            began, random, settings.ip, settings.tolerance.machines, RateBound(bounds.cold_over, bounds.cold_slack)
         )
         self._limits_revision = 0  # of the configuration whose limits are known
         self._endings: dict[str, PendingAcks] = {}
@@ -93,7 +93,7 @@
             )
         self._published_at, self._local_state.registry_changed = now, True
         acks = self._delivery.push_backends(news)
-        endings = [record.id for record in news if record.phase in ENDING]
+        endings = [record.id for record in news if record.phase in ENDING_PHASES]
         if not acks.done:
             self._endings.update(dict.fromkeys(endings, acks))
         self._hand_out_permits(now)
@@ -146,17 +146,17 @@
         else:
             self._relay.send(ip, sync)
 
-    def greet(self, records: Iterable[Backend]) -> tuple[Backend, ...]:
+    def merge_proxy_records(self, records: Iterable[Backend]) -> tuple[Backend, ...]:
         """What a proxy that has just come knows; returns what it is to be told: all records, and which of its own
         nobody vouches for."""
         now = self._now()
-        stray = self.registry.greet(now, records, all(self._hears(now, ip) for ip in self._member_ips()))
+        stray = self.registry.merge_proxy_records(now, records, all(self._hears(now, ip) for ip in self._member_ips()))
         self.publish()
-        return (*self.registry.as_of(now, self.registry.everything()), *stray)
+        return (*self.registry.as_of(now, self.registry.all_records()), *stray)
 
     def whole(self) -> RegistrySync:
         """All records: what a connection to a controller begins with."""
-        records = self.registry.as_of(self._now(), self.registry.everything())
+        records = self.registry.as_of(self._now(), self.registry.all_records())
         return RegistrySync(records, (), self._replication.number)
 
     def zone_returned(self, zone: str) -> None:
--- a/cranebank/programs/stage_duty.py
+++ b/cranebank/programs/stage_duty.py
@@ -16,7 +16,7 @@
 from cranebank.background import BackgroundTasks
 from cranebank.control.consensus import ConsensusCore
 from cranebank.control.epochs import OrderIntent
-from cranebank.control.registry import LARGEST_COUNT, Registry
+from cranebank.control.registry import MAX_COUNT, Registry
 from cranebank.control.stage_balancer import BalancerSettings, StageBalancer
 from cranebank.control.stage_events import (
     Action,
@@ -26,8 +26,8 @@
     Connect,
     Connected,
     Event,
-    Look,
     NotConnected,
+    Observation,
     Order,
     Reported,
     Service,
@@ -98,7 +98,7 @@
 class _Report(msgspec.Struct):
     stage: str
     busy: bool = False
-    call_seq: Annotated[int, msgspec.Meta(ge=0, le=LARGEST_COUNT)] = 0
+    call_seq: Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)] = 0
 
 
 class StageDuty:
@@ -148,7 +148,7 @@
         is_current = registry.is_current(now)
         loads = self._loads(now) if authority.holds_lease else {}
         records = self._outside_evacuated_zones(registry.records)
-        self._feed(Look(authority, self._services, records, registry.heard_at, is_current, loads))
+        self._feed(Observation(authority, self._services, records, registry.heard_at, is_current, loads))
         if authority.holds_lease:
             self._keep_recorded(authority, self.balancer.intents(now))
 
--- a/cranebank/programs/timing.py
+++ b/cranebank/programs/timing.py
@@ -49,8 +49,8 @@
 
 def _control_requirements() -> Iterable[TimingRequirement]:
     from cranebank.control import (  # noqa: PLC0415
-        custody,
-        custody_types,
+        consensus_replica,
+        consensus_types,
         delivery,
         membership,
         operator_api,
@@ -58,20 +58,24 @@
     )
     from cranebank.programs import controller, local_state  # noqa: PLC0415
 
-    lease_s = custody_types.CustodySettings("", (), False, 0).lease_s
-    takeover_s = lease_s + custody.CANDIDACY_S
-    push_s = delivery.BACKUP_S + delivery.CONTROLLER_S
+    lease_s = consensus_types.ConsensusSettings("", (), False, 0).lease_s
+    takeover_s = lease_s + consensus_replica.CANDIDACY_TIMEOUT_S
+    push_s = delivery.BACKUP_PUSH_DELAY_S + delivery.CONTROLLER_PUSH_DELAY_S
     shutdown_s = controller.SUCCESSOR_S + controller.FINISH_S + local_state.LAST_S + controller.END_MARGIN_S
     yield TimingRequirement("a primary's lease", lease_s, "lease_ms")
     yield TimingRequirement("a takeover after a lost primary", takeover_s, "contact_ms")
-    yield TimingRequirement("a write to the custody", custody.WRITE_S, "ack_ms")
-    yield TimingRequirement("the answer to a change", operator_api.WRITE_S, "ack_ms")
-    yield TimingRequirement("the wait for proxies after a change", operator_api.REVISION_ACK_S, "apply_ms")
-    yield TimingRequirement("the wait for proxies after a drain", operator_api.ENDING_S, "drain_ms")
+    yield TimingRequirement("a write to the custody", consensus_replica.WRITE_TIMEOUT_S, "ack_ms")
+    yield TimingRequirement("the answer to a change", operator_api.WRITE_TIMEOUT_S, "ack_ms")
+    yield TimingRequirement("the wait for proxies after a change", operator_api.REVISION_ACK_TIMEOUT_S, "apply_ms")
+    yield TimingRequirement("the wait for proxies after a drain", operator_api.ENDING_TIMEOUT_S, "drain_ms")
     yield TimingRequirement("a configuration's way past a slow primary", push_s, "apply_ms")
     yield TimingRequirement("a restarted replica's wait before it votes", lease_s, "catch_up_s")
-    yield TimingRequirement("the replacement of a silent member", membership.SPARE_S + custody.JOIN_S, "catch_up_s")
-    yield TimingRequirement("a controller's wait for news of backends", registry.REJOIN_S, "catch_up_s")
+    yield TimingRequirement(
+        "the replacement of a silent member",
+        membership.STANDBY_REPLACEMENT_S + consensus_replica.JOIN_INTERVAL_S,
+        "catch_up_s",
+    )
+    yield TimingRequirement("a controller's wait for news of backends", registry.REJOIN_GRACE_S, "catch_up_s")
     yield TimingRequirement("a controller's shutdown", shutdown_s, "grace_s")
 
 
--- a/cranebank/transport/messages.py
+++ b/cranebank/transport/messages.py
@@ -139,7 +139,7 @@
     valid_until: float
 
 
-class Custodial(msgspec.Struct, frozen=True, tag=8, array_like=True):
+class ConsensusEnvelope(msgspec.Struct, frozen=True, tag=8, array_like=True):
     """A message of the custody's core, as msgpack."""
 
     body: bytes
@@ -287,7 +287,7 @@
     | ConfigPush
     | ConfigAck
     | Pulse
-    | Custodial
+    | ConsensusEnvelope
     | RegistrySync
     | RegistryAck
     | RelayTo
--- a/examples/three_controllers.py
+++ b/examples/three_controllers.py
@@ -4,11 +4,11 @@
 from random import Random
 
 from cranebank.control import events
-from cranebank.control.custody import Custody, CustodySettings
+from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings
 
 IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 clock = [0.0]  # seconds; only ``run`` moves it
-nodes = {ip: Custody(CustodySettings(ip, IPS, True, 1), {}, Random(ip), clock[0]) for ip in IPS}
+nodes = {ip: ConsensusReplica(ConsensusSettings(ip, IPS, True, 1), {}, Random(ip), clock[0]) for ip in IPS}
 waiting: deque[tuple[str, events.Event]] = deque()
 answers: list[events.Result] = []
 
@@ -37,7 +37,7 @@
 
 
 run(3.0)
-primary = next(ip for ip in IPS if nodes[ip].holds(clock[0]))
+primary = next(ip for ip in IPS if nodes[ip].holds_lease(clock[0]))
 do(primary, events.Write(1, 0, 5, b"a configuration", b"digest"))
 run(0.5)
 print("answered:", [type(answer).__name__ for answer in answers], "status:", nodes[primary].status(clock[0]).copies)
--- a/tests/controlsim/world.py
+++ b/tests/controlsim/world.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from cranebank.control.custody import PUBLISHED, Custody, CustodySettings
+from cranebank.control.consensus_replica import PUBLISHED_KEY, ConsensusReplica, ConsensusSettings
 from cranebank.membership.backends import newer
 from cranebank.membership.fleet import FleetLinks
 from cranebank.programs.control import Controller, is_counted_in_machines, losses
@@ -52,7 +52,7 @@
         self.loop: ProcessLoop | None = None
         self.storage: ProcessDisk | None = None
         self.controller: Controller | None = None
-        self.custody: Custody | None = None
+        self.replica: ConsensusReplica | None = None
         self.lives = 0
         self.is_removed = False
         self.back_at = 0.0  # when its trouble ended
@@ -380,7 +380,7 @@
         machine.storage = ProcessDisk(machine.disk, machine.loop)
 
         def consensus(now: float, random: Random) -> Any:
-            custody = CustodySettings(
+            replica = ConsensusSettings(
                 machine.ip,
                 settings.seed_ips,
                 is_first_start,
@@ -388,8 +388,8 @@
                 is_counted_in_machines=is_counted_in_machines(settings),
                 zones={settings.ip: settings.failure_domain(settings.zone)},
             )
-            machine.custody = Custody(custody, stored, random, now)
-            return machine.custody
+            machine.replica = ConsensusReplica(replica, stored, random, now)
+            return machine.replica
 
         machine.controller = Controller(
             settings,
@@ -397,7 +397,7 @@
             machine.storage,
             Random(f"{self.seed} {machine.ip} {machine.lives}"),
             lambda: msgspec.structs.replace(settings, seed_addrs=self._seed_addrs(False)),
-            msgspec.msgpack.decode(stored[PUBLISHED], type=tuple[int, bytes]) if PUBLISHED in stored else None,
+            msgspec.msgpack.decode(stored[PUBLISHED_KEY], type=tuple[int, bytes]) if PUBLISHED_KEY in stored else None,
             recalled_records(stored),
         )
         machine.loop.create_task(machine.controller.start())
@@ -412,7 +412,7 @@
     def primary(self) -> Machine | None:
         """Who holds the lease."""
         for machine in self.machines.values():
-            if machine.controller is not None and not machine.is_frozen and machine.controller.holds():
+            if machine.controller is not None and not machine.is_frozen and machine.controller.holds_lease():
                 return machine
         return None
 
@@ -422,7 +422,7 @@
             self.end(machine.loop, has_power)
             if machine.storage is not None:
                 machine.storage.lose_unsynced()
-            machine.loop = machine.controller = machine.storage = machine.custody = None
+            machine.loop = machine.controller = machine.storage = machine.replica = None
         if not has_power:
             self.network.without_power.add(machine.ip)
         if wipes:
@@ -598,7 +598,9 @@
         self.liveness.look()
         self._in_step.look()
         self.evacuation_rules.look()
-        holders = [one.ip for one in self.machines.values() if one.controller is not None and one.controller.holds()]
+        holders = [
+            one.ip for one in self.machines.values() if one.controller is not None and one.controller.holds_lease()
+        ]
         if len(holders) > 1:
             self.judge.breach("lease", f"{holders} all hold it")
         primary = self.primary()
@@ -636,11 +638,11 @@
     def _look_at_majority(self) -> None:
         """Whether the group would keep a majority under every further loss that may come now."""
         primary, now = self.primary(), self.scheduler.now
-        record = primary.custody.record if primary is not None and primary.custody is not None else None
+        record = primary.replica.record if primary is not None and primary.replica is not None else None
         if record is None:
             return
         alive = {
-            one.custody.id for one in self.machines.values() if one.custody is not None and one.ip not in self._lost
+            one.replica.id for one in self.machines.values() if one.replica is not None and one.ip not in self._lost
         }
         further = self.tolerance - len(self.in_trouble())
         if further < 0 or any(machine.bridges for machine in self.present()):  # more is lost than must be borne
--- a/tests/mutants_evacuation.py
+++ b/tests/mutants_evacuation.py
@@ -48,7 +48,7 @@
     Mutant(
         Point.EVACUATION,
         "a cut-off primary answers by the record that it knows",
-        "control/custody.py",
+        "control/consensus_replica.py",
         "            self._answer_evacuations(leadership, record)\n        self._send_stores",
         "        self._answer_evacuations(leadership, record)\n        self._send_stores",
         "test_evacuation_record.py",
--- a/tests/mutants_liveness.py
+++ b/tests/mutants_liveness.py
@@ -271,7 +271,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a prompt that was read is given up when its only decode_backend has just failed another",
+        "a prompt that was read is given up when its only decode backend has just failed another",
         "dataplane/dispatch.py",
         "return decode_backend if may_begin else None",
         "return None",
--- a/tests/mutants_stages.py
+++ b/tests/mutants_stages.py
@@ -160,7 +160,7 @@
     Mutant(
         Point.LIVENESS,
         "an order counts as recorded while the record that drops it may be chosen",
-        "control/custody.py",
+        "control/consensus_replica.py",
         "for intent in staying if intent in coming)",
         "for intent in staying)",
         "test_order_intents.py",
--- a/tests/mutants_storage.py
+++ b/tests/mutants_storage.py
@@ -11,7 +11,7 @@
         "storage/store.py",
         "os.fdatasync(self._descriptor(name))",
         "pass",
-        "test_storage.py test_custody_simulated.py",
+        "test_storage.py test_consensus_simulated.py",
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
@@ -83,7 +83,7 @@
         "control/voter.py",
         "if value.age < self._value.age:\n            return\n        if value.age > self._value.age:",
         "if value.age != self._value.age:",
-        "test_custody.py::test_a_late_store_of_an_earlier_revision_changes_nothing",
+        "test_consensus_replica.py::test_a_late_store_of_an_earlier_revision_changes_nothing",
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
@@ -91,6 +91,6 @@
         "control/voter.py",
         "if record is None or message.record.term < record.term:",
         "if record is None:",
-        "test_custody.py::test_a_late_store_of_an_earlier_term_of_the_same_primary_is_refused",
+        "test_consensus_replica.py::test_a_late_store_of_an_earlier_term_of_the_same_primary_is_refused",
     ),
 )
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from cranebank.control import events as ev
-from cranebank.control.custody import Custody, CustodySettings, InvariantBroken
+from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings, InvariantBroken
 from cranebank.control.epochs import ip_of
 
 FAULTS_S = 14.0
@@ -85,7 +85,7 @@
     def claims_contact(self, now: float, life: Life) -> None:
         """A replica that counts as in contact knows all that was acknowledged up to a lease's length ago."""
         acknowledged = next((revision for at, revision in reversed(self.history) if at <= now - CONTACT_S), 0)
-        if life.custody.is_current(life.machine.clock(now), acknowledged - 1):
+        if life.replica.is_current(life.machine.clock(now), acknowledged - 1):
             raise Violation(f"{life.machine.ip} takes what is older than {acknowledged} for current")
 
     def repeated(self, attempt: Attempt, result: ev.Result, is_other_term: bool) -> None:
@@ -103,7 +103,7 @@
         if len(holders) > 1:
             raise Violation(f"two hold the lease: {[life.machine.ip for life in holders]}")
         for life in holders:
-            fence = life.custody.fence()
+            fence = life.replica.fence()
             if fence < self.fence or (fence == self.fence and self.fence_owner is not life):
                 raise Violation(f"fence {fence} used after {self.fence}")
             self.fence, self.fence_owner = fence, life
@@ -118,9 +118,9 @@
 class Life:
     """One process; what belongs to an earlier one of the same machine reaches it no longer."""
 
-    def __init__(self, machine: Machine, custody: Custody) -> None:
+    def __init__(self, machine: Machine, replica: ConsensusReplica) -> None:
         self.machine = machine
-        self.custody = custody
+        self.replica = replica
         self.disk_free_at = 0.0
         self.unsynced: deque[tuple[int, dict[str, bytes]]] = deque()
         self.held_up: list[ev.Event] = []
@@ -168,7 +168,7 @@
 class World:
     """All of it. `kind` is the custody under test, or a subclass with a planted fault."""
 
-    def __init__(self, seed: int, kind: type[Custody] = Custody) -> None:
+    def __init__(self, seed: int, kind: type[ConsensusReplica] = ConsensusReplica) -> None:
         self.seed = seed
         self.random = Random(seed)
         self.kind = kind
@@ -222,10 +222,10 @@
         if machine.life is not None or machine.is_removed:
             return
         is_first = self.now < 0.4 and machine.ip in self.seeds
-        settings = CustodySettings(machine.ip, self.seeds, is_first, self.tolerance)
-        custody = self.kind(settings, dict(machine.disk), self.random, machine.clock(self.now))
-        machine.life = Life(machine, custody)
-        self.note(f"{machine.ip} starts as {custody.id}")
+        settings = ConsensusSettings(machine.ip, self.seeds, is_first, self.tolerance)
+        replica = self.kind(settings, dict(machine.disk), self.random, machine.clock(self.now))
+        machine.life = Life(machine, replica)
+        self.note(f"{machine.ip} starts as {replica.id}")
         self._tick(machine.life)
 
     def _tick(self, life: Life) -> None:
@@ -241,7 +241,7 @@
             if not isinstance(event, ev.Tick) or not any(isinstance(one, ev.Tick) for one in life.held_up):
                 life.held_up.append(event)
             return
-        for action in life.custody.handle(machine.clock(self.now), event):
+        for action in life.replica.handle(machine.clock(self.now), event):
             self._do(life, action)
         self._look()
 
@@ -257,13 +257,13 @@
             life = machine.life
             if life is None:
                 continue
-            if life.custody.holds(machine.clock(self.now)):
+            if life.replica.holds_lease(machine.clock(self.now)):
                 holders.append(life)
-            if life.custody.in_contact(machine.clock(self.now)):
+            if life.replica.in_contact(machine.clock(self.now)):
                 self.judge.claims_contact(self.now, life)
         self.judge.acts(holders)
         for life in holders:
-            current = life.custody.current
+            current = life.replica.current
             if current is not None and self.now >= life.machine.frozen_until:
                 self.judge.read(current[0], current[2])
 
@@ -279,7 +279,7 @@
         elif isinstance(action, ev.Answer):
             self._answer(life, action)
         else:
-            self.note(f"{life.machine.ip} {action} {life.custody.record}")
+            self.note(f"{life.machine.ip} {action} {life.replica.record}")
 
     # Network.
 
@@ -326,7 +326,7 @@
             return
         token, values = life.unsynced.popleft()
         if self.now < machine.refuses_until:
-            self.tell(life, ev.DiskTrouble(token))
+            self.tell(life, ev.PersistFailed(token))
         else:
             machine.disk.update(values)
             self.tell(life, ev.Persisted(token))
@@ -397,7 +397,7 @@
             if not isinstance(action.message, ev.Promise | ev.Accept | ev.AcceptOk | ev.Chosen | ev.Store | ev.Stored):
                 return
             struck = self.random.choice([struck, self.machines.get(action.ip, struck)])
-        elif not isinstance(action, ev.Became) and not (
+        elif not isinstance(action, ev.LeadershipGained) and not (
             isinstance(action, ev.Answer) and isinstance(action.result, ev.Accepted)
         ):
             return
@@ -488,10 +488,10 @@
     def _restarts_beside_a_cut(self, machine: Machine) -> bool:
         """The primary and a copy are cut off from each other while others restart in a moment."""
         primary = self.primary()
-        record = primary.custody.record if primary is not None else None
+        record = primary.replica.record if primary is not None else None
         if primary is None or record is None or len(record.copies) < 2:
             return False
-        other = self.machines[ip_of(next(one for one in record.copies if one != primary.custody.id))]
+        other = self.machines[ip_of(next(one for one in record.copies if one != primary.replica.id))]
         until = self.now + self.random.uniform(2.0, 4.0)
         primary.machine.cut_pairs[other.ip] = other.cut_pairs[primary.machine.ip] = until
         self.trouble(other, until)
@@ -569,7 +569,7 @@
         """End as the program does: when the replica may end, or when its grace is over."""
         if life is None or life.machine.life is not life:
             then()
-        elif self.now >= until or life.custody.may_end(life.machine.clock(self.now)):
+        elif self.now >= until or life.replica.may_shut_down(life.machine.clock(self.now)):
             self.at(self.random.uniform(0.01, 0.3), then)
         else:
             self.at(0.02, partial(self._when_handed_over, life, until, then))
@@ -616,7 +616,11 @@
     def primary(self) -> Life | None:
         for machine in self.machines.values():
             life = machine.life
-            if life is not None and self.now >= machine.frozen_until and life.custody.holds(machine.clock(self.now)):
+            if (
+                life is not None
+                and self.now >= machine.frozen_until
+                and life.replica.holds_lease(machine.clock(self.now))
+            ):
                 return life
         return None
 
@@ -650,10 +654,10 @@
     def _answer(self, life: Life, action: ev.Answer) -> None:
         result = action.result
         self.note(f"{life.machine.ip} answers {action.request}: {result}")
-        if isinstance(result, ev.Accepted | ev.Conflict) and not life.custody.holds(life.machine.clock(self.now)):
+        if isinstance(result, ev.Accepted | ev.Conflict) and not life.replica.holds_lease(life.machine.clock(self.now)):
             return
         operator, attempt = self._requests[action.request]
-        term = life.custody.record.term if life.custody.record is not None else -1
+        term = life.replica.record.term if life.replica.record is not None else -1
         if operator is None:
             self.judge.repeated(attempt, result, term != attempt.term)
             return
@@ -688,22 +692,22 @@
         acks = self.judge.acks
         self.run_until(self.now + RECOVER_S)
         life = self.primary()
-        if life is None or life.custody.current is None:
+        if life is None or life.replica.current is None:
             raise Violation(f"no recovery: {[self._describe(one) for one in self.machines.values()]}")
         if self.judge.acks == acks:
             raise Violation("no write was acknowledged after the faults")
-        record = life.custody.record
+        record = life.replica.record
         assert record is not None
         if len(record.copies) < min(len(record.members), self.tolerance + 1):
             raise Violation(f"too few copies: {record}")
-        present = {one.life.custody.id for one in self.machines.values() if one.life is not None}
+        present = {one.life.replica.id for one in self.machines.values() if one.life is not None}
         wanted = max(3, 2 * self.tolerance + 1)
         if len(set(record.members) & present) < min(wanted, len(present)) or len(record.members) != wanted:
             raise Violation(f"{wanted} members wanted: {record} of {present}")
 
     def _describe(self, machine: Machine) -> str:
         life = machine.life
-        return f"{machine.ip}: {'down' if life is None else life.custody.status(machine.clock(self.now))}"
+        return f"{machine.ip}: {'down' if life is None else life.replica.status(machine.clock(self.now))}"
 
 
 class Operator:
@@ -719,7 +723,7 @@
         world = self.world
         if self.attempt is None:
             life = world.primary()
-            current = life.custody.current if life is not None else None
+            current = life.replica.current if life is not None else None
             if current is None:
                 world.at(0.1, self.step)
                 return
@@ -764,7 +768,7 @@
         self._again()
 
 
-def play(seed: int, kind: type[Custody] = Custody) -> str:
+def play(seed: int, kind: type[ConsensusReplica] = ConsensusReplica) -> str:
     """Play one schedule; return "" or what was broken."""
     world = World(seed, kind)
     try:
@@ -776,7 +780,7 @@
 
 def main() -> int:
     """Play many schedules; print those that broke a rule."""
-    parser = argparse.ArgumentParser(description="Play the custody against random faults.")
+    parser = argparse.ArgumentParser(description="Play the consensus replicas against random faults.")
     parser.add_argument("--schedules", type=int, default=300)
     parser.add_argument("--first", type=int, default=0, help="seed of the first schedule")
     parser.add_argument("--processes", type=int, default=4)
--- a/tests/lone_consensus.py
+++ b/tests/single_node_consensus.py
@@ -8,7 +8,7 @@
 from cranebank.control import events
 
 
-class LoneConsensus:
+class SingleNodeConsensus:
     """Takes each write at once, after it is on disk; ``leader_ip`` set to another address makes it a follower."""
 
     def __init__(self, ip: str, stored: Mapping[str, bytes], leader_ip: str | None = None) -> None:
@@ -27,7 +27,7 @@
             self.current = int(stored["revision"]), stored["document"], stored["digest"]
             self.calls[stored["digest"]] = int(stored["revision"])
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Whether it leads."""
         return self.leader_ip == self.ip
 
@@ -47,9 +47,9 @@
         """As the test sets it."""
         return revision < self.forgotten_below
 
-    def may_end(self, now: float) -> bool:
+    def may_shut_down(self, now: float) -> bool:
         """Once it leads no longer."""
-        return not self.holds(now)
+        return not self.holds_lease(now)
 
     def known_ips(self) -> set[str]:
         """Itself and the leader."""
@@ -57,7 +57,7 @@
 
     def status(self, now: float) -> events.Status:
         """How things stand."""
-        leads = self.holds(now)
+        leads = self.holds_lease(now)
         revision = self.current[0] if self.current else 0
         return events.Status(
             self.ip,
@@ -76,9 +76,9 @@
     def handle(self, now: float, event: events.Event) -> list[events.Action]:
         """What to do."""
         match event:
-            case events.Tick() if self.holds(now) and not self._said:
+            case events.Tick() if self.holds_lease(now) and not self._said:
                 self._said = True
-                return [events.Became(1)]
+                return [events.LeadershipGained(1)]
             case events.Write():
                 return self._write(event)
             case events.Evacuate(request, zone, is_start):
@@ -90,7 +90,7 @@
                 return self._persisted(token)
             case events.Retire():
                 self.leader_ip = "127.0.0.250"  # somebody else takes over at once
-                return [events.Ceased()]
+                return [events.LeadershipLost()]
         return []
 
     def _write(self, write: events.Write) -> list[events.Action]:
--- a/tests/test_call_table.py
+++ b/tests/test_call_table.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from test_custody import Group, ready
+from test_consensus_replica import Group, ready
 
 from cranebank.control import call_table
 from cranebank.control import events as ev
--- a/tests/test_cold_backends_wire.py
+++ b/tests/test_cold_backends_wire.py
@@ -9,7 +9,7 @@
 import pytest
 from test_configuration import body, document, route
 from test_control_program import ONE, PROXY, REPLACE, Caller, caller, free_port, settings_of
-from test_flat_over_changes import DataPlane, lone_custody
+from test_flat_over_changes import DataPlane, single_replica
 from test_registry import beat
 
 from cranebank.dataplane.proxy import Proxy, RetryRule
@@ -36,14 +36,14 @@
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
     settings = settings_of(ONE, ports)
-    controller = Controller(settings, lone_custody, Disk(store), Random(1), lambda: settings)
+    controller = Controller(settings, single_replica, Disk(store), Random(1), lambda: settings)
     await controller.start()
     proxy = Proxy(RetryRule(0.1, 10, 1.0, True), Random(2), controller.now())
     links = FleetLinks(DataPlane(proxy), lambda: Hello("edge-1", "proxy", PROXY, "z", 1, 0, ()), PROXY, ports[0])
     links.name((ONE,))
     allowed: list[int] = []
     try:
-        while not (controller.holds() and links.up):
+        while not (controller.holds_lease() and links.up):
             await asyncio.sleep(0.01)
         async with caller(ports) as client:
             configuration = body(document(revision=1, routes=[route(target="s")], services=[SERVICE]))
--- a/tests/test_consensus_driver.py
+++ b/tests/test_consensus_driver.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 import pytest
-from test_custody import SEEDS
+from test_consensus_replica import SEEDS
 
 from cranebank.control import events as ev
 from cranebank.control.consensus import ConsensusCore
@@ -26,7 +26,7 @@
         self.fed.append(event)
         return [] if len(self.fed) > 1 else [ev.Send(SEEDS[1], ev.Leaving(SEEDS[0])), ev.Persist(7, {"a": b"1"})]
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         return True
 
     def in_contact(self, now: float) -> bool:
@@ -97,7 +97,7 @@
         assert driver.broken.is_set()
         driver.feed(ev.Tick())
         assert len(core.fed) == 1
-        assert not driver.holds()
+        assert not driver.holds_lease()
         assert not driver.in_contact(0.0)
 
     asyncio.run(run())
--- a/tests/test_custody.py
+++ b/tests/test_consensus_replica.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cranebank.control import events as ev
-from cranebank.control.custody import Custody, CustodySettings, InvariantBroken, State, Value
+from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings, InvariantBroken, State, Value
 from cranebank.control.epochs import EpochRecord, HeldLease, VoterLease, choose_by_zone
 from cranebank.control.membership import View, group_size, next_members
 
@@ -23,7 +23,7 @@
         self.tolerance = tolerance
         self.now = 0.0
         self.steps = 0
-        self.nodes: dict[str, Custody] = {}
+        self.nodes: dict[str, ConsensusReplica] = {}
         self.disks: dict[str, dict[str, bytes]] = {}
         self.later: list[tuple[float, str, ev.Event]] = []
         self.answers: dict[int, ev.Result] = {}
@@ -36,8 +36,8 @@
 
     def start(self, ip: str, is_first_start: bool = False) -> None:
         disk = self.disks.setdefault(ip, {})
-        settings = CustodySettings(ip, SEEDS, is_first_start, self.tolerance)
-        self.nodes[ip] = Custody(settings, dict(disk), self.random, self.now)
+        settings = ConsensusSettings(ip, SEEDS, is_first_start, self.tolerance)
+        self.nodes[ip] = ConsensusReplica(settings, dict(disk), self.random, self.now)
 
     def stop(self, ip: str, wipe: bool = False) -> None:
         del self.nodes[ip]
@@ -79,7 +79,7 @@
 
     @property
     def primary(self) -> str:
-        holding = [ip for ip, node in self.nodes.items() if node.holds(self.now)]
+        holding = [ip for ip, node in self.nodes.items() if node.holds_lease(self.now)]
         assert len(holding) <= 1
         return holding[0] if holding else ""
 
@@ -304,13 +304,13 @@
     primary = group.nodes[group.primary]
     primary._group_size = group_size(99, is_counted_in_machines=False)
     for ip, zone in zones.items():
-        group.tell(group.primary, ev.Located(ip, zone))
+        group.tell(group.primary, ev.ZoneReported(ip, zone))
     for ip in newcomers:
         group.start(ip)
     group.run(1.0)
     assert members(group) == SEEDS, "three of five would be in one zone"
     for number in range(1000):
-        group.tell(group.primary, ev.Located(f"10.9.{number}.1", "d"))
+        group.tell(group.primary, ev.ZoneReported(f"10.9.{number}.1", "d"))
     assert zones.items() <= primary._zones.items() and len(primary._zones) < 100
 
 
@@ -404,7 +404,7 @@
     assert group.primary not in ("", old)
     group.stuck.clear()
     for token in list(group.nodes[old]._waiting):
-        group.tell(old, ev.DiskTrouble(token))
+        group.tell(old, ev.PersistFailed(token))
     group.run(1.0)
     assert not group.nodes[old]._waiting and group.primary not in ("", old)
 
@@ -439,7 +439,7 @@
     assert copy.status(group.now).revision == 3
 
 
-def copy_of(group: Group) -> Custody:
+def copy_of(group: Group) -> ConsensusReplica:
     """The replica of another copy than the primary."""
     record = group.nodes[group.primary].record
     assert record is not None
@@ -530,15 +530,15 @@
 
 def test_a_vote_is_stored_with_the_id_that_gave_it() -> None:
     """The disk refuses the first persist, takes the second; the process ends: the id is there with the vote."""
-    settings = CustodySettings(SEEDS[0], SEEDS, True, 1)
-    node = Custody(settings, {}, Random(1), 0.0)
+    settings = ConsensusSettings(SEEDS[0], SEEDS, True, 1)
+    node = ConsensusReplica(settings, {}, Random(1), 0.0)
     first = [one for one in node.handle(0.0, ev.Tick()) if isinstance(one, ev.Persist)]
-    node.handle(0.01, ev.DiskTrouble(first[0].token))
+    node.handle(0.01, ev.PersistFailed(first[0].token))
     record = node.record
     assert record is not None
     actions = node.handle(0.02, ev.Received(SEEDS[1], ev.Prepare(SEEDS[1], record, (7, SEEDS[1]))))
     stored = next(one.values for one in actions if isinstance(one, ev.Persist))
-    again = Custody(settings, stored, Random(2), 5.0)
+    again = ConsensusReplica(settings, stored, Random(2), 5.0)
     assert again.state is State.WAITING and again.id == SEEDS[0]
     actions = again.handle(9.0, ev.Received(SEEDS[2], ev.Prepare(SEEDS[2], record, (6, SEEDS[2]))))
     assert any(isinstance(one, ev.Send) and isinstance(one.message, ev.Refused) for one in actions)
@@ -581,7 +581,7 @@
     newer = EpochRecord(record.epoch + 1, record.term, record.primary, record.copies, record.members)
     again = ev.Store(group.primary, newer, 3, b"digest", b"document")
     second = persisted(node.handle(group.now, ev.Received(group.primary, again)))
-    assert stored(node.handle(group.now, ev.DiskTrouble(first))) == 0
+    assert stored(node.handle(group.now, ev.PersistFailed(first))) == 0
     assert stored(node.handle(group.now, ev.Persisted(second))) == 0
     third = persisted(node.handle(group.now + 0.3, ev.Tick()))
     assert stored(node.handle(group.now + 0.31, ev.Persisted(third))) == 2
--- a/tests/test_custody_simulated.py
+++ b/tests/test_consensus_simulated.py
@@ -8,7 +8,7 @@
 
 from cranebank.control import events as ev
 from cranebank.control.call_table import EMPTY_TABLE
-from cranebank.control.custody import Custody, InvariantBroken, Value
+from cranebank.control.consensus_replica import ConsensusReplica, InvariantBroken, Value
 from cranebank.control.epochs import NO_BALLOT, DurableState, EpochRecord, HeldLease, initial_record
 
 SCHEDULES = 300
@@ -62,17 +62,17 @@
     }
 
 
-class AnswersBeforeTheBackup(Custody):
+class AnswersBeforeTheBackup(ConsensusReplica):
     def _is_committable(self, leadership: object, record: EpochRecord) -> bool:
         return self._value_durable
 
 
-class VotesAfterAWipe(Custody):
+class VotesAfterAWipe(ConsensusReplica):
     def _first_state(self) -> tuple[str, DurableState]:
         return self._settings.ip, DurableState(initial_record(self._settings.seeds), NO_BALLOT, None)
 
 
-class ShrinksWithoutAMajority(Custody):
+class ShrinksWithoutAMajority(ConsensusReplica):
     def _tick_primary(self) -> None:
         record = self._acceptor.chosen
         assert record is not None
@@ -85,7 +85,7 @@
         super()._tick_primary()
 
 
-class LeaseFromTheReceipt(Custody):
+class LeaseFromTheReceipt(ConsensusReplica):
     class _Lease(HeldLease):
         @staticmethod
         def _start(asked: float, received: float) -> float:
@@ -95,12 +95,12 @@
         return self._Lease(self._settings.lease_s, 0.0)
 
 
-class RepliesBeforeItIsDurable(Custody):
+class RepliesBeforeItIsDurable(ConsensusReplica):
     def _reply_durably(self, replica: str, message: ev.AnyMessage) -> None:
         self._send(replica, message)
 
 
-class WitnessTakesOver(Custody):
+class WitnessTakesOver(ConsensusReplica):
     def _holds_data(self, record: EpochRecord) -> bool:
         return True
 
@@ -110,7 +110,7 @@
         super()._propose(own)
 
 
-class TakesValuesOfThePast(Custody):
+class TakesValuesOfThePast(ConsensusReplica):
     def _on_store(self, message: ev.Store) -> None:
         if self._is_member and self._leadership is None:
             self._value = type(self._value)(
@@ -126,45 +126,45 @@
             )
 
 
-class AcceptsALostRace(Custody):
+class AcceptsALostRace(ConsensusReplica):
     def _result_without_change(self, write: ev.Write, current: object) -> ev.Result | None:
         result = super()._result_without_change(write, self._value)
         return ev.Accepted() if isinstance(result, ev.Conflict) else result
 
 
-class ActsAgainAfterARestart(Custody):
+class ActsAgainAfterARestart(ConsensusReplica):
     def _learn(self, record: EpochRecord, is_own: bool = False) -> None:
         super()._learn(record, is_own or record.primary == self._id)
 
 
-class ReadsWithoutALease(Custody):
-    def holds(self, now: float) -> bool:
+class ReadsWithoutALease(ConsensusReplica):
+    def holds_lease(self, now: float) -> bool:
         return self._leadership is not None
 
 
-class RemembersTheNewestCallOnly(Custody):
+class RemembersTheNewestCallOnly(ConsensusReplica):
     def _result_without_change(self, write: ev.Write, current: Value) -> ev.Result | None:
         if write.digest != current.digest and write.revision <= current.revision:
             return ev.Conflict(current.revision)
         return super()._result_without_change(write, current)
 
 
-class ForgetsCallsAtATakeover(Custody):
+class ForgetsCallsAtATakeover(ConsensusReplica):
     def _on_store(self, message: ev.Store) -> None:
         super()._on_store(msgspec.structs.replace(message, calls=EMPTY_TABLE))
 
 
-class TakesHeldUpAsksForContact(Custody):
+class TakesHeldUpAsksForContact(ConsensusReplica):
     def _note_contact(self, message: ev.AskLease) -> None:
         super()._note_contact(msgspec.structs.replace(message, stamp=ev.Stamp(self._life, self._now)))
 
 
-class InContactBeforeItIsSettled(Custody):
+class InContactBeforeItIsSettled(ConsensusReplica):
     def in_contact(self, now: float) -> bool:
-        return self.holds(now) or super().in_contact(now)
+        return self.holds_lease(now) or super().in_contact(now)
 
 
-def found(kind: type[Custody], first: int, count: int) -> str:
+def found(kind: type[ConsensusReplica], first: int, count: int) -> str:
     """Return what the first schedule that finds the plant says, "" when none does."""
     for seed in range(first, first + count):
         try:
@@ -193,5 +193,5 @@
         (InContactBeforeItIsSettled, 0),
     ],
 )
-def test_a_planted_fault_is_found(kind: type[Custody], seed: int) -> None:
+def test_a_planted_fault_is_found(kind: type[ConsensusReplica], seed: int) -> None:
     assert play(seed) == "" and found(kind, seed, 1) != ""
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -15,13 +15,13 @@
 import msgspec
 import pytest
 import uvloop
-from lone_consensus import LoneConsensus
+from single_node_consensus import SingleNodeConsensus
 from syrupy.assertion import SnapshotAssertion
 from test_configuration import body, document, route
 from test_registry import beat
 
 from cranebank.control import operator_api
-from cranebank.control.custody import Custody
+from cranebank.control.consensus_replica import ConsensusReplica
 from cranebank.control.membership import GroupSize, group_size
 from cranebank.control.registry import Registry
 from cranebank.programs import __main__ as program
@@ -99,7 +99,11 @@
     store, damage = open_store(folder, "custody")
     assert damage is None
     made = Controller(
-        settings, lambda now, random: LoneConsensus(ip, store.values, leader), Disk(store), Random(1), lambda: settings
+        settings,
+        lambda now, random: SingleNodeConsensus(ip, store.values, leader),
+        Disk(store),
+        Random(1),
+        lambda: settings,
     )
     await made.start()
     try:
@@ -282,7 +286,7 @@
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             assert (await client.call("POST", REPLACE, body(document(revision=7)), 0))[0] == 200
             consensus = made._consensus
-            assert isinstance(consensus, LoneConsensus)
+            assert isinstance(consensus, SingleNodeConsensus)
             settled, consensus.current = consensus.current, None
             for call in (REPLACE, AMEND):
                 status, headers, _ = await client.call("POST", call, body(document(revision=9)), 7)
@@ -427,7 +431,7 @@
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
-            assert isinstance(consensus, LoneConsensus)
+            assert isinstance(consensus, SingleNodeConsensus)
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat(1)))[0] == 200
             for members in ((ONE, TWO), (ONE, TWO, PROXY), (TWO,), ()):
                 consensus.members = members
@@ -451,7 +455,7 @@
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
-            assert isinstance(consensus, LoneConsensus)
+            assert isinstance(consensus, SingleNodeConsensus)
             consensus.members = (ONE, TWO, PROXY)
             async with peer_controller(ports, TWO) as peer, peer_controller(ports, "127.0.11.8") as stranger:
                 first = (await peer.next(RegistrySync)).number
@@ -498,7 +502,7 @@
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             assert (await client.call("POST", REPLACE, body(document(revision=7)), 0))[0] == 200
             consensus = made._consensus
-            assert isinstance(consensus, LoneConsensus) and consensus.is_in_contact
+            assert isinstance(consensus, SingleNodeConsensus) and consensus.is_in_contact
             consensus.current = 8, b"", b""
             async with proxy(ports) as edge:
                 seen = await edge.until_pulses(2)
@@ -517,7 +521,7 @@
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports, leader=TWO) as made, caller(ports) as client:
             consensus = made._consensus
-            assert isinstance(consensus, LoneConsensus)
+            assert isinstance(consensus, SingleNodeConsensus)
             assert (await client.call("GET", READ))[0] == 503
             async with peer_controller(ports, TWO):
                 while made._links.to(TWO) is None:
@@ -545,7 +549,7 @@
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
-            assert isinstance(consensus, LoneConsensus)
+            assert isinstance(consensus, SingleNodeConsensus)
             sent = {revision: body(document(revision=revision)) for revision in (2, 3, 4, 5)}
             for revision in (2, 3, 4, 5):
                 base = revision - 1 if revision > 2 else 0
@@ -571,7 +575,7 @@
         monkeypatch.setattr(operator_api, "SLOW_BYTES", 0)
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
-            assert isinstance(consensus, LoneConsensus)
+            assert isinstance(consensus, SingleNodeConsensus)
             for base in (0, 5):
                 assert (await client.call("POST", REPLACE, sent, base))[0] in {400, 412}
 
@@ -594,15 +598,15 @@
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
-            may_end = [False]
-            monkeypatch.setattr(made._consensus, "may_end", lambda _now: may_end[0])
+            may_shut_down = [False]
+            monkeypatch.setattr(made._consensus, "may_shut_down", lambda _now: may_shut_down[0])
             began = made.now()
             stopping = asyncio.create_task(made.stop())
             while made.now() - began < 2 * SUCCESSOR_S:
                 assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat(1)))[0] == 200
                 await asyncio.sleep(TICK_S)
             assert not stopping.done()
-            may_end[0] = True
+            may_shut_down[0] = True
             await stopping
             assert made.now() - began < made._handover_s()
         assert made._handover_s() + FINISH_S + LAST_S < settings_of(ONE, ports).bounds.grace_s
@@ -651,7 +655,7 @@
                 seen = await edge.until_pulses(3)
                 assert not any(isinstance(message, ConfigPush) for message in seen)
                 assert seen[-1] == Pulse(7, is_current=False, epoch=-1)  # no epoch is known
-                assert not made.holds()
+                assert not made.holds_lease()
         finally:
             await made.stop()
 
@@ -669,7 +673,7 @@
         settings = settings_of(ONE, ports)
         again = Controller(
             settings,
-            lambda now, random: LoneConsensus(ONE, store.values),
+            lambda now, random: SingleNodeConsensus(ONE, store.values),
             Disk(store),
             Random(1),
             lambda: settings,
@@ -779,7 +783,7 @@
     async def story(ports: tuple[int, int]) -> None:
         settings = msgspec.structs.replace(settings_of(ONE, ports), tolerance=tolerance)
         made = await make_controller(settings, lambda: settings)
-        assert isinstance(made._consensus, Custody)
+        assert isinstance(made._consensus, ConsensusReplica)
         assert made._consensus._group_size == size
 
     play(story)
@@ -879,7 +883,7 @@
     async def scenario() -> None:
         store, _ = open_store(tmp_path, "custody")
         settings = settings_of(ONE, (free_port(), free_port()))
-        consensus = LoneConsensus(ONE, store.values)
+        consensus = SingleNodeConsensus(ONE, store.values)
         controller = Controller(settings, lambda now, random: consensus, Disk(store), Random(1), lambda: settings)
         link = Link(controller._protocol, dialled=False)
         controller._tick()  # it becomes the primary
--- a/tests/test_control_settings.py
+++ b/tests/test_control_settings.py
@@ -10,7 +10,7 @@
 
 import msgspec
 import pytest
-from lone_consensus import LoneConsensus
+from single_node_consensus import SingleNodeConsensus
 from test_control_program import ONE, free_port, settings_of
 
 from cranebank.programs import controller as program
@@ -43,7 +43,9 @@
     settings = settings_of(ONE, ports, (ONE, OLD))
     file = SettingsFile(settings)
     store, _ = open_store(folder, "custody")
-    made = Controller(settings, lambda now, random: LoneConsensus(ONE, store.values), Disk(store), Random(1), file.load)
+    made = Controller(
+        settings, lambda now, random: SingleNodeConsensus(ONE, store.values), Disk(store), Random(1), file.load
+    )
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, made.reload)
     await made.start()
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -19,7 +19,7 @@
 
 from cranebank.control import call_table, events, primary, stage_balancer
 from cranebank.control.call_table import EMPTY_TABLE, CallTable
-from cranebank.control.custody import Custody, CustodySettings
+from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings
 from cranebank.control.delivery import Delivery
 from cranebank.control.epochs import EpochRecord
 from cranebank.control.evacuation_queue import EvacuationQueue
@@ -74,7 +74,7 @@
 
 
 def _no_lease(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Custody, "holds", lambda self, now: self._leadership is not None)
+    patch.setattr(ConsensusReplica, "holds_lease", lambda self, now: self._leadership is not None)
 
 
 def _no_push(patch: pytest.MonkeyPatch) -> None:
@@ -83,10 +83,10 @@
 
 
 def _forgets_wipes(patch: pytest.MonkeyPatch) -> None:
-    def settings(ip: str, seeds: tuple[str, ...], _: bool, tolerance: int, **more: Any) -> CustodySettings:
-        return CustodySettings(ip, seeds, True, tolerance, **more)
+    def settings(ip: str, seeds: tuple[str, ...], _: bool, tolerance: int, **more: Any) -> ConsensusSettings:
+        return ConsensusSettings(ip, seeds, True, tolerance, **more)
 
-    patch.setattr(world_module, "CustodySettings", settings)
+    patch.setattr(world_module, "ConsensusSettings", settings)
 
 
 def _unsynced(patch: pytest.MonkeyPatch) -> None:
@@ -100,15 +100,15 @@
 
 
 def _no_resends(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Custody, "known_call", lambda self, digest: None)
+    patch.setattr(ConsensusReplica, "known_call", lambda self, digest: None)
 
 
 def _table_dropped_at_takeover(patch: pytest.MonkeyPatch) -> None:
-    class Forgetful(Custody):
+    class Forgetful(ConsensusReplica):
         def _on_store(self, message: events.Store) -> None:
             super()._on_store(msgspec.structs.replace(message, calls=EMPTY_TABLE))
 
-    patch.setattr(world_module, "Custody", Forgetful)
+    patch.setattr(world_module, "ConsensusReplica", Forgetful)
 
 
 def _forgotten_calls_refused(patch: pytest.MonkeyPatch) -> None:
@@ -117,7 +117,7 @@
 
 
 def _published_without_contact(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Custody, "is_current", lambda self, now, revision: True)
+    patch.setattr(ConsensusReplica, "is_current", lambda self, now, revision: True)
 
 
 def _ending_without_majority(patch: pytest.MonkeyPatch) -> None:
@@ -125,11 +125,13 @@
 
 
 def _restarts_without_its_value(patch: pytest.MonkeyPatch) -> None:
-    class Outdated(Custody):
-        def __init__(self, settings: CustodySettings, stored: Mapping[str, bytes], random: Random, now: float) -> None:
+    class Outdated(ConsensusReplica):
+        def __init__(
+            self, settings: ConsensusSettings, stored: Mapping[str, bytes], random: Random, now: float
+        ) -> None:
             super().__init__(settings, {key: stored[key] for key in stored if key != "value"}, random, now)
 
-    patch.setattr(world_module, "Custody", Outdated)
+    patch.setattr(world_module, "ConsensusReplica", Outdated)
 
 
 def _wrong_caller(patch: pytest.MonkeyPatch) -> None:
@@ -152,7 +154,7 @@
 
 
 def _no_check_of_the_base(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Custody, "_result_without_change", lambda self, write, current: None)
+    patch.setattr(ConsensusReplica, "_result_without_change", lambda self, write, current: None)
 
 
 def _grows_to_even_groups(patch: pytest.MonkeyPatch) -> None:
@@ -219,11 +221,11 @@
 
 
 def _a_takeover_forgets_evacuations(patch: pytest.MonkeyPatch) -> None:
-    class Forgetful(Custody):
+    class Forgetful(ConsensusReplica):
         def _propose(self, own: EpochRecord) -> None:
             super()._propose(msgspec.structs.replace(own, evacuated=()) if own.term == own.epoch else own)
 
-    patch.setattr(world_module, "Custody", Forgetful)
+    patch.setattr(world_module, "ConsensusReplica", Forgetful)
 
 
 def _who_links_later_is_told_of_no_evacuation(patch: pytest.MonkeyPatch) -> None:
@@ -242,9 +244,9 @@
     def know(self: Delivery, number: int, zones: tuple[str, ...]) -> None:
         if number > self.evacuations.number:
             self.evacuations = Evacuations(1, zones)
-            self.tell_proxies(self.evacuations)
+            self.send_to_proxies(self.evacuations)
 
-    patch.setattr(Delivery, "know_evacuations", know)
+    patch.setattr(Delivery, "update_evacuations", know)
 
 
 PLANTS: tuple[tuple[Plant, str, set[str]], ...] = (
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -10,7 +10,14 @@
 from hypothesis import strategies as st
 
 from cranebank.control import delivery as delivery_module
-from cranebank.control.delivery import BACKUP_S, CONTROLLER_S, NEIGHBOURS, WELCOME_S, Delivery, PendingAcks
+from cranebank.control.delivery import (
+    BACKUP_PUSH_DELAY_S,
+    CONTROLLER_PUSH_DELAY_S,
+    NEIGHBOURS,
+    WELCOME_S,
+    Delivery,
+    PendingAcks,
+)
 from cranebank.transport.messages import Backend, ConfigPush, Message, Push, Welcome
 
 
@@ -51,7 +58,7 @@
 def test_first_push_carries_everything() -> None:
     """Who comes is welcomed and told all; later pushes count on from there, on each link by itself."""
     delivery = made()
-    delivery.know_controllers({"10.1.0.2", "10.1.0.1"})
+    delivery.update_controllers({"10.1.0.2", "10.1.0.1"})
     join(delivery, 0, 1, records=(backend("a"), backend("b", "gone")))
     assert delivery.pop_messages() == [
         (1, Welcome("c-1", ("10.1.0.1", "10.1.0.2"), 1, ())),
@@ -114,7 +121,7 @@
     assert delivery.committed(1, 7, b"{}")
     assert configured(delivery.pop_messages()) == [(0, 7)]
     delivery.observe_revision("d", 7)
-    delivery.tick(1 + CONTROLLER_S)
+    delivery.tick(1 + CONTROLLER_PUSH_DELAY_S)
     assert configured(delivery.pop_messages()) == [("c", 7)]
     delivery.tick(9)
     assert configured(delivery.pop_messages()) == []
@@ -126,15 +133,15 @@
     """They hand it on only to those that still show an older one a little later."""
     delivery = made(2)
     delivery.committed(1, 7, b"{}")
-    delivery.tick(0.9 + BACKUP_S)
+    delivery.tick(0.9 + BACKUP_PUSH_DELAY_S)
     assert configured(delivery.pop_messages()) == []
     delivery.observe_revision(0, 7)
-    delivery.tick(1 + BACKUP_S)
+    delivery.tick(1 + BACKUP_PUSH_DELAY_S)
     assert configured(delivery.pop_messages()) == [(1, 7)]
     join(delivery, 5, 5, revision=6)
     delivery.tick(5)
     assert configured(delivery.pop_messages()) == []
-    delivery.tick(5 + BACKUP_S)
+    delivery.tick(5 + BACKUP_PUSH_DELAY_S)
     assert configured(delivery.pop_messages()) == [(5, 7)]
 
 
@@ -150,8 +157,8 @@
         delivery.tick(now)
         for link, _ in configured(delivery.pop_messages()):
             sent.setdefault(link, now)
-    assert sent[0] <= 1.0 + BACKUP_S + 0.11
-    assert sent["c"] <= 1.0 + CONTROLLER_S + 0.11
+    assert sent[0] <= 1.0 + BACKUP_PUSH_DELAY_S + 0.11
+    assert sent["c"] <= 1.0 + CONTROLLER_PUSH_DELAY_S + 0.11
 
 
 def test_a_peer_that_keeps_in_step_is_sent_nothing_by_others_than_the_primary() -> None:
--- a/tests/test_durable_endings.py
+++ b/tests/test_durable_endings.py
@@ -185,7 +185,7 @@
     assert struck
     assert not world.judge.breaches
     phases = [
-        {record.phase for record in machine.controller.registry.everything()}
+        {record.phase for record in machine.controller.registry.all_records()}
         for machine in world.machines.values()
         if machine.controller is not None
     ]
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -43,11 +43,11 @@
 
 def test_proxies_are_told_once_and_who_comes_later_ahead_of_the_backends() -> None:
     delivery = made(2)
-    delivery.know_evacuations(0, ())
+    delivery.update_evacuations(0, ())
     assert delivery.pop_messages() == [], "nothing was ever evacuated"
-    delivery.know_evacuations(3, ("x",))
-    delivery.know_evacuations(3, ("x",))
-    delivery.know_evacuations(2, ("y",))
+    delivery.update_evacuations(3, ("x",))
+    delivery.update_evacuations(3, ("x",))
+    delivery.update_evacuations(2, ("y",))
     assert told(delivery.pop_messages()) == [(0, 3), (1, 3)]
     join(delivery, 1, 2, records=(backend("a"),))
     kinds = [type(message) for _, message in delivery.pop_messages()]
@@ -57,7 +57,7 @@
 def test_an_evacuation_waits_for_those_that_have_not_acknowledged_it_and_are_linked() -> None:
     delivery = made(3)
     assert delivery.await_evacuations().done
-    delivery.know_evacuations(1, ("x",))
+    delivery.update_evacuations(1, ("x",))
     delivery.acknowledged_evacuations(0, 1)
     acks = delivery.await_evacuations()
     assert acks.missing == 2
--- a/tests/test_evacuation_record.py
+++ b/tests/test_evacuation_record.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_custody import SEEDS, Group, ready
+from test_consensus_replica import SEEDS, Group, ready
 from test_replacement import NEW, whole
 
 from cranebank.control import events as ev
@@ -226,7 +226,7 @@
     group = started(ready())
     primary = group.primary
     group.cut.add(primary)
-    while group.nodes[primary].holds(group.now):
+    while group.nodes[primary].holds_lease(group.now):
         group.run(0.001)
     assert group.nodes[primary].status(group.now).state == "primary", "until it looks at the time again"
     evacuate(group, 2, "a", ip=primary)
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -6,9 +6,9 @@
 from random import Random
 
 import pytest
-from test_custody import SEEDS, Group
+from test_consensus_replica import SEEDS, Group
 
-from cranebank.control.custody import State
+from cranebank.control.consensus_replica import State
 
 WITHIN_S = 0.3  # of each other the machines start
 CHOSEN_WITHIN_S = 1.6  # after the last start
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -25,7 +25,7 @@
 from test_exchange import Story, calls
 from test_registry import beat
 
-from cranebank.control.custody import Custody, CustodySettings
+from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings
 from cranebank.control.registry import TOMBSTONE_S, Registry
 from cranebank.dataplane.budget import Budget
 from cranebank.dataplane.candidates import GONE_KEPT, LOST_KEPT, Candidates
@@ -115,9 +115,9 @@
         return self._proxy.loads()
 
 
-def lone_custody(now: float, random: Random) -> Custody:
+def single_replica(now: float, random: Random) -> ConsensusReplica:
     """The custody of a system with one controller."""
-    return Custody(CustodySettings(ONE, (ONE,), True, 0), {}, random, now)
+    return ConsensusReplica(ConsensusSettings(ONE, (ONE,), True, 0), {}, random, now)
 
 
 async def put_changes(folder: Path, look: Callable[[int], None]) -> None:
@@ -125,13 +125,13 @@
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
     settings = msgspec.structs.replace(settings_of(ONE, ports), beat_ms=BEAT_MS)
-    controller = Controller(settings, lone_custody, Disk(store), Random(1), lambda: settings)
+    controller = Controller(settings, single_replica, Disk(store), Random(1), lambda: settings)
     await controller.start()
     proxy = Proxy(RetryRule(0.1, 10, 1.0, True), Random(2), controller.now())
     hello = Hello("edge-1", "proxy", PROXY, "z", 1, 0, ())
     links = FleetLinks(DataPlane(proxy), lambda: hello, PROXY, ports[0])
     links.name((ONE,))
-    while not (controller.holds() and links.up):
+    while not (controller.holds_lease() and links.up):
         await asyncio.sleep(0.01)
     try:
         async with caller(ports) as client:
@@ -144,7 +144,7 @@
                 await one_heartbeat(client, 3 * BACKENDS + number)
                 assert proxy.revision == number
         look(CHANGES + 1)
-        phases = {record.phase for record in controller.registry.everything()}
+        phases = {record.phase for record in controller.registry.all_records()}
         assert phases == {"ready"}, "the pace of the machine decided how many backends were lost, and so the memory"
     finally:
         links.stop()
--- a/tests/test_one_way_cuts.py
+++ b/tests/test_one_way_cuts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from test_custody import SEEDS, Group
+from test_consensus_replica import SEEDS, Group
 
 from cranebank.control import events as ev
 from cranebank.control.epochs import EpochRecord
--- a/tests/test_order_intents.py
+++ b/tests/test_order_intents.py
@@ -9,7 +9,7 @@
 from controlsim.world import World
 from hypothesis import given
 from hypothesis import strategies as st
-from test_custody import Group, ready
+from test_consensus_replica import Group, ready
 
 from cranebank.control import events as ev
 from cranebank.control.epochs import DurableState, EpochRecord, OrderIntent, initial_record
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from cranebank.control import registry as registry_module
-from cranebank.control.registry import REJOIN_S, TOMBSTONE_S, BadHeartbeat, Registry
+from cranebank.control.registry import REJOIN_GRACE_S, TOMBSTONE_S, BadHeartbeat, Registry
 from cranebank.membership.warm_up import WarmUpLimit
 from cranebank.transport.frames import Decoder, encode
 from cranebank.transport.messages import Backend, Push
@@ -43,7 +43,7 @@
 
 def phases(registry: Registry) -> dict[str, str]:
     """Phase by id."""
-    return {record.id: record.phase for record in registry.everything()}
+    return {record.id: record.phase for record in registry.all_records()}
 
 
 def test_a_heartbeat_is_news_once() -> None:
@@ -121,7 +121,7 @@
 
 def test_the_largest_figures_of_a_heartbeat_can_be_told_to_others() -> None:
     """One record that can't be encoded would keep all others from being told."""
-    sent = beat(registry_module.LARGEST_COUNT, capacity=float(2**40), cold_left_ms=float(2**40))
+    sent = beat(registry_module.MAX_COUNT, capacity=float(2**40), cold_left_ms=float(2**40))
     record = Registry(0, BEAT_S).heartbeat(1, "i", sent)
     assert Decoder().feed(encode(Push(1, (record,)))) == [Push(1, (record,))]
 
@@ -158,8 +158,8 @@
     assert registry.expire(1.02) == []
     assert registry.expire(50, in_touch=False) == []
     assert registry.expire(51) == []
-    assert registry.expire(50.9 + REJOIN_S) == []
-    assert [record.id for record in registry.expire(51 + REJOIN_S)] == ["i"]
+    assert registry.expire(50.9 + REJOIN_GRACE_S) == []
+    assert [record.id for record in registry.expire(51 + REJOIN_GRACE_S)] == ["i"]
 
 
 def test_a_beat_heard_elsewhere_counts() -> None:
@@ -189,7 +189,7 @@
     here.heartbeat(11, "i", beat(2, stage="decode"))
     assert len(here.changes()) == 1  # lost
     there.heard(11, here.pop_heard(11))
-    there.merge(12, here.everything())  # a connection stands again
+    there.merge(12, here.all_records())  # a connection stands again
     assert there.records["i"] == here.records["i"]
 
 
@@ -248,10 +248,10 @@
 def test_rebuilt_from_proxies_while_young() -> None:
     """A controller that has just begun learns from proxies; later it corrects what nobody vouches for."""
     registry = Registry(0, BEAT_S)
-    assert registry.greet(1, PROXY_RECORDS, hears_all=True) == []
+    assert registry.merge_proxy_records(1, PROXY_RECORDS, hears_all=True) == []
     assert phases(registry) == {"a": "ready", "b": "gone"}
     old = Registry(0, BEAT_S)
-    stray = old.greet(QUIET_S + 1, PROXY_RECORDS, hears_all=True)
+    stray = old.merge_proxy_records(QUIET_S + 1, PROXY_RECORDS, hears_all=True)
     assert [(record.id, record.phase) for record in stray] == [("a", "lost")]
     assert phases(old) == {"b": "gone"}
 
@@ -260,7 +260,7 @@
     """Another controller may hear what is unknown here."""
     registry = Registry(0, BEAT_S)
     now = QUIET_S + 1
-    assert registry.greet(now, PROXY_RECORDS, hears_all=False) == []
+    assert registry.merge_proxy_records(now, PROXY_RECORDS, hears_all=False) == []
     assert phases(registry) == {"a": "ready", "b": "gone"}
     assert registry.expire(now + LOST_S - 0.1) == []
     assert [record.id for record in registry.expire(now + LOST_S + 0.1)] == ["a"]
@@ -271,7 +271,9 @@
 
     def told() -> Registry:
         registry = Registry(0, BEAT_S)
-        assert [record.phase for record in registry.greet(QUIET_S + 1, [ready], hears_all=True)] == ["lost"]
+        assert [record.phase for record in registry.merge_proxy_records(QUIET_S + 1, [ready], hears_all=True)] == [
+            "lost"
+        ]
         registry.merge(QUIET_S + 2, [ready])  # of another controller that has learnt it from a proxy
         registry.changes()
         return registry
@@ -290,7 +292,7 @@
     monkeypatch.setattr(registry_module, "STRAYS_MOST", 3)
     registry = Registry(0, BEAT_S)
     strays = [msgspec.structs.replace(PROXY_RECORDS[0], id=f"a{number}") for number in range(10)]
-    registry.greet(QUIET_S + 1, strays, hears_all=True)
+    registry.merge_proxy_records(QUIET_S + 1, strays, hears_all=True)
     assert list(registry._strays) == ["a7", "a8", "a9"]
 
 
@@ -298,7 +300,7 @@
     """It is hearsay: a controller goes by the heartbeats that it hears."""
     registry = Registry(0, BEAT_S)
     registry.heartbeat(1, "c", beat(3, address="1.1.1.1:3"))
-    assert registry.greet(2, PROXY_RECORDS, hears_all=True) == []
+    assert registry.merge_proxy_records(2, PROXY_RECORDS, hears_all=True) == []
     assert phases(registry)["c"] == "ready"
 
 
@@ -354,7 +356,7 @@
     for _ in range(3):
         for registry in registries:
             for other in registries:
-                other.merge(now, registry.everything())
+                other.merge(now, registry.all_records())
     assert (
         len(
             {
@@ -363,7 +365,7 @@
                         (record.id, "gone")
                         if record.phase == "gone"
                         else (record.id, *map(str, record.models), record.phase, str(record.call_seq))
-                        for record in registry.everything()
+                        for record in registry.all_records()
                     )
                 )
                 for registry in registries
@@ -399,7 +401,7 @@
     assert told.cold_left_ms == 2500
     registry.heartbeat(3.2, "i", beat(3, cold_left_ms=1850))
     assert registry.changes() == ()
-    assert [record.cold_left_ms for record in registry.as_of(9, registry.everything())] == [0]
+    assert [record.cold_left_ms for record in registry.as_of(9, registry.all_records())] == [0]
     registry.heartbeat(10, "i", beat(4, cold_left_ms=3000))
     assert [found.until for found in registry.cold(10)] == [13.0] and len(registry.changes()) == 1
 
@@ -412,7 +414,7 @@
         registry.heartbeat(1, "i", beat(1))
         registry.changes()
     here.heartbeat(2, "i", beat(1, cold_left_ms=3000))
-    there.merge(4, here.as_of(4, here.everything()))
+    there.merge(4, here.as_of(4, here.all_records()))
     assert [found.until for found in there.cold(4)] == [5.0]
 
 
@@ -423,7 +425,7 @@
     registry.heartbeat(2, "i", beat(2, cold_left_ms=3000))
     registry.zone_returned(2, "z")
     assert registry.changes() == () and registry.cold(2) == []
-    assert registry.as_of(2, registry.everything()) == registry.everything()
+    assert registry.as_of(2, registry.all_records()) == registry.all_records()
 
 
 def test_a_restored_record_counts_as_warm() -> None:
@@ -431,7 +433,7 @@
     before, after = Registry(0, BEAT_S), Registry(0, BEAT_S)
     before.limits = after.limits = COLD
     before.heartbeat(1, "i", beat(1, cold_left_ms=3000))
-    after.restore(0, before.everything())
+    after.restore(0, before.all_records())
     assert after.cold(0) == []
 
 
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -11,7 +11,7 @@
 from cranebank.control.consensus import ConsensusCore
 from cranebank.control.delivery import Delivery
 from cranebank.control.events import Status
-from cranebank.control.warm_up import CLOCK_OLD_S
+from cranebank.control.warm_up import CLOCK_MAX_AGE_S
 from cranebank.membership.warm_up import LEASE_MOST_S, RELEASE_S
 from cranebank.programs.controller_links import ControllerLinks
 from cranebank.programs.local_state import LocalState, NoDisk
@@ -113,4 +113,4 @@
     service.zone_returned("z")
     told, permits = proxy.sent[-2:]
     assert isinstance(told, Push) and told.backends[0].cold_left_ms == 3000
-    assert permits == WarmUpPermits("i", 10, 7.0 + 3.0 + CLOCK_OLD_S)
+    assert permits == WarmUpPermits("i", 10, 7.0 + 3.0 + CLOCK_MAX_AGE_S)
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -6,12 +6,12 @@
 from itertools import combinations
 
 import pytest
-from test_custody import SEEDS, Group
+from test_consensus_replica import SEEDS, Group
 
 from cranebank.control import events as ev
-from cranebank.control.custody import Custody
+from cranebank.control.consensus_replica import ConsensusReplica
 from cranebank.control.epochs import EpochRecord, Proposal, ip_of
-from cranebank.control.membership import SPARE_S, View, group_size, next_members
+from cranebank.control.membership import STANDBY_REPLACEMENT_S, View, group_size, next_members
 from cranebank.control.replica import LEAVING_FRESH_S
 
 NEW = "10.0.0.99"
@@ -53,7 +53,7 @@
     """Tell a process to end, and end it when its replica may; the seconds that this took."""
     group.tell(ip, ev.Retire())
     since = group.now
-    while not group.nodes[ip].may_end(group.now) and group.now < since + GRACE_S:
+    while not group.nodes[ip].may_shut_down(group.now) and group.now < since + GRACE_S:
         group.run(0.02)
     group.stop(ip, wipe=True)
     return group.now - since
@@ -149,15 +149,15 @@
     group.cut.add(witness)
     group.tell(copy, ev.Retire())
     group.run(2.0)
-    assert not group.nodes[copy].may_end(group.now)
+    assert not group.nodes[copy].may_shut_down(group.now)
     group.cut.clear()
     group.run(0.5)
-    assert group.nodes[copy].may_end(group.now)
+    assert group.nodes[copy].may_shut_down(group.now)
     group = whole(1)
     for ip in SEEDS:
         group.tell(ip, ev.Retire())
     group.run(0.2)
-    assert all(node.may_end(group.now) for node in group.nodes.values())
+    assert all(node.may_shut_down(group.now) for node in group.nodes.values())
 
 
 def test_a_leaving_replica_is_heeded_for_as_long_as_it_stays() -> None:
@@ -171,7 +171,7 @@
     group.run(0.7)  # less than any silence of which a member is replaced
     members = [ip_of(member) for member in record_of(group).members]
     assert NEW in members and leaving not in members
-    assert group.nodes[leaving].may_end(group.now)
+    assert group.nodes[leaving].may_shut_down(group.now)
 
 
 def test_a_leaving_newcomer_is_not_admitted() -> None:
@@ -195,7 +195,7 @@
     assert len(witnesses) == 2
     chosen = witnesses[place]
     for ip in sorted(group.nodes):
-        group.tell(group.primary, ev.Located(ip, "far" if ip == chosen else "near"))
+        group.tell(group.primary, ev.ZoneReported(ip, "far" if ip == chosen else "near"))
     group.stop(victim_of(group, "copy"))
     group.run(2.0)
     copies = [ip_of(member) for member in record_of(group).copies]
@@ -213,7 +213,7 @@
 
 def test_a_member_is_not_taken_out_before_it_is_relieved_as_a_copy() -> None:
     members = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-    silence = {"10.0.0.1": 0.0, "10.0.0.2": 2 * SPARE_S, "10.0.0.3": 0.0}
+    silence = {"10.0.0.1": 0.0, "10.0.0.2": 2 * STANDBY_REPLACEMENT_S, "10.0.0.3": 0.0}
 
     def after(copies: tuple[str, ...], leaving: tuple[str, ...]) -> set[str] | None:
         return next_members(View(members, copies, silence, leaving, (NEW,), {}), group_size(1))
@@ -246,7 +246,7 @@
     assert 2 not in group.answers, "acknowledged without the next copy"
     group.stuck.clear()
     for token in list(group.nodes[next_copy]._waiting):
-        group.tell(next_copy, ev.DiskTrouble(token))
+        group.tell(next_copy, ev.PersistFailed(token))
     group.run(0.5)
     assert group.answers[2] == ev.Accepted()
     assert b"doc2" in group.disks[next_copy]["value"]
@@ -263,7 +263,7 @@
     assert bears(group, tuple(sorted(group.nodes)[:2]))
 
 
-class AddsNewcomers(Custody):
+class AddsNewcomers(ConsensusReplica):
     """Planted: a newcomer is counted while all the others are there, which makes the group even."""
 
     def _changed_members(self, record: EpochRecord) -> EpochRecord | None:
@@ -273,14 +273,14 @@
         return super()._changed_members(record)
 
 
-class LeavesWithItsCopy(Custody):
+class LeavesWithItsCopy(ConsensusReplica):
     """Planted: a replica that was told to end does so at once."""
 
-    def may_end(self, now: float) -> bool:
+    def may_shut_down(self, now: float) -> bool:
         return True
 
 
-class TakesOutNobodyWhoLeaves(Custody):
+class TakesOutNobodyWhoLeaves(ConsensusReplica):
     """Planted: a leaving member is replaced only when its silence has been noticed."""
 
     def _is_leaving(self, replica: str) -> bool:
@@ -288,8 +288,10 @@
 
 
 @pytest.mark.parametrize("plant", [AddsNewcomers, LeavesWithItsCopy, TakesOutNobodyWhoLeaves])
-def test_a_planted_fault_of_the_membership_is_found(plant: type[Custody], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("test_custody.Custody", plant)
+def test_a_planted_fault_of_the_membership_is_found(
+    plant: type[ConsensusReplica], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr("test_consensus_replica.ConsensusReplica", plant)
     outcomes = []
     for part in ("primary", "copy", "witness"):
         for place in range(3):
@@ -342,9 +344,9 @@
     group.start(witness)
     group.run(0.5)
     group.tell(copy, ev.Retire())
-    assert not group.nodes[copy].may_end(group.now)
+    assert not group.nodes[copy].may_shut_down(group.now)
     group.run(2.0)
-    assert group.nodes[copy].may_end(group.now) and copy not in record_of(group).copies
+    assert group.nodes[copy].may_shut_down(group.now) and copy not in record_of(group).copies
 
 
 class StoresLostGroup(Group):
--- a/tests/test_restarts_over_changes.py
+++ b/tests/test_restarts_over_changes.py
@@ -15,7 +15,7 @@
 from simulated_control import CATCH_UP_S, Life, Machine, Violation, World
 
 from cranebank.control import events as ev
-from cranebank.control.custody import Custody, CustodySettings, InvariantBroken
+from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings, InvariantBroken
 
 CHANGES = 1000
 FAULTS = 60  # at least so many, one by one
@@ -29,7 +29,7 @@
 
     def __init__(self, life: Life, case: str, newest: int, started: float) -> None:
         self.life, self.case, self.newest, self.started = life, case, newest, started
-        self.began_with = life.custody.status(0.0).revision
+        self.began_with = life.replica.status(0.0).revision
         self.took_s: float | None = None
         self.place = ""
         self.first_value: int | None = None  # the revision that it took first
@@ -38,7 +38,7 @@
 class LongWorld(World):
     """Changes without end, and one member at a time restarted, wiped or replaced."""
 
-    def __init__(self, seed: int, kind: type[Custody] = Custody) -> None:
+    def __init__(self, seed: int, kind: type[ConsensusReplica] = ConsensusReplica) -> None:
         super().__init__(seed, kind)
         self.loss = self.doubled = self.jumbled = self.trigger = 0.0
         self.starts: list[InStep] = []
@@ -66,7 +66,7 @@
         self._look_at(life)
 
     def _look_at(self, life: Life) -> None:
-        revision = life.custody.status(0.0).revision
+        revision = life.replica.status(0.0).revision
         started = self._without_value.get(life)
         if started is not None and revision != started.began_with:
             started.first_value = revision
@@ -83,14 +83,14 @@
     def _place_without_value(self, life: Life) -> str | None:
         """Tell which place this process has, by the primary's record, where it need not hold the value."""
         primary = self.primary()
-        record = primary.custody.record if primary is not None else None
+        record = primary.replica.record if primary is not None else None
         if record is None:
             return None
-        present = {one.life.custody.id for one in self.machines.values() if one.life is not None}
-        if life.custody.id not in record.members:
+        present = {one.life.replica.id for one in self.machines.values() if one.life is not None}
+        if life.replica.id not in record.members:
             return "spare" if present.issuperset(record.members) else None
-        is_told = record == life.custody.record
-        return "witness" if is_told and life.custody.id not in record.copies else None
+        is_told = record == life.replica.record
+        return "witness" if is_told and life.replica.id not in record.copies else None
 
     def fault(self) -> None:
         """Strike one member, and the next once this one is back and has caught up."""
@@ -114,11 +114,11 @@
     def _look_for_repair(self, struck_at: float, newest: int) -> None:
         """Note when the group holds enough copies of what was acknowledged before the strike, in live members."""
         primary = self.primary()
-        record = primary.custody.record if primary is not None else None
+        record = primary.replica.record if primary is not None else None
         holding = {
-            one.life.custody.id
+            one.life.replica.id
             for one in self.machines.values()
-            if one.life is not None and one.life.custody.status(0.0).revision >= newest
+            if one.life is not None and one.life.replica.status(0.0).revision >= newest
         }
         if record is not None and len(holding & set(record.copies)) > self.tolerance:
             self.repairs_s.append(self.now - struck_at)
@@ -181,10 +181,10 @@
     assert cases["took a value after missing some"] and cases["took a value with an empty disk"]
 
 
-class ForgetsItsValue(Custody):
+class ForgetsItsValue(ConsensusReplica):
     """A planted fault: the value on the disk is not read again, while the votes are."""
 
-    def __init__(self, settings: CustodySettings, stored: Mapping[str, bytes], random: Random, now: float) -> None:
+    def __init__(self, settings: ConsensusSettings, stored: Mapping[str, bytes], random: Random, now: float) -> None:
         super().__init__(settings, {key: kept for key, kept in stored.items() if key != "value"}, random, now)
 
 
--- a/tests/test_stage_balancer.py
+++ b/tests/test_stage_balancer.py
@@ -27,8 +27,8 @@
     Connect,
     Connected,
     Event,
-    Look,
     NotConnected,
+    Observation,
     Reported,
     Service,
     Transmit,
@@ -75,7 +75,7 @@
     def look(self) -> list[Action]:
         self.heard_at |= {name: self.now for name in self.records if name not in self.silent}
         authority = replace(self.authority, recorded=self.recorded)
-        look = Look(authority, self.services, self.records, self.heard_at, self.is_current, self.loads)
+        look = Observation(authority, self.services, self.records, self.heard_at, self.is_current, self.loads)
         actions = self.balancer.handle(self.now, look)
         if authority.holds_lease and self.records_intents:
             intents = self.balancer.intents(self.now)
--- a/tests/test_stage_duty.py
+++ b/tests/test_stage_duty.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from lone_consensus import LoneConsensus
+from single_node_consensus import SingleNodeConsensus
 
 from cranebank.control import events
 from cranebank.control.registry import Registry
@@ -16,8 +16,8 @@
     Connect,
     Connected,
     Event,
-    Look,
     NotConnected,
+    Observation,
     Order,
     Reported,
     Transmit,
@@ -64,7 +64,7 @@
         return {}
 
 
-def duty_of(consensus: LoneConsensus) -> tuple[StageDuty, RecordingBalancer]:
+def duty_of(consensus: SingleNodeConsensus) -> tuple[StageDuty, RecordingBalancer]:
     """A duty whose balancer records what it is told."""
     settings = NodeSettings("n", "10.0.0.1", "z", (7000, 7009), ())
     duty = StageDuty(settings, lambda: 0.0, consensus, lambda: True, Registry(0.0, 1.0))
@@ -75,7 +75,7 @@
 
 async def told_after(action: Action) -> list[Event]:
     """What the balancer is told once this action is done."""
-    duty, balancer = duty_of(LoneConsensus("10.0.0.1", {}))
+    duty, balancer = duty_of(SingleNodeConsensus("10.0.0.1", {}))
     duty._do(action)
     await asyncio.gather(*duty._tasks._tasks, return_exceptions=True)
     return balancer.told
@@ -106,7 +106,7 @@
 def test_nothing_is_sent_to_a_zone_that_is_evacuated_while_the_connection_is_made(
     action: Action, event: Event, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    consensus, connection = LoneConsensus("10.0.0.1", {}), Connection(b'{"stage": "decode"}')
+    consensus, connection = SingleNodeConsensus("10.0.0.1", {}), Connection(b'{"stage": "decode"}')
 
     async def connect(address: str, seconds: float, most_bytes: int) -> Connection:
         consensus.handle(0.0, events.Evacuate(1, BACKEND.zone, True))
@@ -123,14 +123,14 @@
 
 
 def test_the_balancer_sees_no_backend_of_an_evacuated_zone() -> None:
-    consensus = LoneConsensus("10.0.0.1", {})
+    consensus = SingleNodeConsensus("10.0.0.1", {})
     duty, balancer = duty_of(consensus)
     duty._registry.merge(0.0, [BACKEND, msgspec.structs.replace(BACKEND, id="i-2", zone="y")])
     consensus.handle(0.0, events.Evacuate(1, "y", True))
     balancer.intents = lambda now: None  # type: ignore[attr-defined]
     duty._look()
     (look,) = balancer.told
-    assert isinstance(look, Look) and set(look.records) == {"i-1"}
+    assert isinstance(look, Observation) and set(look.records) == {"i-1"}
 
 
 @pytest.mark.parametrize("address", ["..:80", "10.0.0.9:\u00b2", "nowhere"])
--- a/tests/test_stage_load.py
+++ b/tests/test_stage_load.py
@@ -168,5 +168,5 @@
     delivery.join(0.0, "c2", "c2", "10.0.0.2", False, 0, ())
     delivery.join(0.0, "p2", "p2", "10.0.0.3", True, 0, ())
     assert {type(message) for _, message in delivery.pop_messages()} == {Welcome, Push}
-    delivery.tell_proxies(HoldOff("i-1", 1.0))
+    delivery.send_to_proxies(HoldOff("i-1", 1.0))
     assert delivery.pop_messages() == [("p1", HoldOff("i-1", 1.0)), ("p2", HoldOff("i-1", 1.0))]
--- a/tests/test_system_commands.py
+++ b/tests/test_system_commands.py
@@ -20,8 +20,8 @@
 from test_configuration import body, document, route
 
 from cranebank.cli.main import main as cranebank
-from cranebank.control import custody_file
-from cranebank.control.custody import Custody, CustodySettings, State, Value
+from cranebank.control import consensus_file
+from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings, State, Value
 from cranebank.control.epochs import NO_BALLOT, DurableState, EpochRecord
 from cranebank.programs import command
 from cranebank.programs.control import make_controller
@@ -306,29 +306,31 @@
     first = (folder / "custody").read_bytes()
     later = encode_batch(2, custody_values(8, 8)) + encode_batch(3, custody_values(9, 9))
     (folder / "custody").write_bytes(first[:50] + b"?" + first[51:] + later)
-    with pytest.raises(custody_file.CustodyFileError) as caught:
-        custody_file.back_up(folder, tmp_path / "copy")
-    assert caught.value.code is custody_file.CustodyFileCode.DAMAGED
+    with pytest.raises(consensus_file.ConsensusFileError) as caught:
+        consensus_file.back_up(folder, tmp_path / "copy")
+    assert caught.value.code is consensus_file.ConsensusFileCode.DAMAGED
     assert not (tmp_path / "copy").exists()
 
 
 def test_a_restored_replica_is_a_new_one(tmp_path: Path) -> None:
     """It has another id than the machine's former replica, knows no record, and neither votes nor counts."""
-    custody_file.back_up(data_folder(tmp_path / "data"), tmp_path / "copy")
-    custody_file.restore(tmp_path / "copy", tmp_path / "new")
+    consensus_file.back_up(data_folder(tmp_path / "data"), tmp_path / "copy")
+    consensus_file.restore(tmp_path / "copy", tmp_path / "new")
     values = read_records((tmp_path / "new/custody").read_bytes()).values
-    made = Custody(CustodySettings("10.1.0.1", ("10.1.0.1", "10.1.0.2", "10.1.0.3"), False, 1), values, Random(1), 0.0)
+    made = ConsensusReplica(
+        ConsensusSettings("10.1.0.1", ("10.1.0.1", "10.1.0.2", "10.1.0.3"), False, 1), values, Random(1), 0.0
+    )
     assert made.id.startswith("10.1.0.1/")
     assert made.state is State.OUTSIDER
     assert made.record is None
     assert made.status(0.0).revision == 0
-    anew = Custody(CustodySettings("10.1.0.1", ("10.1.0.1",), True, 1), values, Random(1), 0.0)
+    anew = ConsensusReplica(ConsensusSettings("10.1.0.1", ("10.1.0.1",), True, 1), values, Random(1), 0.0)
     assert (anew.id, anew.state) == ("10.1.0.1", State.FOLLOWER)  # only where the settings say that all begin anew
 
 
 def test_a_restored_controller_hands_out_the_configuration(tmp_path: Path) -> None:
-    custody_file.back_up(data_folder(tmp_path / "data"), tmp_path / "copy")
-    custody_file.restore(tmp_path / "copy", tmp_path / "new")
+    consensus_file.back_up(data_folder(tmp_path / "data"), tmp_path / "copy")
+    consensus_file.restore(tmp_path / "copy", tmp_path / "new")
     settings = NodeSettings(
         "core-1", "127.0.11.1", "z", (7300, 7315), ("127.0.11.1:8262",), data_dir=str(tmp_path / "new")
     )
--- a/tests/test_tallies_program.py
+++ b/tests/test_tallies_program.py
@@ -12,7 +12,7 @@
 
 import msgspec
 import pytest
-from lone_consensus import LoneConsensus
+from single_node_consensus import SingleNodeConsensus
 from test_control_program import CALLER_S, ONE, TWO, Answer, caller, play, settings_of
 
 from cranebank.programs.control import make_controller
@@ -109,7 +109,7 @@
     settings = settings_of(ONE, ports)
     made = Controller(
         msgspec.structs.replace(settings, is_first_start=True),
-        lambda now, random: LoneConsensus(ONE, {}, None),
+        lambda now, random: SingleNodeConsensus(ONE, {}, None),
         NoDisk(),
         Random(1),
         lambda: settings,
--- a/tests/test_warm_up.py
+++ b/tests/test_warm_up.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranebank.control.warm_up import Bound, ColdBackend, PermitIssuer, most_permits
+from cranebank.control.warm_up import ColdBackend, PermitIssuer, RateBound, max_permits
 from cranebank.dataplane.cold_backends import ColdBackends
 from cranebank.membership.warm_up import LEASE_MOST_S, PERMIT_S, RELEASE_S, SECOND_S, WarmUpLimit, read_limits
 from cranebank.transport.messages import Backend, WarmUpPermits
 
 LIMIT = WarmUpLimit(per_s=23.0, cold_s=3.0)
-BOUND = Bound(over=1.5, slack=5.0)
+BOUND = RateBound(over=1.5, slack=5.0)
 QUIET_S = LEASE_MOST_S + RELEASE_S
 STEP_S = 0.05
 PULSE_S = 0.4
@@ -42,13 +42,13 @@
 ) -> None:
     """And nothing that may be sent is left over where all of them are there."""
     known, limit = set(ips(count)), WarmUpLimit(per_s, 3.0)
-    shares = [PermitIssuer(0.0, Random(1), ip, 1, Bound(over, slack)).share(limit, known) for ip in known]
+    shares = [PermitIssuer(0.0, Random(1), ip, 1, RateBound(over, slack)).share(limit, known) for ip in known]
     most = int(min(per_s * PERMIT_S, per_s * over + slack))
     assert sum(shares) <= most and (count < 3 or sum(shares) == most)
 
 
 def test_a_controller_that_knows_no_other_takes_no_more_than_its_share() -> None:
-    assert issuer().share(LIMIT, set()) <= most_permits(LIMIT, BOUND) // 5 + 1
+    assert issuer().share(LIMIT, set()) <= max_permits(LIMIT, BOUND) // 5 + 1
 
 
 def test_permits_are_not_leased_twice_within_a_lease() -> None:
@@ -211,7 +211,7 @@
     """Cuts, freezes, restarts of proxies and controllers, and cold periods that begin again."""
     fleet = Fleet(seed, controllers, proxies)
     fleet.run(RUN_S)
-    most = most_permits(LIMIT, BOUND)
+    most = max_permits(LIMIT, BOUND)
     assert fleet.busiest_second() <= most <= LIMIT.per_s * BOUND.over + BOUND.slack
     assert len(fleet.written) <= LIMIT.per_s * RUN_S + most, "what a backend bears, over the whole time"
 
