--- a/benchmarks/hollow.py
+++ b/benchmarks/hollow.py
@@ -28,11 +28,11 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from cranebank.transport.frames import SIZE, encode
-from cranebank.transport.messages import ConfigAck, Hello, Pulse, PushAck, Welcome
+from cranebank.transport.frames import HEADER_BYTES, encode
+from cranebank.transport.messages import ConfigAck, Hello, LinkHeartbeat, PushAck, Welcome
 
 ROOT = Path(__file__).parents[1]
-PULSE_S = 0.4
+LINK_HEARTBEAT_INTERVAL_S = 0.4
 CONNECTIONS = 100  # of backends to each controller, where they are held: many backends share one here
 NOW = time.monotonic
 
@@ -90,7 +90,7 @@
     document: msgspec.Raw
 
 
-_decoder = msgspec.msgpack.Decoder(LightPush | LightConfigPush | Welcome | Pulse)
+_decoder = msgspec.msgpack.Decoder(LightPush | LightConfigPush | Welcome | LinkHeartbeat)
 
 
 class HollowLink(asyncio.Protocol):
@@ -98,7 +98,7 @@
 
     def __init__(self, proxy: HollowProxy, controller: str) -> None:
         self.proxy, self.controller = proxy, controller
-        self.held, self.wanted = bytearray(), SIZE
+        self.held, self.wanted = bytearray(), HEADER_BYTES
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -107,7 +107,7 @@
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         proxy = self.proxy
         self.send(Hello(proxy.name, "proxy", proxy.ip, "z", 1, proxy.revision))
-        asyncio.get_running_loop().call_later(PULSE_S, self.beat)
+        asyncio.get_running_loop().call_later(LINK_HEARTBEAT_INTERVAL_S, self.beat)
 
     def send(self, message: Any) -> None:
         """Send and count."""
@@ -119,8 +119,8 @@
     def beat(self) -> None:
         """A sign of life."""
         if self.transport is not None and not self.transport.is_closing():
-            self.send(Pulse(self.proxy.revision))
-            asyncio.get_running_loop().call_later(PULSE_S, self.beat)
+            self.send(LinkHeartbeat(self.proxy.revision))
+            asyncio.get_running_loop().call_later(LINK_HEARTBEAT_INTERVAL_S, self.beat)
 
     def data_received(self, data: bytes) -> None:
         """Do as a proxy does, but keep nothing."""
@@ -128,12 +128,12 @@
         proxy.counts["in"] += len(data)
         self.held += data
         while len(self.held) >= self.wanted:
-            self.wanted = SIZE + int.from_bytes(self.held[4:8], "big")
+            self.wanted = HEADER_BYTES + int.from_bytes(self.held[4:8], "big")
             if len(self.held) < self.wanted:
                 return
-            message = _decoder.decode(memoryview(self.held)[SIZE : self.wanted].tobytes())
+            message = _decoder.decode(memoryview(self.held)[HEADER_BYTES : self.wanted].tobytes())
             del self.held[: self.wanted]
-            self.wanted = SIZE
+            self.wanted = HEADER_BYTES
             proxy.counts[type(message).__name__.removeprefix("Light")] += 1
             match message:
                 case LightPush(number, _):
--- a/benchmarks/plane.py
+++ b/benchmarks/plane.py
@@ -30,10 +30,10 @@
 from cranebank.dataplane.pair import PairChooser
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Engine, RouteTable
-from cranebank.membership.loads import Loads
-from cranebank.membership.outbox import Outbox
+from cranebank.membership.neighbour_loads import NeighbourLoads
+from cranebank.membership.outbox import GossipOutbox
 from cranebank.transport.frames import Decoder, decode_datagram, encode
-from cranebank.transport.messages import Backend, ConfigPush, Gossip, Hello, Load, Pulse, Push
+from cranebank.transport.messages import Backend, ConfigPush, Gossip, Hello, LinkHeartbeat, Load, Push
 
 ENGINE = Engine(capacity=32, cache_tokens=400_000, token_bytes=163_840, link_mbps=1.4e6)
 
@@ -94,7 +94,7 @@
         turn[0] += 1
         chooser.choose(100.0, "model-0", ENGINE, shared[turn[0] % kinds], 1800.0, set())
 
-    outbox = Outbox()
+    outbox = GossipOutbox()
     now = [0.0]
 
     def tell() -> None:
@@ -227,7 +227,7 @@
 def neighbours(loads: int) -> dict[str, float]:
     """A neighbour's datagram with so many loads, and a part that the cache view keeps."""
     told = tuple(Load(f"backend-{number:06d}-a1b2c3", 3, 4000 + number) for number in range(loads))
-    data, number, sums = encode(Gossip(1, 7, 9, told)), [0], Loads()
+    data, number, sums = encode(Gossip(1, 7, 9, told)), [0], NeighbourLoads()
 
     def take() -> None:
         message = decode_datagram(data)
@@ -285,13 +285,13 @@
         print(json.dumps(registry(count)), flush=True)
     for loads in (0, 7, 38):
         print(json.dumps(neighbours(loads)), flush=True)
-    pulse, load = encode(Pulse(7)), msgspec.msgpack.encode(Load("backend-000001-a1b2c3", 3, 4000))
+    pulse, load = encode(LinkHeartbeat(7)), msgspec.msgpack.encode(Load("backend-000001-a1b2c3", 3, 4000))
     print(
         json.dumps(
             {
                 "pulse_bytes": len(pulse),
                 "load_bytes": len(load),
-                "encode_pulse_us": micros(lambda: encode(Pulse(7)), 2000),
+                "encode_pulse_us": micros(lambda: encode(LinkHeartbeat(7)), 2000),
                 "decode_pulse_us": micros(lambda: Decoder().feed(pulse), 2000),
                 "push_of_one_bytes": len(encode(Push(1000, (backend(1),)))),
             }
--- a/benchmarks/tallies.py
+++ b/benchmarks/tallies.py
@@ -18,7 +18,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from cranebank.control.tallies.replica import ReplicaSettings, TallyReplica
+from cranebank.control.tallies.replica import TallyReplica, TallyReplicaSettings
 from cranebank.storage.store import Folder, Store
 from cranebank.transport.frames import encode
 
@@ -37,7 +37,7 @@
         for path in self.folders.values():
             path.mkdir()
         self.stores = {name: Store(Folder(path), FILE) for name, path in self.folders.items()}
-        self.replicas = {name: TallyReplica(ReplicaSettings(name * 16, name, 2), {}, 0.0) for name in NAMES}
+        self.replicas = {name: TallyReplica(TallyReplicaSettings(name * 16, name, 2), {}, 0.0) for name in NAMES}
         self.is_linked = False
 
     def link(self, is_linked: bool) -> None:
@@ -58,7 +58,7 @@
             self.replicas[name].add(self.now, f"t{self.calls % TALLIES}", f"{self.calls:016x}", self.calls % 9)
         for name, other in zip(NAMES, reversed(NAMES), strict=True):
             heard = {other: float(self.now)} if self.is_linked else {}
-            self.replicas[name].know((other,), (other,))
+            self.replicas[name].set_replicas((other,), (other,))
             self.replicas[name].tick(self.now, heard)
         while self.exchange(*NAMES) or self.exchange(*reversed(NAMES)):
             pass
@@ -94,7 +94,7 @@
         pair = Pair(Path(folder))
 
         def tell(what: str, begun: float, calls: int) -> None:
-            held = [pair.replicas[name].figures.held for name in NAMES]
+            held = [pair.replicas[name].stats.held for name in NAMES]
             memory = f"{tracemalloc.get_traced_memory()[0] / 1e6:.1f}" if options.memory else "-"
             used = f"{1e6 * (time.process_time() - begun) / max(1, calls):.1f}"
             rows.append(
--- a/cranebank/control/registry.py
+++ b/cranebank/control/registry.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from cranebank.control.warm_up import ColdBackend
-from cranebank.membership.backends import differs, newer, replace_cold_left
+from cranebank.membership.backends import is_material_change, newer, replace_cold_left
 from cranebank.membership.warm_up import Limits
 from cranebank.transport.messages import Backend
 
@@ -321,7 +321,7 @@
         elif old is not None and record.call_seq < old.call_seq:
             record = msgspec.structs.replace(record, call_seq=old.call_seq)
         self.records[record.id] = record
-        if differs(old, record):
+        if is_material_change(old, record):
             self._news[record.id] = record
         if record.phase in {"gone", "lost"}:
             self._heard.pop(record.id, None)
--- a/cranebank/control/tallies/replica.py
+++ b/cranebank/control/tallies/replica.py
@@ -55,7 +55,7 @@
 Message = TallyAdds | TallyVector | TallyBase
 
 
-class ReplicaSettings(msgspec.Struct, frozen=True):
+class TallyReplicaSettings(msgspec.Struct, frozen=True):
     """Where a replica stands, and what has to be borne at once."""
 
     replica: str  # drawn at each start: adds that a loss of power took are never mistaken for later ones
@@ -72,14 +72,14 @@
     number: int
 
 
-class Refused(msgspec.Struct, frozen=True):
+class LimitReached(msgspec.Struct, frozen=True):
     """A bound is reached; nothing was done."""
 
     bound: str
     most: int
 
 
-class Figures(msgspec.Struct, frozen=True):
+class TallyStats(msgspec.Struct, frozen=True):
     """The state, for people and metrics."""
 
     held: int
@@ -92,7 +92,7 @@
 class TallyReplica:
     """One replica. ``pop_messages`` and ``take_writes`` tell what is to be done after each call."""
 
-    def __init__(self, settings: ReplicaSettings, stored: Mapping[str, bytes], now: float) -> None:
+    def __init__(self, settings: TallyReplicaSettings, stored: Mapping[str, bytes], now: float) -> None:
         self._settings = settings
         self._segments = Segments()
         self._state = self._segments.restore(stored)
@@ -114,18 +114,18 @@
 
     # Calls.
 
-    def add(self, now: float, tally: str, call_id: str, amount: int) -> Placed | Refused:
+    def add(self, now: float, tally: str, call_id: str, amount: int) -> Placed | LimitReached:
         """Add to a tally; a call that is known already adds nothing."""
         state = self._state
         known = state.find(call_id)
         if known is not None:
             return Placed(known.origin, known.number)
         if len(state) >= MOST_ADDS:
-            return Refused("adds", MOST_ADDS)
+            return LimitReached("adds", MOST_ADDS)
         if state.bytes_held >= MOST_BYTES:
-            return Refused("bytes", MOST_BYTES)
+            return LimitReached("bytes", MOST_BYTES)
         if state.tallies >= MOST_TALLIES and not state.knows(tally):
-            return Refused("tallies", MOST_TALLIES)
+            return LimitReached("tallies", MOST_TALLIES)
         origin = self._settings.replica
         add = TallyAdd(origin, state.applied_of(origin) + 1, tally, call_id, amount)
         self._append(add)
@@ -194,7 +194,7 @@
                     self._segments.folded(touched, self._state)
                     self._ack_owed.add(ip)
 
-    def know(self, members: Collection[str], known: Collection[str]) -> None:
+    def set_replicas(self, members: Collection[str], known: Collection[str]) -> None:
         """``members``: the others that have to have an add before its id is forgotten; ``known``: all others that may
         be there."""
         self._members, self._known = members, known
@@ -265,7 +265,7 @@
         self._ack_owed |= owed
 
     @property
-    def figures(self) -> Figures:
+    def stats(self) -> TallyStats:
         """The state, for people and metrics."""
         state = self._state
         applied = state.applied
@@ -273,7 +273,7 @@
             peer.ip: sum(max(0, number - peer.durable.get(origin, 0)) for origin, number in applied.items())
             for peer in self._peers.linked()
         }
-        return Figures(len(state), sum(state.folded.values()), state.tallies, len(applied), lag)
+        return TallyStats(len(state), sum(state.folded.values()), state.tallies, len(applied), lag)
 
     def check(self) -> None:
         """Count everything anew; for tests, it takes long."""
--- a/cranebank/control/tally_api.py
+++ b/cranebank/control/tally_api.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from cranebank.control.api_calls import Call, Request, Response, refusal
-from cranebank.control.tallies.replica import Refused
+from cranebank.control.tallies.replica import LimitReached
 
 BODY_BYTES = 4 << 10
 MOST_AMOUNT = 2**53
@@ -34,7 +34,7 @@
 class TallyPlane(Protocol):
     """What the calls need of the program."""
 
-    async def amend(self, tally: str, call_id: str, amount: int) -> bool | Refused:
+    async def amend(self, tally: str, call_id: str, amount: int) -> bool | LimitReached:
         """Add once by this id; whether that is durable in time, or the bound because of which nothing was done."""
 
     def total(self, tally: str) -> int | None:
@@ -61,7 +61,7 @@
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return _invalid(str(error))
         match await self._plane.amend(request.argument, body.id, body.actor):
-            case Refused(bound, most):
+            case LimitReached(bound, most):
                 return refusal(429, "bound", bound, f"{most} at most", headers=_RETRY)
             case True:
                 return Response(200)
--- a/cranebank/control/warm_up.py
+++ b/cranebank/control/warm_up.py
@@ -1,9 +1,9 @@
 """Leases of permits for requests to cold backends, as one controller gives them out: the core, free of I/O.
 
 Guarantee: the permits for one backend that any proxies may use within one second are ``most`` or fewer, summed over all
-controllers, where ``most`` = floor(min(warmup_per_s x PERMIT_S, warmup_per_s x cold_over + cold_slack)). Since one
-permit stands for one request a second at most, and for one in PERMIT_S in the long run (``membership/warm_up.py``),
-requests under permits stay within the rule's bound, and within warmup_per_s on average.
+controllers, where ``most`` = floor(min(warmup_per_s x PERMIT_REUSE_INTERVAL_S, warmup_per_s x cold_over + cold_slack)).
+Since one permit stands for one request a second at most, and for one in PERMIT_REUSE_INTERVAL_S in the long run
+(``membership/warm_up.py``), requests under permits stay within the rule's bound, and within warmup_per_s on average.
 
 - Each controller leases its own share only, of which no other has to know: ``most`` divided by the number of known
   controllers. As many count at least as bear the tolerated losses (twice those and one), and three at least: one that
@@ -11,8 +11,8 @@
   controller knows as many as count.
 - A lease is bound to the proxy's clock as the proxy told it last, so it ends ``lease_s`` after that telling, however
   late the message with the permits comes or the proxy looks at it. A frozen proxy, link or controller can't stretch it.
-- This controller leases the same permits anew only ``lease_s + RELEASE_S`` after it gave them: the last request under
-  the earlier lease was then written more than a second before.
+- This controller leases the same permits anew only ``lease_s + PERMIT_RELEASE_DELAY_S`` after it gave them: the last
+  request under the earlier lease was then written more than a second before.
 - A controller that starts gives out nothing until all leases of an earlier life are over; the same span covers one
   that takes the place of a dead one.
 - A takeover of the lead changes nothing: leader or not, each controller leases its share. A cut takes permits away
@@ -26,7 +26,12 @@
 from random import Random
 from typing import NamedTuple
 
-from cranebank.membership.warm_up import LEASE_MOST_S, PERMIT_S, RELEASE_S, WarmUpLimit
+from cranebank.membership.warm_up import (
+    MAX_PERMIT_LEASE_S,
+    PERMIT_RELEASE_DELAY_S,
+    PERMIT_REUSE_INTERVAL_S,
+    WarmUpLimit,
+)
 from cranebank.transport.messages import WarmUpPermits
 
 CONTROLLERS_LEAST = 3  # that count, however few are known
@@ -57,7 +62,7 @@
 def max_permits(limit: WarmUpLimit, bound: RateBound) -> int:
     """The permits for one backend, over all controllers: no more than its rate allows over the time that a permit is in
     use, and no more than the rule's bound allows within one second."""
-    return int(min(limit.per_s * PERMIT_S, limit.per_s * bound.over + bound.slack))
+    return int(min(limit.per_s * PERMIT_REUSE_INTERVAL_S, limit.per_s * bound.over + bound.slack))
 
 
 class PermitIssuer:
@@ -66,7 +71,7 @@
     def __init__(self, now: float, random: Random, ip: str, tolerated_losses: int, bound: RateBound) -> None:
         self._random, self._ip, self._bound = random, ip, bound
         self._controllers_least = max(2 * tolerated_losses + 1, CONTROLLERS_LEAST)
-        self._quiet_until = now + LEASE_MOST_S + RELEASE_S
+        self._quiet_until = now + MAX_PERMIT_LEASE_S + PERMIT_RELEASE_DELAY_S
         self._clocks: dict[Hashable, _Clock] = {}  # of the proxies that are linked
         self._leased: dict[str, float] = {}  # by backend: when its permits may be leased anew
 
@@ -114,8 +119,8 @@
     def _lease(
         self, now: float, backend: ColdBackend, drawn: Counter[Hashable]
     ) -> list[tuple[Hashable, WarmUpPermits]]:
-        lease_s = min(LEASE_MOST_S, backend.until - now + CLOCK_MAX_AGE_S)
-        self._leased[backend.id] = now + lease_s + RELEASE_S
+        lease_s = min(MAX_PERMIT_LEASE_S, backend.until - now + CLOCK_MAX_AGE_S)
+        self._leased[backend.id] = now + lease_s + PERMIT_RELEASE_DELAY_S
         return [
             (link, WarmUpPermits(backend.id, permits, self._clocks[link].clock + lease_s))
             for link, permits in drawn.items()
--- a/cranebank/dataplane/cold_backends.py
+++ b/cranebank/dataplane/cold_backends.py
@@ -1,8 +1,9 @@
 """The cold backends that one proxy knows of, and its permits to send to them: the core, free of I/O.
 
 Guarantee, to the services that name a limit: while a backend is told to be cold, a call goes there only under a permit
-that is free, and is written within ``SEND_WITHIN_S`` of the permit's use or not at all. A permit is free again
-``PERMIT_S`` after its use. Who was not reached may come back cold before anybody tells: for a while others go first.
+that is free, and is written within ``PERMIT_SEND_TIMEOUT_S`` of the permit's use or not at all. A permit is free again
+``PERMIT_REUSE_INTERVAL_S`` after its use. Who was not reached may come back cold before anybody tells: for a while
+others go first.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.membership.backends import replace_cold_left
-from cranebank.membership.warm_up import PERMIT_S, SEND_WITHIN_S, Limits
+from cranebank.membership.warm_up import PERMIT_REUSE_INTERVAL_S, PERMIT_SEND_TIMEOUT_S, Limits
 from cranebank.transport.messages import Backend
 
 COLD_MARGIN_S = 0.15  # longer than told, for what tells it may have been under way
@@ -117,9 +118,9 @@
         free permit."""
         for permit in self._states[backend.id].permits:
             if permit.is_free(now):
-                permit.free_at = now + PERMIT_S
+                permit.free_at = now + PERMIT_REUSE_INTERVAL_S
                 self._states[backend.id].calls += 1
-                return now + SEND_WITHIN_S
+                return now + PERMIT_SEND_TIMEOUT_S
         return None
 
     def as_of(self, now: float, record: Backend) -> Backend:
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -333,7 +333,7 @@
         now = asyncio.get_running_loop().time()
         return self.shared.load.report(now, self.shared.candidates.views.values())
 
-    def noted(self, backend: str, part: str, tokens: int) -> None:
+    def record_cached_prefix(self, backend: str, part: str, tokens: int) -> None:
         """A neighbour had this backend read a prompt up to and with this shared part."""
         record = self.shared.candidates.records.get(backend)
         service = self.table.services.get(record.target) if record is not None and self.table is not None else None
@@ -351,7 +351,7 @@
             seen.slowness.observe(now, told.slowness)
         self.shared.choices.pairs.begin_prefill(now, seen.backend.target, seen, told.tokens)
         if told.part:
-            self.noted(told.backend, told.part, told.shared)
+            self.record_cached_prefix(told.backend, told.part, told.shared)
 
     @property
     def ready(self) -> bool:
--- a/cranebank/membership/backends.py
+++ b/cranebank/membership/backends.py
@@ -36,6 +36,6 @@
     return record if record.cold_left_ms == left_ms else msgspec.structs.replace(record, cold_left_ms=left_ms)
 
 
-def differs(old: Backend | None, new: Backend) -> bool:
+def is_material_change(old: Backend | None, new: Backend) -> bool:
     """Whether anything but the count of calls changed: only then is it news for others."""
     return old is None or msgspec.structs.replace(old, call_seq=new.call_seq, cold_left_ms=new.cold_left_ms) != new
--- a/cranebank/membership/fleet.py
+++ b/cranebank/membership/fleet.py
@@ -17,8 +17,8 @@
     EvacuationsAck,
     Hello,
     HoldOff,
+    LinkHeartbeat,
     Message,
-    Pulse,
     Push,
     PushAck,
     RegistrySync,
@@ -48,7 +48,7 @@
     def known(self) -> tuple[Backend, ...]:
         """All records."""
 
-    def told_proxies(self, count: int) -> None:
+    def set_proxy_count(self, count: int) -> None:
         """The told number of proxies."""
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
@@ -131,7 +131,9 @@
 
     def link_up(self, link: Link) -> None:
         """A controller answers: say who we are and all that we know."""
-        link.pulse = lambda: Pulse(self._plane.revision, loads=self._plane.loads(), clock_ms=self._plane.clock_ms())
+        link.make_heartbeat = lambda: LinkHeartbeat(
+            self._plane.revision, loads=self._plane.loads(), clock_ms=self._plane.clock_ms()
+        )
         link.send(self._hello())
 
     def link_message(self, link: Link, message: Message) -> None:
@@ -148,10 +150,10 @@
                 self._proxies_named[link] = neighbours
                 self._name_neighbours()
                 self._proxies = max(self._proxies, proxies)
-                self._plane.told_proxies(self._proxies)
+                self._plane.set_proxy_count(self._proxies)
                 self._lists[link] = controllers
                 self.name(controllers)
-            case Pulse(revision, is_current, epoch):
+            case LinkHeartbeat(revision, is_current, epoch):
                 self._hear_controller(revision, is_current, epoch)
             case Evacuations(number, zones):
                 link.send(EvacuationsAck(self._plane.evacuate(number, zones)))
--- a/cranebank/membership/loads.py
+++ b/cranebank/membership/neighbour_loads.py
@@ -16,7 +16,7 @@
 BACKENDS = 1024  # for each of them
 LARGEST = 1 << 40  # a figure beyond this is none
 
-Sums = dict[str, tuple[int, int]]
+LoadSums = dict[str, tuple[int, int]]
 
 
 class _Proxy:
@@ -29,14 +29,14 @@
         self.figures: dict[str, tuple[int, int, float]] = {}
 
 
-class Loads:
+class NeighbourLoads:
     """Sums of neighbours' figures."""
 
     def __init__(self) -> None:
         self._proxies: dict[str, _Proxy] = {}
-        self._sums: Sums = {}
+        self._sums: LoadSums = {}
 
-    def merge(self, now: float, ip: str, number: int, loads: Iterable[Load]) -> Sums:
+    def merge(self, now: float, ip: str, number: int, loads: Iterable[Load]) -> LoadSums:
         """Take a neighbour's figures; older ones than it told before are left out. The sums that changed."""
         proxy = self._proxies.get(ip)
         if proxy is None:
@@ -46,7 +46,7 @@
         if number <= proxy.number and now - proxy.at <= KEPT_S:
             return {}  # overtaken on its way; one that began anew counts from the start after KEPT_S
         proxy.number, proxy.at = number, now
-        changed: Sums = {}
+        changed: LoadSums = {}
         for load in loads:
             if not (0 <= load.calls <= LARGEST and 0 <= load.tokens <= LARGEST):
                 continue
@@ -61,9 +61,9 @@
             self._add(load.backend, load.calls - old_calls, load.tokens - old_tokens, changed)
         return changed
 
-    def expire(self, now: float) -> Sums:
+    def expire(self, now: float) -> LoadSums:
         """Let go of what is too old. The sums that changed."""
-        changed: Sums = {}
+        changed: LoadSums = {}
         for ip, proxy in list(self._proxies.items()):
             for backend, (calls, tokens, at) in list(proxy.figures.items()):
                 if now - at > KEPT_S:
@@ -73,11 +73,11 @@
                 del self._proxies[ip]
         return changed
 
-    def sums(self) -> Sums:
+    def sums(self) -> LoadSums:
         """All sums that are not zero: calls and tokens by backend."""
         return dict(self._sums)
 
-    def _add(self, backend: str, calls: int, tokens: int, changed: Sums) -> None:
+    def _add(self, backend: str, calls: int, tokens: int, changed: LoadSums) -> None:
         if not calls and not tokens:
             return
         old_calls, old_tokens = self._sums.get(backend, (0, 0))
--- a/cranebank/membership/neighbours.py
+++ b/cranebank/membership/neighbours.py
@@ -18,21 +18,31 @@
 from cranebank import background
 from cranebank.decayed_rate import DecayedRate
 from cranebank.invariants import broken
-from cranebank.membership.loads import Loads, Sums
-from cranebank.membership.outbox import Outbox
-from cranebank.membership.views import Event, FetchEnded, FetchFrom, Heard, SendShuffle, Shown, Tick, Views, Welcomed
+from cranebank.membership.neighbour_loads import LoadSums, NeighbourLoads
+from cranebank.membership.outbox import GossipOutbox
+from cranebank.membership.partial_view import (
+    Event,
+    FetchEnded,
+    FetchFrom,
+    Heard,
+    PartialView,
+    SendShuffle,
+    Shown,
+    Tick,
+    Welcomed,
+)
 from cranebank.transport.frames import BadFrame, decode_datagram, encode
 from cranebank.transport.links import Link, dial, listen
 from cranebank.transport.messages import (
     Backend,
+    CachedPrefix,
     ConfigPush,
     Evacuations,
     Fetch,
     Gossip,
+    LinkHeartbeat,
     Message,
-    Note,
     PrefillBegun,
-    Pulse,
     Push,
     Shuffle,
 )
@@ -77,10 +87,10 @@
     def out(self) -> Iterable[tuple[str, int, int]]:
         """Calls and tokens that this proxy has out at each backend."""
 
-    def others(self, sums: Sums) -> None:
+    def set_neighbour_loads(self, sums: LoadSums) -> None:
         """Calls and tokens that neighbours have out at these backends."""
 
-    def noted(self, note: Note) -> None:
+    def record_cached_prefix(self, note: CachedPrefix) -> None:
         """A neighbour had a backend read a shared part."""
 
     def reading_begun(self, told: PrefillBegun) -> None:
@@ -97,7 +107,7 @@
         self, plane: Surroundings, named: Callable[[], tuple[str, ...]], ip: str, port: int, random: Random
     ) -> None:
         self._plane, self._named, self._ip, self._port = plane, named, ip, port
-        self.views, self.loads, self.outbox = Views(ip, random), Loads(), Outbox()
+        self.views, self.loads, self.outbox = PartialView(ip, random), NeighbourLoads(), GossipOutbox()
         self.counters: dict[str, int] = {}
         self._welcomed: tuple[str, ...] = ()
         self._digest = (b"", 0)
@@ -144,7 +154,7 @@
 
     def read(self, backend: str, part: str, tokens: int) -> None:
         """A backend has read a prompt up to and with this shared part for us."""
-        self.outbox.note(Note(backend, part, tokens))
+        self.outbox.note(CachedPrefix(backend, part, tokens))
 
     def changes(self, records: Iterable[Backend]) -> None:
         """Records came that are not merged yet."""
@@ -176,7 +186,7 @@
             self._do(now, Welcomed(named))
             self._plane.prefill_reporters(len({*named} - {self._ip}))
         self._do(now, Tick(self._plane.revision))
-        self._plane.others(self.loads.expire(now))
+        self._plane.set_neighbour_loads(self.loads.expire(now))
         gossip = self.outbox.next(now, self._plane.revision, self.digest, self._plane.out())
         if gossip is not None:
             frame = encode(gossip)
@@ -242,9 +252,9 @@
                 self._do(now, Heard(ip, view, is_reply, exchange))
             case Gossip(number, revision, digest, loads, notes, news):
                 self._shown(now, ip, revision, digest)
-                self._plane.others(self.loads.merge(now, ip, number, loads))
+                self._plane.set_neighbour_loads(self.loads.merge(now, ip, number, loads))
                 for note in notes:
-                    self._plane.noted(note)
+                    self._plane.record_cached_prefix(note)
                 if news:
                     self._learn(news)
             case PrefillBegun():
@@ -289,7 +299,7 @@
     def link_up(self, link: Link) -> None:
         """A neighbour fetches, or we do."""
         self._links.add(link)
-        link.pulse = lambda: Pulse(self._plane.revision)
+        link.make_heartbeat = lambda: LinkHeartbeat(self._plane.revision)
         if not link.dialled and len(self._links) > LINKS:
             link.close()
 
@@ -310,7 +320,7 @@
             case Push(_, backends) if link.dialled:
                 self._learn(backends)
                 self._fetched.set()
-            case Pulse():
+            case LinkHeartbeat():
                 pass
             case _:
                 logger.warning("from {}: {} is not for a neighbour", link.peer, type(message).__name__)
--- a/cranebank/membership/outbox.py
+++ b/cranebank/membership/outbox.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cranebank.membership.backends import newer
-from cranebank.transport.messages import Backend, Gossip, Load, Note
+from cranebank.transport.messages import Backend, CachedPrefix, Gossip, Load
 
 LOADS_S = 0.2  # between two tellings of loads while there are any
 IDLE_S = 1.0  # between two tellings of nothing
@@ -22,11 +22,11 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Outbox:
+class GossipOutbox:
     """Notes and news that wait, and the loads told last. ``next`` is to be called each 0.1 s."""
 
     def __init__(self) -> None:
-        self._notes: dict[tuple[str, str], Note] = {}
+        self._notes: dict[tuple[str, str], CachedPrefix] = {}
         self._news: dict[str, Backend] = {}
         self._told: dict[str, tuple[int, int]] = {}  # loads, as told last
         self._loads_at = self._any_at = float("-inf")
@@ -34,7 +34,7 @@
         self._turn = 0
         self.left_out = 0  # too long, or too many to be told
 
-    def note(self, note: Note) -> None:
+    def note(self, note: CachedPrefix) -> None:
         """A backend has read a shared part."""
         if len(_encoder.encode(note)) > NOTE_BYTES:
             self.left_out += 1
--- a/cranebank/membership/views.py
+++ b/cranebank/membership/partial_view.py
@@ -20,11 +20,11 @@
 
 MOST = 12  # neighbours
 PART = 6  # of the view that goes into one shuffle, the sender included
-ROUND_S = 1.0
-ANSWER_S = 0.3  # an answer that takes longer is lost
+SHUFFLE_INTERVAL_S = 1.0
+SHUFFLE_REPLY_TIMEOUT_S = 0.3  # an answer that takes longer is lost
 OLDEST = 30  # rounds
 EXCHANGE_BITS = 32  # of the number drawn for each shuffle: no later one, of this life or the next, has it again
-BEHIND_S = 0.5  # controllers have so long to bring a newer configuration before a neighbour is asked for it
+FETCH_DELAY_S = 0.5  # controllers have so long to bring a newer configuration before a neighbour is asked for it
 
 
 class Asking(Enum):
@@ -120,7 +120,7 @@
         return False
 
 
-class Views:
+class PartialView:
     """The view of one proxy."""
 
     def __init__(self, ip: str, random: Random) -> None:
@@ -157,7 +157,7 @@
                 self._revision = revision
                 self._look_at_answer(now, actions)
                 if now >= self._next_round:
-                    self._next_round = now + ROUND_S * self._random.uniform(0.9, 1.1)
+                    self._next_round = now + SHUFFLE_INTERVAL_S * self._random.uniform(0.9, 1.1)
                     self._begin_round(now, actions)
                 self._look_at_revision(now, actions)
             case Heard():
@@ -195,7 +195,7 @@
             self._ask(now, actions)
 
     def _ask(self, now: float, actions: list[Action]) -> None:
-        self._answer_by = now + ANSWER_S
+        self._answer_by = now + SHUFFLE_REPLY_TIMEOUT_S
         actions.append(SendShuffle(self._asked, ((self._ip, 0), *self._sent), False, self._exchange))
 
     def _look_at_answer(self, now: float, actions: list[Action]) -> None:
@@ -261,7 +261,7 @@
         elif self._standing is Standing.CURRENT:
             self._behind_since = now
             self._stand(Standing.BEHIND)
-        elif now - self._behind_since >= BEHIND_S:
+        elif now - self._behind_since >= FETCH_DELAY_S:
             self._stand(Standing.FETCHING)
             actions.append(FetchFrom(self._newer_ip))
 
--- a/cranebank/membership/warm_up.py
+++ b/cranebank/membership/warm_up.py
@@ -4,8 +4,9 @@
 to a cold backend is counted out by permits. A controller leases permits to proxies (``control/warm_up.py``), and a
 proxy sends to a cold backend under a permit only (``dataplane/cold_backends.py``). Times are seconds.
 
-One permit never lets two requests be written within one second: a call under it is written within ``SEND_WITHIN_S`` of
-its use or not at all, and the permit is free again ``PERMIT_S`` after its use.
+One permit never lets two requests be written within one second: a call under it is written within
+``PERMIT_SEND_TIMEOUT_S`` of its use or not at all, and the permit is free again ``PERMIT_REUSE_INTERVAL_S`` after its
+use.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 import msgspec
 
 SECOND_S = 1.0  # over which the rule counts requests
-SEND_WITHIN_S = 0.34  # of the use of a permit: the longest dial, and a little
-PERMIT_S = 1.35  # from one use of a permit to the next: more than SECOND_S and SEND_WITHIN_S together
-LEASE_MOST_S = 6.0  # the longest lease of a permit
+PERMIT_SEND_TIMEOUT_S = 0.34  # of the use of a permit: the longest dial, and a little
+PERMIT_REUSE_INTERVAL_S = 1.35  # between two uses of a permit: more than SECOND_S and PERMIT_SEND_TIMEOUT_S together
+MAX_PERMIT_LEASE_S = 6.0  # the longest lease of a permit
 CLOCK_DRIFT_S = 0.1  # by which two steady clocks differ over a lease at most
-RELEASE_S = PERMIT_S + CLOCK_DRIFT_S  # from the end of a lease until its permit may be leased anew
+PERMIT_RELEASE_DELAY_S = PERMIT_REUSE_INTERVAL_S + CLOCK_DRIFT_S  # from the end of a lease to the permit's next lease
 
 
 class WarmUpLimit(msgspec.Struct, frozen=True):
--- a/cranebank/programs/control.py
+++ b/cranebank/programs/control.py
@@ -35,7 +35,7 @@
     """What was read from the disk, the disk, and whether it was damaged; a disk in trouble is tried again."""
     if settings.data_dir is None:
         return {}, NoDisk(), False
-    from cranebank.storage.store import Disk, open_store  # noqa: PLC0415
+    from cranebank.storage.store import AsyncStore, open_store  # noqa: PLC0415
 
     while True:
         try:
@@ -46,7 +46,7 @@
             continue
         if damage is not None:
             logger.error("{}", damage)
-        return dict(store.values), Disk(store), damage is not None
+        return dict(store.values), AsyncStore(store), damage is not None
 
 
 def is_counted_in_machines(settings: NodeSettings) -> bool:
--- a/cranebank/programs/controller.py
+++ b/cranebank/programs/controller.py
@@ -31,7 +31,7 @@
 from cranebank.programs.settings import NodeSettings, SettingsError
 from cranebank.programs.stage_duty import StageDuty
 from cranebank.programs.tally_service import TallyDisk, TallyService
-from cranebank.transport.links import PULSE_S, Link, listen
+from cranebank.transport.links import LINK_HEARTBEAT_INTERVAL_S, Link, listen
 from cranebank.transport.messages import Backend, ConfigAck, Message
 
 TICK_S = 0.05
@@ -40,7 +40,7 @@
 SUCCESSOR_S = 1.0  # how long a primary that ends waits for another one to send callers on to
 FINISH_S = 2.0  # for the calls under way when the process ends
 END_MARGIN_S = 1.0  # of the grace period, left over at the end
-PRIMARY_HEARD_S = 2 * PULSE_S  # callers are sent on only to a primary whose link was heard within this time
+PRIMARY_HEARD_S = 2 * LINK_HEARTBEAT_INTERVAL_S  # callers are sent on only to a primary heard from within this time
 
 
 class Controller:
@@ -191,7 +191,7 @@
         if not found or found == self._settings.ip or not self._driver.in_contact(now):
             return None
         link = self._links.to(found)
-        return found if link is not None and now - link.heard < PRIMARY_HEARD_S else None
+        return found if link is not None and now - link.last_received_at < PRIMARY_HEARD_S else None
 
     def control_port(self) -> int:
         """The port of all controllers."""
@@ -336,7 +336,7 @@
         self._look_for_controllers(now)
         own = {self._settings.ip}
         members = {ip_of(member) for member in self._consensus.status(now).members}
-        self.tallies.know(members - own, self._protocol.known_controllers() - own)
+        self.tallies.set_replicas(members - own, self._protocol.known_controllers() - own)
         self._registry_service.tick(now)
         self.publish_registry()
         self._local_state.keep_registry(now, self.registry.all_records, len(self.registry.records))
--- a/cranebank/programs/controller_protocol.py
+++ b/cranebank/programs/controller_protocol.py
@@ -25,8 +25,8 @@
     ConsensusEnvelope,
     EvacuationsAck,
     Hello,
+    LinkHeartbeat,
     Message,
-    Pulse,
     PushAck,
     RegistryAck,
     RegistrySync,
@@ -66,7 +66,7 @@
 
     def link_up(self, link: Link) -> None:
         """A connection stands; whoever dialled says Hello."""
-        link.pulse = self._pulse
+        link.make_heartbeat = self._pulse
         if not link.dialled:
             return
         self._links.add(link)
@@ -94,7 +94,7 @@
                 self._driver.receive(link, body)
             case PushAck(number):
                 self._delivery.acknowledged(link, number)
-            case Pulse(revision):
+            case LinkHeartbeat(revision):
                 self._delivery.observe_revision(link, revision)
                 self.loads.report(self._now(), link, message.loads)
                 self._registry.report_clock(link, message.clock_ms / MS_PER_S)
@@ -129,9 +129,9 @@
         self._delivery.update_controllers(known)
         self._links.dial(self, known)
 
-    def _pulse(self) -> Pulse:
+    def _pulse(self) -> LinkHeartbeat:
         now, revision = self._now(), self._delivery.revision
-        return Pulse(revision, self._driver.is_current(now, revision), self._consensus.status(now).epoch)
+        return LinkHeartbeat(revision, self._driver.is_current(now, revision), self._consensus.status(now).epoch)
 
     def _greet(self, link: Link, hello: Hello) -> None:
         is_proxy = hello.role != "controller"
--- a/cranebank/programs/controller_status.py
+++ b/cranebank/programs/controller_status.py
@@ -21,7 +21,7 @@
     tallies: TallyService,
 ) -> dict[str, Any]:
     """The state as a document; ``status`` is the consensus core's."""
-    figures, counts = tallies.figures, tallies.counts
+    stats, counts = tallies.stats, tallies.counts
     return {
         "node": node_name,
         "is_primary": is_primary,
@@ -49,13 +49,13 @@
             if peer.slot >= 0
         ],
         "tallies": {
-            "names": figures.tallies,
-            "held": figures.held,
-            "folded": figures.folded,
+            "names": stats.tallies,
+            "held": stats.held,
+            "folded": stats.folded,
             "waiting": counts.waiting,
             "acknowledged": counts.acknowledged,
             "refused": counts.refused,
             "unclear": counts.unclear,
-            "lag": figures.lag,
+            "lag": stats.lag,
         },
     }
--- a/cranebank/programs/edge.py
+++ b/cranebank/programs/edge.py
@@ -16,11 +16,11 @@
 from cranebank.dataplane.proxy import Proxy, RetryRule
 from cranebank.dataplane.readiness import Readiness
 from cranebank.membership.fleet import FleetLinks
-from cranebank.membership.loads import Sums
+from cranebank.membership.neighbour_loads import LoadSums
 from cranebank.membership.neighbours import Neighbours
 from cranebank.programs.ring import Ring
 from cranebank.programs.settings import NodeSettings, SettingsError, load
-from cranebank.transport.messages import Backend, Hello, Note, PrefillBegun, StageLoad, WarmUpPermits
+from cranebank.transport.messages import Backend, CachedPrefix, Hello, PrefillBegun, StageLoad, WarmUpPermits
 
 if TYPE_CHECKING:
     from cranebank.programs.metrics import Exporter
@@ -72,7 +72,7 @@
             if seen.calls or seen.tokens
         )  # looked for only when loads are due
 
-    def others(self, sums: Sums) -> None:
+    def set_neighbour_loads(self, sums: LoadSums) -> None:
         """Calls and tokens that neighbours have out at these backends."""
         if not self._proxy.shared.choices.policy.told_loads:
             return
@@ -83,9 +83,9 @@
             if seen is not None:
                 seen.others_calls, seen.others_tokens = calls, tokens
 
-    def noted(self, note: Note) -> None:
+    def record_cached_prefix(self, note: CachedPrefix) -> None:
         """A neighbour had a backend read a shared part."""
-        self._proxy.noted(note.backend, note.part, note.tokens)
+        self._proxy.record_cached_prefix(note.backend, note.part, note.tokens)
 
     def reading_begun(self, told: PrefillBegun) -> None:
         """Another proxy has asked a backend to read a prompt."""
@@ -123,7 +123,7 @@
         """What this proxy asks of the stages of each service."""
         return self._proxy.loads()
 
-    def told_proxies(self, count: int) -> None:
+    def set_proxy_count(self, count: int) -> None:
         """The told number of proxies."""
         self._proxy.shared.choices.draws.proxies = max(1, count)
 
--- a/cranebank/programs/metrics.py
+++ b/cranebank/programs/metrics.py
@@ -241,21 +241,21 @@
 
 
 def _of_tallies(prefix: str, tallies: TallyService) -> list[Metric]:
-    figures, counts = tallies.figures, tallies.counts
+    stats, counts = tallies.stats, tallies.counts
 
     def gauge(name: str, text: str, value: int) -> Metric:
         return Metric(f"{prefix}tally_{name}", "gauge", text, value)
 
     return [
-        gauge("names", "Tallies that were ever added to.", figures.tallies),
-        gauge("adds_held", "Adds to tallies whose ids are held.", figures.held),
-        gauge("adds_folded", "Adds to tallies that are known by their sums only.", figures.folded),
-        gauge("origins", "Lives of controllers that have taken adds to tallies.", figures.origins),
+        gauge("names", "Tallies that were ever added to.", stats.tallies),
+        gauge("adds_held", "Adds to tallies whose ids are held.", stats.held),
+        gauge("adds_folded", "Adds to tallies that are known by their sums only.", stats.folded),
+        gauge("origins", "Lives of controllers that have taken adds to tallies.", stats.origins),
         gauge("calls_waiting", "Adds to tallies that wait to be durable on enough controllers.", counts.waiting),
         gauge(
             "lag",
             "Most adds held here that a linked controller doesn't have on its disk.",
-            max(figures.lag.values(), default=0),
+            max(stats.lag.values(), default=0),
         ),
         Metric(
             f"{prefix}tally_calls_total",
--- a/cranebank/programs/registry_service.py
+++ b/cranebank/programs/registry_service.py
@@ -133,11 +133,11 @@
     def _take(self, source: str, sync: RegistrySync) -> None:
         now = self._now()
         self.registry.merge(now, sync.backends)
-        asks = self.registry.heard(now, sync.heard)
+        requested_ids = self.registry.heard(now, sync.heard)
         self.publish()
-        answers = self.registry.as_of(now, self.registry.records_of(sync.asks))
-        if asks or answers:
-            self._tell(source, RegistrySync(answers, asks=asks))
+        answers = self.registry.as_of(now, self.registry.records_of(sync.requested_ids))
+        if requested_ids or answers:
+            self._tell(source, RegistrySync(answers, requested_ids=requested_ids))
 
     def _tell(self, ip: str, sync: RegistrySync) -> None:
         link = self._links.to(ip)
--- a/cranebank/programs/stage_duty.py
+++ b/cranebank/programs/stage_duty.py
@@ -204,7 +204,7 @@
                 raise AssertionError("an order is written where its connection was told of")
 
     async def _order(self, number: int, backend: Backend) -> None:
-        connection = await connect(backend.address, CONNECT_S, most_bytes=ANSWER_BYTES)
+        connection = await connect(backend.address, CONNECT_S, max_bytes=ANSWER_BYTES)
         if connection is None:
             self._feed(NotConnected(number))
             return
@@ -232,7 +232,7 @@
             self._feed(Unanswered(transmit.number))
 
     async def _report(self, number: int, backend: Backend) -> None:
-        connection = await connect(backend.address, CONNECT_S, most_bytes=ANSWER_BYTES)
+        connection = await connect(backend.address, CONNECT_S, max_bytes=ANSWER_BYTES)
         if connection is None:
             self._feed(Unreported(number))
             return
--- a/cranebank/programs/tally_service.py
+++ b/cranebank/programs/tally_service.py
@@ -18,7 +18,7 @@
 from loguru import logger
 
 from cranebank.background import BackgroundTasks, report_unhandled
-from cranebank.control.tallies.replica import Figures, Message, Refused, ReplicaSettings, TallyReplica
+from cranebank.control.tallies.replica import LimitReached, Message, TallyReplica, TallyReplicaSettings, TallyStats
 from cranebank.invariants import broken
 from cranebank.programs.controller_links import ControllerLinks
 from cranebank.programs.local_state import LAST_S, Storage
@@ -69,13 +69,13 @@
         self._is_writing = self._is_closed = False
         self.counts = Counts()
 
-    async def amend(self, tally: str, call_id: str, amount: int) -> bool | Refused:
+    async def amend(self, tally: str, call_id: str, amount: int) -> bool | LimitReached:
         """Add once by this id; whether that is durable in time, or the bound because of which nothing was done."""
         if self.counts.waiting >= MOST_WAITING:
             self.counts.refused += 1
-            return Refused("waiting", MOST_WAITING)
+            return LimitReached("waiting", MOST_WAITING)
         placed = self._replica.add(self._now(), tally, call_id, amount)
-        if isinstance(placed, Refused):
+        if isinstance(placed, LimitReached):
             self.counts.refused += 1
             return placed
         self._proceed()
@@ -103,21 +103,21 @@
         self._replica.receive(self._now(), ip, message)
         self._proceed()
 
-    def know(self, members: Collection[str], known: Collection[str]) -> None:
+    def set_replicas(self, members: Collection[str], known: Collection[str]) -> None:
         """The IPs of the other controllers that vote, and of all others."""
         self._known = known
-        self._replica.know(members, known)
+        self._replica.set_replicas(members, known)
 
     def tick(self) -> None:
         """Time passes."""
         links = [self._links.to(ip) for ip in self._known]
-        self._replica.tick(self._now(), {link.peer: link.heard for link in links if link is not None})
+        self._replica.tick(self._now(), {link.peer: link.last_received_at for link in links if link is not None})
         self._proceed()
 
     @property
-    def figures(self) -> Figures:
+    def stats(self) -> TallyStats:
         """The state, for people and metrics."""
-        return self._replica.figures
+        return self._replica.stats
 
     async def close(self) -> None:
         """The last write; a disk that hangs holds up no end."""
@@ -188,10 +188,10 @@
                 del self._waiting[origin]
 
 
-def replica_settings(settings: NodeSettings, random: Random) -> ReplicaSettings:
+def replica_settings(settings: NodeSettings, random: Random) -> TallyReplicaSettings:
     """What a replica is to know of its deployment."""
     tolerance = settings.tolerance
-    return ReplicaSettings(
+    return TallyReplicaSettings(
         f"{random.getrandbits(64):016x}",
         settings.failure_domain(settings.zone),
         tolerance.machines + 1,
--- a/cranebank/programs/timing.py
+++ b/cranebank/programs/timing.py
@@ -81,11 +81,11 @@
 
 def _proxy_requirements() -> Iterable[TimingRequirement]:
     from cranebank.dataplane import backend_connections  # noqa: PLC0415
-    from cranebank.membership import views  # noqa: PLC0415
+    from cranebank.membership import partial_view  # noqa: PLC0415
     from cranebank.transport import links  # noqa: PLC0415
 
-    redial_s = links.SILENCE_S + links.DIAL_S
-    fetch_s = views.BEHIND_S + views.ROUND_S + views.ANSWER_S
+    redial_s = links.LINK_TIMEOUT_S + links.DIAL_TIMEOUT_S
+    fetch_s = partial_view.FETCH_DELAY_S + partial_view.SHUFFLE_INTERVAL_S + partial_view.SHUFFLE_REPLY_TIMEOUT_S
     yield TimingRequirement("the change from a silent link to another", redial_s, "drain_ms")
     yield TimingRequirement("the change from a silent link to another", redial_s, "apply_ms")
     yield TimingRequirement("the change from a silent link to another", redial_s, "contact_ms")
--- a/cranebank/storage/store.py
+++ b/cranebank/storage/store.py
@@ -224,7 +224,7 @@
         return Store(files, name), damage
 
 
-class Disk:
+class AsyncStore:
     """The asyncio end of a store: one worker thread does all blocking I/O, and puts that wait go in one write."""
 
     def __init__(self, store: Store) -> None:
--- a/cranebank/transport/frames.py
+++ b/cranebank/transport/frames.py
@@ -21,7 +21,7 @@
     "length" / construct.Int32ub,
     "checksum" / construct.Int32ub,
 ).compile()
-SIZE = 12
+HEADER_BYTES = 12
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
@@ -61,16 +61,16 @@
         found: list[Message] = []
         while True:
             if not self._wanted:
-                if len(self._held) < SIZE:
+                if len(self._held) < HEADER_BYTES:
                     return found
                 try:
-                    head = HEADER.parse(bytes(self._held[:SIZE]))
+                    head = HEADER.parse(bytes(self._held[:HEADER_BYTES]))
                 except construct.ConstructError as error:
                     raise BadFrame("magic", type(error).__name__) from None
                 if head.kind != 1 or not 0 < head.length <= MOST:
                     raise BadFrame("length", f"expected up to {MOST} bytes of kind 1, got {head.length} of {head.kind}")
                 self._wanted, self._checksum = head.length, head.checksum
-                del self._held[:SIZE]
+                del self._held[:HEADER_BYTES]
             if len(self._held) < self._wanted:
                 return found
             body = bytes(self._held[: self._wanted])
--- a/cranebank/transport/http_client.py
+++ b/cranebank/transport/http_client.py
@@ -31,10 +31,10 @@
 
 class HttpLink(asyncio.Protocol):
     """A client's connection. ``stray`` hears of bytes that come while nothing is asked; an answer of more than
-    ``most_bytes`` is not whole."""
+    ``max_bytes`` is not whole."""
 
-    def __init__(self, stray: Callable[[bytes], None] | None = None, most_bytes: int = UNBOUNDED) -> None:
-        self._stray, self._most_bytes = stray, most_bytes
+    def __init__(self, stray: Callable[[bytes], None] | None = None, max_bytes: int = UNBOUNDED) -> None:
+        self._stray, self._most_bytes = stray, max_bytes
         self._transport: asyncio.Transport | None = None
         self._answer: Answer | None = None
         self._done: asyncio.Future[None] | None = None
@@ -146,13 +146,13 @@
     address: str,
     seconds: float = 1.0,
     stray: Callable[[bytes], None] | None = None,
-    most_bytes: int = UNBOUNDED,
+    max_bytes: int = UNBOUNDED,
     local_ip: str = "",
 ) -> HttpLink | None:
     """A connection, or none if it isn't up in time or the address can't be read. ``local_ip``: what it comes from; else
     the system chooses."""
     host, _, port = address.rpartition(":")
-    link = HttpLink(stray, most_bytes)
+    link = HttpLink(stray, max_bytes)
     local = (local_ip, 0) if local_ip else None
     try:
         async with asyncio.timeout(seconds):
--- a/cranebank/transport/links.py
+++ b/cranebank/transport/links.py
@@ -4,8 +4,8 @@
 link that is over, so nothing of an older connection can pass for the newer one's. A peer's next life says another
 ``Hello.life``.
 
-A link is given up when nothing came for ``SILENCE_S``, when its frames are damaged, or when its peer does not read and
-more than ``BACKLOG`` bytes wait for it: whoever dialled it dials again and gets a fresh state instead.
+A link is given up when nothing came for ``LINK_TIMEOUT_S``, when its frames are damaged, or when its peer does not read
+and more than ``BACKLOG`` bytes wait for it: whoever dialled it dials again and gets a fresh state instead.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 from cranebank import background
 from cranebank.transport.frames import BadFrame, Decoder, encode
-from cranebank.transport.messages import Message, Pulse
+from cranebank.transport.messages import LinkHeartbeat, Message
 
 BACKLOG = 12 << 20  # bytes that wait for a peer: one configuration of the largest size, and room
-PULSE_S = 0.4
-SILENCE_S = 1.3  # three pulses: a link is noticed dead well within the time that a drain has to bind
-DIAL_S = 0.35  # a machine without power says nothing: one that comes back is not waited on for long
-REDIAL_S = (0.05, 0.2)  # first pause and longest
+LINK_HEARTBEAT_INTERVAL_S = 0.4
+LINK_TIMEOUT_S = 1.3  # three pulses: a link is noticed dead well within the time that a drain has to bind
+DIAL_TIMEOUT_S = 0.35  # a machine without power says nothing: one that comes back is not waited on for long
+REDIAL_BACKOFF_S = (0.05, 0.2)  # first pause and longest
 
 
 class Owner(Protocol):
@@ -49,10 +49,10 @@
         self._decoder = Decoder()
         self._transport: asyncio.Transport | None = None
         self.peer, self.up = "", False
-        self.heard = 0.0  # steady clock, seconds
+        self.last_received_at = 0.0  # steady clock, seconds
         self._timer: asyncio.TimerHandle | None = None
         self.ended = asyncio.Event()  # set once the connection is over, also one that was over before it was up
-        self.pulse: Callable[[], Pulse] = Pulse  # makes the heartbeats
+        self.make_heartbeat: Callable[[], LinkHeartbeat] = LinkHeartbeat  # makes the heartbeats
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection stands."""
@@ -65,17 +65,17 @@
         self.peer, self.up = str(address[0]), True
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SILENCE_S * 1000))
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(LINK_TIMEOUT_S * 1000))
         loop = asyncio.get_running_loop()
-        self.heard = loop.time()
-        self._timer = loop.call_later(PULSE_S, self._beat)
+        self.last_received_at = loop.time()
+        self._timer = loop.call_later(LINK_HEARTBEAT_INTERVAL_S, self._beat)
         self._owner.link_up(self)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of frames."""
         if not self.up:
             return
-        self.heard = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         try:
             messages = self._decoder.feed(data)
         except BadFrame as error:
@@ -128,20 +128,20 @@
 
     def _beat(self) -> None:
         loop = asyncio.get_running_loop()
-        if loop.time() - self.heard > SILENCE_S:
+        if loop.time() - self.last_received_at > LINK_TIMEOUT_S:
             self.close()
             return
-        self.send(self.pulse())
-        self._timer = loop.call_later(PULSE_S, self._beat)
+        self.send(self.make_heartbeat())
+        self._timer = loop.call_later(LINK_HEARTBEAT_INTERVAL_S, self._beat)
 
 
 class Dialer:
     """Keeps one held connection to an address, dialling again for as long as it is wanted.
 
     It sleeps while its link stands: the end of the link wakes it, and one timer brings the next attempt. After a link
-    that was lost this is the first pause of ``REDIAL_S``; a link that did not even last that long is paid for with the
-    rest of it, so that a peer that accepts and closes at once is not dialled without end. After attempts that came to
-    nothing the pauses double, up to the longest.
+    that was lost this is the first pause of ``REDIAL_BACKOFF_S``; a link that did not even last that long is paid for
+    with the rest of it, so that a peer that accepts and closes at once is not dialled without end. After attempts that
+    came to nothing the pauses double, up to the longest.
     """
 
     def __init__(self, owner: Owner, local_ip: str, ip: str, port: int) -> None:
@@ -157,7 +157,7 @@
             self.link.close()
 
     async def _run(self) -> None:
-        shortest, longest = REDIAL_S
+        shortest, longest = REDIAL_BACKOFF_S
         pause = shortest
         while True:
             link = await self._dial()
@@ -193,7 +193,7 @@
     link = Link(owner, True)
     is_connected = False
     try:
-        async with asyncio.timeout(DIAL_S):
+        async with asyncio.timeout(DIAL_TIMEOUT_S):
             await asyncio.get_running_loop().create_connection(lambda: link, ip, port, local_addr=(local_ip, 0))
         is_connected = True
     finally:
--- a/cranebank/transport/messages.py
+++ b/cranebank/transport/messages.py
@@ -96,7 +96,7 @@
     decode: float
 
 
-class Pulse(msgspec.Struct, frozen=True, tag=7, array_like=True):
+class LinkHeartbeat(msgspec.Struct, frozen=True, tag=7, array_like=True):
     """A heartbeat; ``revision`` of the configuration in force at the sender. From a controller also whether it
     knows, by contact with a majority within a lease's length, that this is the newest one, and the newest epoch. From
     a proxy what it asks of backends, by service, and its steady clock (0: no permits are wanted)."""
@@ -147,14 +147,14 @@
 
 class RegistrySync(msgspec.Struct, frozen=True, tag=9, array_like=True):
     """Between controllers: backends that changed, and who was heard lately: id, call_seq, age of it in ms. A
-    ``number`` other than 0 asks for a RegistryAck; it covers everything sent before on the same connection. ``asks``
-    are ids of backends whose records are to be sent back: they were heard, and the sender holds them for lost or has
-    no record of them."""
+    ``number`` other than 0 asks for a RegistryAck; it covers everything sent before on the same connection.
+    ``requested_ids`` are ids of backends whose records are to be sent back: they were heard, and the sender holds them
+    for lost or has no record of them."""
 
     backends: tuple[Backend, ...] = ()
     heard: tuple[tuple[str, int, int], ...] = ()
     number: int = 0
-    asks: tuple[str, ...] = ()
+    requested_ids: tuple[str, ...] = ()
 
 
 class RegistryAck(msgspec.Struct, frozen=True, tag=13, array_like=True):
@@ -204,7 +204,7 @@
     tokens: int
 
 
-class Note(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class CachedPrefix(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A backend has just read a prompt up to and with this shared part: so many tokens, all of which it keeps."""
 
     backend: str
@@ -232,7 +232,7 @@
     revision: int
     digest: int
     loads: tuple[Load, ...] = ()
-    notes: tuple[Note, ...] = ()
+    notes: tuple[CachedPrefix, ...] = ()
     news: tuple[Backend, ...] = ()
 
 
@@ -286,7 +286,7 @@
     | PushAck
     | ConfigPush
     | ConfigAck
-    | Pulse
+    | LinkHeartbeat
     | ConsensusEnvelope
     | RegistrySync
     | RegistryAck
--- a/tests/controlsim/world.py
+++ b/tests/controlsim/world.py
@@ -101,7 +101,7 @@
         """All records."""
         return tuple(self.records.values())
 
-    def told_proxies(self, count: int) -> None:
+    def set_proxy_count(self, count: int) -> None:
         """Not wanted."""
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
--- a/tests/mutants_control.py
+++ b/tests/mutants_control.py
@@ -49,7 +49,7 @@
         Point.CUT_OFF,
         "callers are sent on to a primary that fell silent",
         "programs/controller.py",
-        "now - link.heard < PRIMARY_HEARD_S",
+        "now - link.last_received_at < PRIMARY_HEARD_S",
         "link.up",
         "test_control_program.py",
     ),
--- a/tests/mutants_data_plane.py
+++ b/tests/mutants_data_plane.py
@@ -160,7 +160,7 @@
     Mutant(
         Point.RIGHT_CALLER,
         "a reply to an earlier shuffle is taken for one to the present",
-        "membership/views.py",
+        "membership/partial_view.py",
         " or heard.exchange != self._exchange",
         "",
         "test_views.py",
@@ -170,7 +170,7 @@
         "a dialer looks at its link again and again",
         "transport/links.py",
         "        await link.ended.wait()",
-        "        while not link.ended.is_set():\n            await asyncio.sleep(REDIAL_S[0])",
+        "        while not link.ended.is_set():\n            await asyncio.sleep(REDIAL_BACKOFF_S[0])",
         "test_dialer.py",
     ),
     Mutant(
--- a/tests/tally_world.py
+++ b/tests/tally_world.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from cranebank.control.tallies.replica import Message, Placed, ReplicaSettings, TallyReplica
+from cranebank.control.tallies.replica import Message, Placed, TallyReplica, TallyReplicaSettings
 
 TALLY = "t"
 SETTLE_S = 6.0
@@ -24,9 +24,9 @@
     def start(self, now: float, others: list[str]) -> None:
         """Begin a life with what is on the disk."""
         self.life += 1
-        settings = ReplicaSettings(f"{self.name}{self.life}", self.name, self.copies, 1, self.life == 1)
+        settings = TallyReplicaSettings(f"{self.name}{self.life}", self.name, self.copies, 1, self.life == 1)
         self.replica = TallyReplica(settings, self.disk, now)
-        self.replica.know(others, others)
+        self.replica.set_replicas(others, others)
         self.writing, self.waiting, self.acknowledged = {}, {}, set()
 
 
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -22,7 +22,7 @@
 from cranebank.dataplane.exchange_events import Begin, Call
 from cranebank.dataplane.proxy import Proxy, RetryRule
 from cranebank.invariants import violations
-from cranebank.membership.warm_up import PERMIT_S, SEND_WITHIN_S
+from cranebank.membership.warm_up import PERMIT_REUSE_INTERVAL_S, PERMIT_SEND_TIMEOUT_S
 from cranebank.transport.messages import Backend, WarmUpPermits
 
 WARMUP_PER_S, COLD_OVER, COLD_SLACK = 23.0, 1.5, 5.0
@@ -111,7 +111,7 @@
     assert calls_of(proxy) == [] and not proxy.shared.choices.of("svc", None).has_backend(0.0, frozenset())
     permit(proxy, "0", 2)
     assert [len(calls_of(proxy)) for _ in range(4)] == [1, 1, 0, 0]
-    assert ids(proxy, PERMIT_S - 0.05) == [] and ids(proxy, PERMIT_S) == ["0"]
+    assert ids(proxy, PERMIT_REUSE_INTERVAL_S - 0.05) == [] and ids(proxy, PERMIT_REUSE_INTERVAL_S) == ["0"]
     assert proxy.shared.counters["cold_calls"] == 2 and violations() == before
 
 
@@ -138,8 +138,8 @@
     permit(proxy, "0")
     (call,) = calls_of(proxy)
     now, candidates = asyncio.get_running_loop().time(), proxy.shared.candidates
-    assert candidates.may_write(now + SEND_WITHIN_S - 0.05, call.backend, call.permitted_until)
-    assert not candidates.may_write(now + SEND_WITHIN_S + 0.05, call.backend, call.permitted_until)
+    assert candidates.may_write(now + PERMIT_SEND_TIMEOUT_S - 0.05, call.backend, call.permitted_until)
+    assert not candidates.may_write(now + PERMIT_SEND_TIMEOUT_S + 0.05, call.backend, call.permitted_until)
 
 
 @in_loop
@@ -223,7 +223,7 @@
         (record,) = made.shared.candidates.known()
         made.learn([structs.replace(record, cold_left_ms=3000, call_seq=2)])
         permit(made, "d0", 1)
-        monkeypatch.setattr(plane, "monotonic", lambda: time.monotonic() + SEND_WITHIN_S)
+        monkeypatch.setattr(plane, "monotonic", lambda: time.monotonic() + PERMIT_SEND_TIMEOUT_S)
         assert await status(address) == b"503"
         assert made.counters["legs_unsent"] == 1
         monkeypatch.setattr(plane, "monotonic", time.monotonic)
--- a/tests/test_cold_backends_wire.py
+++ b/tests/test_cold_backends_wire.py
@@ -14,14 +14,14 @@
 
 from cranebank.dataplane.proxy import Proxy, RetryRule
 from cranebank.membership.fleet import FleetLinks
-from cranebank.membership.warm_up import PERMIT_S, RELEASE_S
+from cranebank.membership.warm_up import PERMIT_RELEASE_DELAY_S, PERMIT_REUSE_INTERVAL_S
 from cranebank.programs.control import Controller
-from cranebank.storage.store import Disk, open_store
+from cranebank.storage.store import AsyncStore, open_store
 from cranebank.transport.messages import Hello
 
 LEASE_S = 1.0
 LIMIT_S = 20.0
-SHARE = int(23 * PERMIT_S) // 3  # of one controller, where three count at least
+SHARE = int(23 * PERMIT_REUSE_INTERVAL_S) // 3  # of one controller, where three count at least
 SERVICE = {"name": "s", "engine": {"capacity": 12}, "cold_s": 3.0, "warmup_per_s": 23.0}
 
 
@@ -36,7 +36,7 @@
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
     settings = settings_of(ONE, ports)
-    controller = Controller(settings, single_replica, Disk(store), Random(1), lambda: settings)
+    controller = Controller(settings, single_replica, AsyncStore(store), Random(1), lambda: settings)
     await controller.start()
     proxy = Proxy(RetryRule(0.1, 10, 1.0, True), Random(2), controller.now())
     links = FleetLinks(DataPlane(proxy), lambda: Hello("edge-1", "proxy", PROXY, "z", 1, 0, ()), PROXY, ports[0])
@@ -55,7 +55,7 @@
             await heartbeat(client, 2, 200)  # told by the controller in its quiet time: no permits
             await asyncio.sleep(0.1)
             allowed.append(calls(proxy))
-            await asyncio.sleep(LEASE_S + RELEASE_S + 0.5)
+            await asyncio.sleep(LEASE_S + PERMIT_RELEASE_DELAY_S + 0.5)
             await heartbeat(client, 3, 3000)
             await asyncio.sleep(0.2)
             allowed.append(calls(proxy))
@@ -79,7 +79,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """With a short lease, since a controller that starts waits for one."""
-    monkeypatch.setattr("cranebank.control.warm_up.LEASE_MOST_S", LEASE_S)
+    monkeypatch.setattr("cranebank.control.warm_up.MAX_PERMIT_LEASE_S", LEASE_S)
 
     async def limited() -> list[int]:
         async with asyncio.timeout(LIMIT_S):
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -37,17 +37,17 @@
 from cranebank.programs.local_state import LAST_S
 from cranebank.programs.ring import Ring, install
 from cranebank.programs.settings import NodeSettings, Tolerance
-from cranebank.storage.store import Disk, open_store
+from cranebank.storage.store import AsyncStore, open_store
 from cranebank.transport.frames import Decoder, encode, encode_items
-from cranebank.transport.links import PULSE_S, Link
+from cranebank.transport.links import LINK_HEARTBEAT_INTERVAL_S, Link
 from cranebank.transport.messages import (
     Backend,
     ConfigAck,
     ConfigPush,
     EncodedPush,
     Hello,
+    LinkHeartbeat,
     Message,
-    Pulse,
     Push,
     PushAck,
     RegistryAck,
@@ -101,7 +101,7 @@
     made = Controller(
         settings,
         lambda now, random: SingleNodeConsensus(ip, store.values, leader),
-        Disk(store),
+        AsyncStore(store),
         Random(1),
         lambda: settings,
     )
@@ -157,8 +157,8 @@
     async def send_heartbeats(self) -> None:
         """Keep the link: who is silent for long is taken for dead. They show no revision."""
         while True:
-            self.send(Pulse())
-            await asyncio.sleep(PULSE_S)
+            self.send(LinkHeartbeat())
+            await asyncio.sleep(LINK_HEARTBEAT_INTERVAL_S)
 
     async def next(self, kind: type[Message]) -> Any:
         """The next message of a kind; others before it are dropped."""
@@ -169,7 +169,7 @@
     async def until_pulses(self, count: int) -> list[Message]:
         """All messages until so many heartbeats came."""
         seen: list[Message] = []
-        while sum(isinstance(message, Pulse) for message in seen) < count:
+        while sum(isinstance(message, LinkHeartbeat) for message in seen) < count:
             seen.append(await self.next_any())
         return seen
 
@@ -507,10 +507,10 @@
             async with proxy(ports) as edge:
                 seen = await edge.until_pulses(2)
                 assert not any(isinstance(message, ConfigPush) for message in seen)
-                assert seen[-1] == Pulse(7, is_current=False, epoch=1)
+                assert seen[-1] == LinkHeartbeat(7, is_current=False, epoch=1)
                 consensus.current = 7, b"", b""
                 assert (await edge.next(ConfigPush)).revision == 7
-                assert await edge.next(Pulse) == Pulse(7, is_current=True, epoch=1)
+                assert await edge.next(LinkHeartbeat) == LinkHeartbeat(7, is_current=True, epoch=1)
 
     play(story)
 
@@ -532,7 +532,7 @@
                 consensus.is_in_contact = True
                 link = made._links.to(TWO)
                 assert link is not None
-                link.heard -= 2 * PRIMARY_HEARD_S
+                link.last_received_at -= 2 * PRIMARY_HEARD_S
                 assert link.up
                 for method, path in (("GET", READ), ("POST", REPLACE), ("POST", AMEND)):
                     status, headers, _ = await client.call(
@@ -654,7 +654,7 @@
             async with proxy(ports) as edge:
                 seen = await edge.until_pulses(3)
                 assert not any(isinstance(message, ConfigPush) for message in seen)
-                assert seen[-1] == Pulse(7, is_current=False, epoch=-1)  # no epoch is known
+                assert seen[-1] == LinkHeartbeat(7, is_current=False, epoch=-1)  # no epoch is known
                 assert not made.holds_lease()
         finally:
             await made.stop()
@@ -674,7 +674,7 @@
         again = Controller(
             settings,
             lambda now, random: SingleNodeConsensus(ONE, store.values),
-            Disk(store),
+            AsyncStore(store),
             Random(1),
             lambda: settings,
             recalled=recalled,
@@ -753,7 +753,7 @@
             planes[ip] = await make_controller(settings, lambda settings=settings: settings)  # type: ignore[misc]
             await planes[ip].start()
         async with proxy(ports, TWO) as edge:
-            edge.send(Pulse(0))
+            edge.send(LinkHeartbeat(0))
             answering = asyncio.create_task(follow(ports, ONE, "POST", REPLACE, sent))
             assert await edge.next(ConfigPush) == ConfigPush(7, sent)
             edge.send(ConfigAck(7))
@@ -884,7 +884,7 @@
         store, _ = open_store(tmp_path, "custody")
         settings = settings_of(ONE, (free_port(), free_port()))
         consensus = SingleNodeConsensus(ONE, store.values)
-        controller = Controller(settings, lambda now, random: consensus, Disk(store), Random(1), lambda: settings)
+        controller = Controller(settings, lambda now, random: consensus, AsyncStore(store), Random(1), lambda: settings)
         link = Link(controller._protocol, dialled=False)
         controller._tick()  # it becomes the primary
         controller._timers[0].cancel()
--- a/tests/test_control_settings.py
+++ b/tests/test_control_settings.py
@@ -16,7 +16,7 @@
 from cranebank.programs import controller as program
 from cranebank.programs.controller import Controller
 from cranebank.programs.settings import NodeSettings, SettingsError
-from cranebank.storage.store import Disk, open_store
+from cranebank.storage.store import AsyncStore, open_store
 
 OLD, NEW = "127.0.31.5", "127.0.31.6"
 LIMIT_S = 10.0
@@ -44,7 +44,7 @@
     file = SettingsFile(settings)
     store, _ = open_store(folder, "custody")
     made = Controller(
-        settings, lambda now, random: SingleNodeConsensus(ONE, store.values), Disk(store), Random(1), file.load
+        settings, lambda now, random: SingleNodeConsensus(ONE, store.values), AsyncStore(store), Random(1), file.load
     )
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, made.reload)
--- a/tests/test_dialer.py
+++ b/tests/test_dialer.py
@@ -13,13 +13,13 @@
 from controlsim.network import Network, Transport
 
 from cranebank.transport import links
-from cranebank.transport.links import DIAL_S, PULSE_S, REDIAL_S, Dialer, Link, listen
+from cranebank.transport.links import DIAL_TIMEOUT_S, LINK_HEARTBEAT_INTERVAL_S, REDIAL_BACKOFF_S, Dialer, Link, listen
 from cranebank.transport.messages import Message
 
 HERE, THERE, SILENT, REFUSING = "10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"
 PORT = 7000
 NETWORK_S = 0.01  # more than a connection takes to be made or refused, and less than any pause
-SHORTEST_S, LONGEST_S = REDIAL_S
+SHORTEST_S, LONGEST_S = REDIAL_BACKOFF_S
 
 
 class Owner:
@@ -115,7 +115,7 @@
     scene.loop.timers = 0
     seconds = 40.0
     scene.run(seconds)
-    assert scene.loop.timers == pytest.approx(seconds / PULSE_S, abs=1)
+    assert scene.loop.timers == pytest.approx(seconds / LINK_HEARTBEAT_INTERVAL_S, abs=1)
     assert len(scene.network.dialled[THERE]) == 1
 
 
@@ -171,9 +171,9 @@
     scene.run(5.0)
     first, second, third, *others = scene.pauses(SILENT)
     assert (first, second, third) == pytest.approx(
-        (DIAL_S + SHORTEST_S, DIAL_S + 2 * SHORTEST_S, DIAL_S + LONGEST_S), abs=NETWORK_S
+        (DIAL_TIMEOUT_S + SHORTEST_S, DIAL_TIMEOUT_S + 2 * SHORTEST_S, DIAL_TIMEOUT_S + LONGEST_S), abs=NETWORK_S
     )
-    assert others == pytest.approx([DIAL_S + LONGEST_S] * len(others), abs=NETWORK_S)
+    assert others == pytest.approx([DIAL_TIMEOUT_S + LONGEST_S] * len(others), abs=NETWORK_S)
 
 
 def test_a_peer_that_comes_back_is_dialled_within_the_longest_pause_and_a_dial_and_the_pauses_begin_anew() -> None:
@@ -182,7 +182,7 @@
     (dialer,) = scene.dial(THERE)
     scene.run(7.0)
     scene.network.without_power.discard(THERE)
-    scene.run(DIAL_S + LONGEST_S + NETWORK_S)
+    scene.run(DIAL_TIMEOUT_S + LONGEST_S + NETWORK_S)
     assert scene.owner.up == [dialer.link]
     scene.run(1.0)
     scene.network.reset(HERE)
@@ -240,11 +240,11 @@
 ) -> None:
     """Whether a link that came too late was up for a moment or not, one remains."""
     for tenths_of_ms in range(1, 40):
-        monkeypatch.setattr(links, "DIAL_S", tenths_of_ms / 10_000)
+        monkeypatch.setattr(links, "DIAL_TIMEOUT_S", tenths_of_ms / 10_000)
         scene = Scene()
         dialers = scene.dial(THERE)
         scene.run(2.0)
-        monkeypatch.setattr(links, "DIAL_S", DIAL_S)
+        monkeypatch.setattr(links, "DIAL_TIMEOUT_S", DIAL_TIMEOUT_S)
         scene.run(2.0)
         assert scene.owner.up == [dialers[0].link]
         assert len(scene.network.transports) == 2 and len(scene.other_owner.up) == 1
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -34,7 +34,7 @@
 from cranebank.dataplane.proxy import Proxy, RetryRule
 from cranebank.membership.fleet import FleetLinks
 from cranebank.programs.control import Controller
-from cranebank.storage.store import Disk, open_store
+from cranebank.storage.store import AsyncStore, open_store
 from cranebank.transport.messages import Backend, Hello, StageLoad, WarmUpPermits
 
 CHANGES = 1000
@@ -90,7 +90,7 @@
         """All records."""
         return self._proxy.shared.candidates.known()
 
-    def told_proxies(self, count: int) -> None:
+    def set_proxy_count(self, count: int) -> None:
         """The told number of proxies."""
         self._proxy.shared.choices.draws.proxies = max(1, count)
 
@@ -125,7 +125,7 @@
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
     settings = msgspec.structs.replace(settings_of(ONE, ports), beat_ms=BEAT_MS)
-    controller = Controller(settings, single_replica, Disk(store), Random(1), lambda: settings)
+    controller = Controller(settings, single_replica, AsyncStore(store), Random(1), lambda: settings)
     await controller.start()
     proxy = Proxy(RetryRule(0.1, 10, 1.0, True), Random(2), controller.now())
     hello = Hello("edge-1", "proxy", PROXY, "z", 1, 0, ())
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -13,14 +13,14 @@
 from cranebank.membership.fleet import FleetLinks
 from cranebank.programs import edge
 from cranebank.programs.settings import Bounds, NodeSettings
-from cranebank.transport.links import REDIAL_S, Link, listen
+from cranebank.transport.links import REDIAL_BACKOFF_S, Link, listen
 from cranebank.transport.messages import (
     Backend,
     ConfigAck,
     ConfigPush,
     Hello,
+    LinkHeartbeat,
     Message,
-    Pulse,
     Push,
     PushAck,
     RegistrySync,
@@ -51,7 +51,7 @@
         """Nothing."""
         return ()
 
-    def told_proxies(self, count: int) -> None:
+    def set_proxy_count(self, count: int) -> None:
         """Not wanted."""
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
@@ -114,10 +114,10 @@
         await until(owner, PushAck, 1)
         ends[0].send(ConfigPush(7, b"7"))
         await until(owner, ConfigAck, 1)
-        await until(owner, Pulse, 6)
+        await until(owner, LinkHeartbeat, 6)
         assert [link for link, _ in owner.of(PushAck)] == [ends[1]]
         assert owner.of(ConfigAck) == [(ends[0], ConfigAck(7))]
-        assert {link for link, message in owner.of(Pulse) if message == Pulse(7)} == set(ends)
+        assert {link for link, message in owner.of(LinkHeartbeat) if message == LinkHeartbeat(7)} == set(ends)
     finally:
         links.stop()
         for server in servers:
@@ -138,12 +138,12 @@
     sync = RegistrySync((Backend("i", "s", "10.0.0.9:80", "z", "", 1, "ready", 4),), (("i", 4, 100),))
     try:
         await until(owner, Hello, 2)
-        await asyncio.sleep(2 * REDIAL_S[0])  # both dialers hold their links
+        await asyncio.sleep(2 * REDIAL_BACKOFF_S[0])  # both dialers hold their links
         first, second = (end for end, _ in owner.of(Hello))
         for destination in (CONTROLLERS[2], "127.0.12.77", local_ip(second)):
             first.send(RelayTo(destination, sync))
         await until(owner, Relayed, 1)
-        await until(owner, Pulse, 4)
+        await until(owner, LinkHeartbeat, 4)
         assert owner.of(Relayed) == [(second, Relayed(local_ip(first), sync))]
         assert links.relayed == 1
     finally:
@@ -169,13 +169,13 @@
     links = FleetLinks(plane, lambda: Hello("p", "proxy", PROXY, "z", 1), PROXY, free_port())
     link = Link(Controllers(), True)
     for pulse, confirms in (
-        (Pulse(7, is_current=False, epoch=4), False),
-        (Pulse(8, is_current=True, epoch=4), False),  # we are behind
-        (Pulse(0, is_current=True, epoch=4), False),  # it knows of none yet
-        (Pulse(7, is_current=True, epoch=3), False),  # of an older epoch than was seen
-        (Pulse(7, is_current=True, epoch=4), True),
-        (Pulse(6, is_current=True, epoch=5), True),
-        (Pulse(7, is_current=True, epoch=4), False),
+        (LinkHeartbeat(7, is_current=False, epoch=4), False),
+        (LinkHeartbeat(8, is_current=True, epoch=4), False),  # we are behind
+        (LinkHeartbeat(0, is_current=True, epoch=4), False),  # it knows of none yet
+        (LinkHeartbeat(7, is_current=True, epoch=3), False),  # of an older epoch than was seen
+        (LinkHeartbeat(7, is_current=True, epoch=4), True),
+        (LinkHeartbeat(6, is_current=True, epoch=5), True),
+        (LinkHeartbeat(7, is_current=True, epoch=4), False),
     ):
         links._confirmed_at -= 100
         links.link_message(link, pulse)
@@ -192,7 +192,7 @@
     def __init__(self) -> None:
         self.told: list[int] = []
 
-    def told_proxies(self, count: int) -> None:
+    def set_proxy_count(self, count: int) -> None:
         """Keep it."""
         self.told.append(count)
 
@@ -244,7 +244,7 @@
     """Found by a review: it stood for good, unread and without a beat, and its dialer waited for its end."""
     transport, link = Reset(), Link(Controllers(), True)
     link.connection_made(transport)
-    assert transport.aborted and not link.up and not link.send(Pulse(1))
+    assert transport.aborted and not link.up and not link.send(LinkHeartbeat(1))
     link.connection_lost(None)
 
 
--- a/tests/test_link_faults.py
+++ b/tests/test_link_faults.py
@@ -18,7 +18,7 @@
 from cranebank.transport import links
 from cranebank.transport.frames import BadFrame, Decoder, encode
 from cranebank.transport.links import Dialer, Link, listen
-from cranebank.transport.messages import ConfigAck, Hello, Message, Pulse, Push, PushAck
+from cranebank.transport.messages import ConfigAck, Hello, LinkHeartbeat, Message, Push, PushAck
 
 HERE = "127.0.0.1"
 SENT: tuple[Message, ...] = (Hello("p", "proxy", HERE, "z", 7), PushAck(3), ConfigAck(2))
@@ -48,7 +48,7 @@
     def link_message(self, link: Link, message: Message) -> None:
         """A message came."""
         assert link not in self.down, "a message behind the end of its link"
-        if not isinstance(message, Pulse):
+        if not isinstance(message, LinkHeartbeat):
             self.heard[link].append(message)
         if self.closes_at is not None and isinstance(message, self.closes_at):
             link.close()
@@ -153,8 +153,8 @@
 def test_a_silent_peer_is_given_up_at_any_byte_and_what_it_says_later_is_not_heard(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(links, "PULSE_S", 0.01)
-    monkeypatch.setattr(links, "SILENCE_S", 0.02)
+    monkeypatch.setattr(links, "LINK_HEARTBEAT_INTERVAL_S", 0.01)
+    monkeypatch.setattr(links, "LINK_TIMEOUT_S", 0.02)
     heard: Counter[int] = Counter()
 
     async def story(owner: Owner, address: tuple[str, int]) -> None:
@@ -208,7 +208,7 @@
         server.close()
 
     with pytest.MonkeyPatch.context() as patch, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        patch.setattr(links, "REDIAL_S", (0.001, 0.001))
+        patch.setattr(links, "REDIAL_BACKOFF_S", (0.001, 0.001))
         runner.run(run())
 
 
@@ -247,7 +247,7 @@
 def test_a_dial_that_is_given_up_as_the_connection_comes_up(stops: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     """Found by the soak: the loop closes such a connection without a word, its owner took the link for one that is up,
     and whatever was sent to all links broke off at it with an error."""
-    monkeypatch.setattr(links, "DIAL_S", SHORT_DIAL_S)
+    monkeypatch.setattr(links, "DIAL_TIMEOUT_S", SHORT_DIAL_S)
     owner = SlowOwner()
 
     async def run() -> None:
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from cranebank.membership.loads import BACKENDS, KEPT_S, PROXIES, Loads, Sums
-from cranebank.membership.outbox import HELD, NOTE_BYTES, Outbox
+from cranebank.membership.neighbour_loads import BACKENDS, KEPT_S, PROXIES, LoadSums, NeighbourLoads
+from cranebank.membership.outbox import HELD, NOTE_BYTES, GossipOutbox
 from cranebank.transport.frames import encode
-from cranebank.transport.messages import Backend, Gossip, Load, Note
+from cranebank.transport.messages import Backend, CachedPrefix, Gossip, Load
 
 
 def test_the_newest_figures_of_each_neighbour_are_summed() -> None:
-    loads = Loads()
+    loads = NeighbourLoads()
     assert loads.merge(0.0, "a", 1, [Load("x", 2, 100), Load("y", 1, 0)]) == {"x": (2, 100), "y": (1, 0)}
     assert loads.merge(0.1, "b", 7, [Load("x", 1, 50)]) == {"x": (3, 150)}
     assert loads.merge(0.2, "a", 2, [Load("x", 0, 0)]) == {"x": (1, 50)}
@@ -26,7 +26,7 @@
 
 
 def test_figures_are_bounded_and_senseless_ones_are_left_out() -> None:
-    loads = Loads()
+    loads = NeighbourLoads()
     assert loads.merge(0.0, "a", 1, [Load("x", -1, 5), Load("y", 1, 1 << 60)]) == {}
     for number in range(PROXIES + 10):
         loads.merge(0.0, f"p{number}", 1, [Load("x", 1, 0)])
@@ -38,8 +38,8 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_changes_lead_to_the_sums_and_these_are_what_a_plain_count_gives(seed: int) -> None:
     """Random load: the changes that were returned, laid over one another, are always the sums."""
-    random, loads, now = Random(seed), Loads(), 0.0
-    followed: Sums = {}
+    random, loads, now = Random(seed), NeighbourLoads(), 0.0
+    followed: LoadSums = {}
     plain: dict[tuple[str, str], tuple[int, int, float]] = {}
     for number in range(600):
         now += random.uniform(0.0, 0.2)
@@ -52,7 +52,7 @@
         plain = {key: value for key, value in plain.items() if now - value[2] <= KEPT_S}
         followed |= loads.merge(now, proxy, number, told)
         plain |= {(proxy, load.backend): (load.calls, load.tokens, now) for load in told}
-        counted: Sums = {}
+        counted: LoadSums = {}
         for (_, backend), (calls, tokens, _at) in plain.items():
             old = counted.get(backend, (0, 0))
             counted[backend] = (old[0] + calls, old[1] + tokens)
@@ -60,14 +60,14 @@
         assert loads.sums() == counted == {key: value for key, value in followed.items() if value != (0, 0)}
 
 
-def play(outbox: Outbox, steps: int, out: list[tuple[str, int, int]], start: float = 0.0) -> list[Gossip]:
+def play(outbox: GossipOutbox, steps: int, out: list[tuple[str, int, int]], start: float = 0.0) -> list[Gossip]:
     """The datagrams of so many tenths of a second."""
     made = [outbox.next(start + step * 0.1, 3, 9, out) for step in range(steps)]
     return [gossip for gossip in made if gossip is not None]
 
 
 def test_with_nothing_out_one_datagram_a_second_is_told_and_with_something_five() -> None:
-    outbox = Outbox()
+    outbox = GossipOutbox()
     assert len(play(outbox, 100, [])) == 10
     busy = play(outbox, 100, [("x", 1, 20)], 10.0)
     assert len(busy) == 50 and all(gossip.loads == (Load("x", 1, 20),) for gossip in busy)
@@ -79,10 +79,10 @@
 
 
 def test_a_datagram_is_bounded_and_every_backend_has_its_turn() -> None:
-    outbox = Outbox()
+    outbox = GossipOutbox()
     out = [(f"i-{number:08x}", 200, 100_000 + number) for number in range(200)]
     for number in range(20):
-        outbox.note(Note("i-7f3a91c2", f"{number:08x}", 13_300))
+        outbox.note(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
     known = {f"b{number}": _backend(f"b{number}", "ready", 1) for number in range(9)}
     outbox.changes([_backend(key, "draining", 2) for key in known], known)
     told = play(outbox, 12, out)
@@ -94,16 +94,16 @@
 
 
 def test_notes_are_bounded_in_number_and_bytes() -> None:
-    outbox = Outbox()
+    outbox = GossipOutbox()
     for number in range(HELD + 5):
-        outbox.note(Note("i-7f3a91c2", f"{number:08x}", 13_300))
-    outbox.note(Note("i-7f3a91c2", "0" * NOTE_BYTES, 13_300))
+        outbox.note(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
+    outbox.note(CachedPrefix("i-7f3a91c2", "0" * NOTE_BYTES, 13_300))
     assert outbox.left_out == 6
     assert sum(len(gossip.notes) for gossip in play(outbox, 30, [])) == HELD
 
 
 def test_a_change_of_phase_is_told_once_and_what_is_no_change_never() -> None:
-    outbox, old = Outbox(), _backend("b", "ready", 5)
+    outbox, old = GossipOutbox(), _backend("b", "ready", 5)
     outbox.changes([_backend("b", "ready", 6), _backend("new", "ready", 1)], {"b": old})
     outbox.changes([_backend("b", "lost", 4)], {"b": old})
     outbox.changes([_backend("b", "lost", 9)], {"b": old})  # what a controller does not hear is no news for others
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -11,13 +11,13 @@
 
 from cranebank.dataplane.cache_view import CacheView
 from cranebank.dataplane.candidates import Candidates
-from cranebank.membership.loads import Sums
+from cranebank.membership.neighbour_loads import LoadSums
 from cranebank.membership.neighbours import READINGS_MOST, Neighbours
 from cranebank.programs.edge import Edge
 from cranebank.programs.settings import NodeSettings
 from cranebank.transport import links
 from cranebank.transport.frames import BadFrame, decode_datagram, encode
-from cranebank.transport.messages import Backend, Fetch, Gossip, Load, Note, PrefillBegun, Push, Shuffle
+from cranebank.transport.messages import Backend, CachedPrefix, Fetch, Gossip, Load, PrefillBegun, Push, Shuffle
 
 A, B = "127.0.0.11", "127.0.0.12"
 
@@ -29,7 +29,7 @@
         self.candidates, self.revision, self.document = Candidates(), 0, b""
         self.end: Neighbours | None = None
         self.load: list[tuple[str, int, int]] = []
-        self.notes: list[Note] = []
+        self.notes: list[CachedPrefix] = []
         self.readings: list[PrefillBegun] = []
         self.tellers = 0
         self.evacuated: tuple[int, tuple[str, ...]] = (0, ())
@@ -65,13 +65,13 @@
     def out(self) -> Iterable[tuple[str, int, int]]:
         return self.load
 
-    def others(self, sums: Sums) -> None:
+    def set_neighbour_loads(self, sums: LoadSums) -> None:
         for backend, (calls, tokens) in sums.items():
             seen = self.candidates.views[backend]
             seen.others_calls, seen.others_tokens = calls, tokens
             self.changed.set()
 
-    def noted(self, note: Note) -> None:
+    def record_cached_prefix(self, note: CachedPrefix) -> None:
         self.notes.append(note)
         self.changed.set()
 
@@ -127,7 +127,7 @@
         first.read("i-1", "5c1e07a2", 13_300)
         await b.until(lambda: b.candidates.views["i-1"].others_tokens == 700 and bool(b.notes))
         assert b.candidates.views["i-1"].others_calls == 3
-        assert b.notes == [Note("i-1", "5c1e07a2", 13_300)]
+        assert b.notes == [CachedPrefix("i-1", "5c1e07a2", 13_300)]
         a.load = []
         await b.until(lambda: b.candidates.views["i-1"].others_calls == 0)
         assert second.views.neighbours == (A,), "by the shuffle"
@@ -179,7 +179,7 @@
 def test_damaged_datagrams_are_dropped_and_counted() -> None:
     async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
         random = Random(3)
-        whole = encode(Gossip(1, 0, 0, (Load("i-1", 1, 1),), (Note("i-1", "x", 1),), (_backend("gone", 5),)))
+        whole = encode(Gossip(1, 0, 0, (Load("i-1", 1, 1),), (CachedPrefix("i-1", "x", 1),), (_backend("gone", 5),)))
         bad = [b"", b"x", whole[:-1], whole + b"x", whole + whole, encode(Push(1, ())), encode(Fetch(1))]
         bad += [random.randbytes(random.randrange(200)) for _ in range(200)]
         for place in range(len(whole)):
@@ -216,7 +216,7 @@
 
 
 def test_a_fetch_from_one_that_is_not_there_ends_and_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(links, "DIAL_S", 0.2)
+    monkeypatch.setattr(links, "DIAL_TIMEOUT_S", 0.2)
 
     async def run() -> None:
         plane = Plane()
@@ -276,7 +276,9 @@
         seen = shared.candidates.views["i-1"]
         seen.calls, seen.tokens = 2, 500
         assert list(edge._plane.out()) == [("i-1", 2, 500)]
-        gossip = Gossip(1, 3, end.digest, (Load("i-1", 4, 90),), (Note("i-1", "s", 5000),), (_backend("draining", 2),))
+        gossip = Gossip(
+            1, 3, end.digest, (Load("i-1", 4, 90),), (CachedPrefix("i-1", "s", 5000),), (_backend("draining", 2),)
+        )
         end.datagram(1.0, B, encode(gossip))
         assert (seen.others_calls, seen.others_tokens) == (4, 90) and not shared.candidates.may_take("i-1")
         assert shared.cache.cached_tokens("i-1", (("r", 100), ("s", 4900), ("own", 7))) == 5000
--- a/tests/test_registry_relay.py
+++ b/tests/test_registry_relay.py
@@ -55,7 +55,7 @@
     used = {link for _ in range(60) for link in scene.ways()}
     assert {len(scene.ways()) for _ in range(9)} == {RELAYS}
     assert used == set(scene.proxies)
-    assert scene.sent[0][1] == RelayTo(OTHER, RegistrySync(SYNC.backends, SYNC.heard, 0, SYNC.asks))
+    assert scene.sent[0][1] == RelayTo(OTHER, RegistrySync(SYNC.backends, SYNC.heard, 0, SYNC.requested_ids))
 
 
 def test_the_proxy_that_brought_something_last_is_always_used_while_its_link_is_up() -> None:
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -12,7 +12,7 @@
 from cranebank.control.delivery import Delivery
 from cranebank.control.events import Status
 from cranebank.control.warm_up import CLOCK_MAX_AGE_S
-from cranebank.membership.warm_up import LEASE_MOST_S, RELEASE_S
+from cranebank.membership.warm_up import MAX_PERMIT_LEASE_S, PERMIT_RELEASE_DELAY_S
 from cranebank.programs.controller_links import ControllerLinks
 from cranebank.programs.local_state import LocalState, NoDisk
 from cranebank.programs.registry_service import BATCH_S, SYNC_S, RegistryService
@@ -106,7 +106,7 @@
     delivery.committed(0.0, 1, b'{"services":[{"name":"s","warmup_per_s":23,"cold_s":3}]}')
     service = service_of(HERE, lambda: clock, Links(), delivery)
     delivery.join(0.0, proxy, "p", "10.0.1.1", True, 1, ())
-    clock = LEASE_MOST_S + RELEASE_S
+    clock = MAX_PERMIT_LEASE_S + PERMIT_RELEASE_DELAY_S
     service.report_clock(proxy, 7.0)
     service.registry.heartbeat(clock, "i", beat(1))
     service.publish()
--- a/tests/test_stage_duty.py
+++ b/tests/test_stage_duty.py
@@ -93,7 +93,7 @@
     ids=["good", "no JSON", "no UTF-8", "too deep", "a number that no order can bear"],
 )
 def test_any_report_is_told(body: bytes, event: Event, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def connect(address: str, seconds: float, most_bytes: int) -> Connection:
+    async def connect(address: str, seconds: float, max_bytes: int) -> Connection:
         return Connection(body)
 
     monkeypatch.setattr(stage_duty, "connect", connect)
@@ -108,7 +108,7 @@
 ) -> None:
     consensus, connection = SingleNodeConsensus("10.0.0.1", {}), Connection(b'{"stage": "decode"}')
 
-    async def connect(address: str, seconds: float, most_bytes: int) -> Connection:
+    async def connect(address: str, seconds: float, max_bytes: int) -> Connection:
         consensus.handle(0.0, events.Evacuate(1, BACKEND.zone, True))
         return connection
 
--- a/tests/test_stage_load.py
+++ b/tests/test_stage_load.py
@@ -20,7 +20,7 @@
 from cranebank.programs.settings import NodeSettings
 from cranebank.programs.stage_duty import StageDuty
 from cranebank.transport.frames import Decoder, encode
-from cranebank.transport.messages import Backend, HoldOff, Pulse, Push, StageLoad, Welcome
+from cranebank.transport.messages import Backend, HoldOff, LinkHeartbeat, Push, StageLoad, Welcome
 
 
 def backend(name: str = "i-1", stage: str = "decode", call_seq: int = 1, phase: str = "ready") -> Backend:
@@ -101,9 +101,9 @@
 
 
 def test_a_heartbeat_carries_loads_and_one_without_them_is_read_too() -> None:
-    pulse = Pulse(7, loads=(StageLoad("s", 0.5, 0.25),))
+    pulse = LinkHeartbeat(7, loads=(StageLoad("s", 0.5, 0.25),))
     assert Decoder().feed(encode(pulse)) == [pulse]
-    assert Decoder().feed(encode(Pulse(7))) == [Pulse(7)]
+    assert Decoder().feed(encode(LinkHeartbeat(7))) == [LinkHeartbeat(7)]
     hold = HoldOff("i-1", 2.5)
     assert Decoder().feed(encode(hold)) == [hold]
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -22,7 +22,7 @@
     encode_batch,
     read_records,
 )
-from cranebank.storage.store import REWRITE_FROM_BYTES, Disk, Folder, Store, open_store, set_aside
+from cranebank.storage.store import REWRITE_FROM_BYTES, AsyncStore, Folder, Store, open_store, set_aside
 
 NAME = "state"
 
@@ -192,7 +192,7 @@
 
 async def _waiting_puts_go_together() -> None:
     store = SlowStore()
-    disk = Disk(store)  # type: ignore[arg-type]
+    disk = AsyncStore(store)  # type: ignore[arg-type]
     first = asyncio.create_task(disk.put({"a": b"1"}))
     await asyncio.sleep(0)
     others = [asyncio.create_task(disk.put({"a": b"%d" % n, f"k{n}": b""})) for n in range(2, 5)]
@@ -268,7 +268,7 @@
 
 async def _through_the_disk(path: Path) -> None:
     store, _ = open_store(path, NAME)
-    disk = Disk(store)
+    disk = AsyncStore(store)
     await asyncio.gather(*(disk.put({f"k{n}": b"%d" % n}) for n in range(50)))
     await disk.close()
 
--- a/tests/test_tallies.py
+++ b/tests/test_tallies.py
@@ -19,10 +19,10 @@
     JOIN_S,
     RETAIN_S,
     WINDOW,
+    LimitReached,
     Placed,
-    Refused,
-    ReplicaSettings,
     TallyReplica,
+    TallyReplicaSettings,
 )
 from cranebank.control.tallies.segments import SEGMENT_ADDS, Segments
 from cranebank.control.tallies.state import TallyState
@@ -122,8 +122,8 @@
 
 
 def _calm(copies: int = 1, known: tuple[str, ...] = (), is_first: bool = True) -> TallyReplica:
-    made = TallyReplica(ReplicaSettings("me", "z", copies, 1, is_first), {}, 0.0)
-    made.know(known, known)
+    made = TallyReplica(TallyReplicaSettings("me", "z", copies, 1, is_first), {}, 0.0)
+    made.set_replicas(known, known)
     return made
 
 
@@ -175,9 +175,9 @@
             patch.setattr(replica_module, name, most)
             made = _calm()
             assert made.add(0.0, TALLY, "1", 1) == Placed("me", 1)
-            assert isinstance(made.add(0.0, "other", "2", 1), Refused)
+            assert isinstance(made.add(0.0, "other", "2", 1), LimitReached)
             assert made.add(0.0, TALLY, "1", 1) == Placed("me", 1)
-            assert made.figures.held == 1
+            assert made.stats.held == 1
 
 
 def test_a_restarted_replica_tells_no_total_before_the_others_told_theirs() -> None:
@@ -205,10 +205,10 @@
     world.cut("a", "c")
     world.cut("b", "c")
     _age(world)
-    assert world.machines["a"].replica.figures.held == 3 * SEGMENT_ADDS  # c lacks them
+    assert world.machines["a"].replica.stats.held == 3 * SEGMENT_ADDS  # c lacks them
     world.heal()
     _age(world)
-    assert [found.replica.figures.held for found in world.machines.values()] == [0, 0, 0]
+    assert [found.replica.stats.held for found in world.machines.values()] == [0, 0, 0]
     world.restart("c", is_wiped=True)
     world.add("c", "new", 1)
     world.settle()
@@ -228,7 +228,7 @@
     world.heal()
     _age(world)
     assert world.totals() == {3}
-    assert [found.replica.figures.held for found in world.machines.values()] == [0, 0]
+    assert [found.replica.stats.held for found in world.machines.values()] == [0, 0]
 
 
 def _restored(files: SimulatedFiles) -> int:
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -7,18 +7,18 @@
 
 import pytest
 
-from cranebank.membership.views import (
-    BEHIND_S,
+from cranebank.membership.partial_view import (
+    FETCH_DELAY_S,
     MOST,
     OLDEST,
     FetchEnded,
     FetchFrom,
     Heard,
+    PartialView,
     SendShuffle,
     Shown,
     Standing,
     Tick,
-    Views,
     Welcomed,
 )
 
@@ -30,7 +30,7 @@
 
     def __init__(self, count: int, loss: float, seed: int) -> None:
         self.random, self.loss, self.now = Random(seed), loss, 0.0
-        self.views: dict[str, Views] = {}
+        self.views: dict[str, PartialView] = {}
         self.dead: set[str] = set()
         self.sent: Counter[str] = Counter()
         self._on_way: list[tuple[str, SendShuffle]] = []
@@ -38,7 +38,7 @@
             self.join(f"10.0.0.{number + 1}", [f"10.0.0.{self.random.randrange(count) + 1}" for _ in range(3)])
 
     def join(self, ip: str, named: list[str]) -> None:
-        self.views[ip] = Views(ip, Random(ip))
+        self.views[ip] = PartialView(ip, Random(ip))
         self.views[ip].handle(self.now, Welcomed(tuple(named)))
 
     def run(self, seconds: float) -> None:
@@ -120,7 +120,7 @@
 
 
 def test_who_has_lost_everybody_begins_again_with_those_named_last() -> None:
-    views = Views("10.0.0.1", Random(1))
+    views = PartialView("10.0.0.1", Random(1))
     views.handle(0.0, Welcomed(("10.0.0.1", "10.0.0.2")))
     asked = Counter(
         action.ip
@@ -132,7 +132,7 @@
 
 
 def test_what_no_honest_neighbour_sends_changes_nothing() -> None:
-    views = Views("10.0.0.1", Random(1))
+    views = PartialView("10.0.0.1", Random(1))
     bad = (("10.0.0.1", 0), ("localhost", 0), ("10.0.0.9", -1), ("10.0.0.9", OLDEST + 1), ("", 0), ("10.0.0.009", 0))
     views.handle(0.0, Heard("10.0.0.2", bad, False))
     assert views.ages == {"10.0.0.2": 0}
@@ -144,11 +144,11 @@
 
 
 def test_who_is_behind_waits_for_its_controllers_and_then_fetches_once() -> None:
-    views = Views("10.0.0.1", Random(1))
+    views = PartialView("10.0.0.1", Random(1))
     assert views.handle(0.0, Shown("10.0.0.2", 5)) == []
     assert not _fetches(views, 0.0, 4) and _standing(views) is Standing.BEHIND
-    assert not _fetches(views, BEHIND_S - 0.01, 4)
-    assert _fetches(views, BEHIND_S, 4) == [FetchFrom("10.0.0.2")]
+    assert not _fetches(views, FETCH_DELAY_S - 0.01, 4)
+    assert _fetches(views, FETCH_DELAY_S, 4) == [FetchFrom("10.0.0.2")]
     assert not _fetches(views, 5.0, 4) and _standing(views) is Standing.FETCHING
     views.handle(5.0, FetchEnded())
     assert not _fetches(views, 9.0, 4), "nobody has shown it since"
@@ -159,17 +159,17 @@
     assert not _fetches(views, 12.0, 5) and _standing(views) is Standing.CURRENT
 
 
-def _fetches(views: Views, now: float, revision: int) -> list[FetchFrom]:
+def _fetches(views: PartialView, now: float, revision: int) -> list[FetchFrom]:
     return [action for action in views.handle(now, Tick(revision)) if isinstance(action, FetchFrom)]
 
 
-def _standing(views: Views) -> Standing:
+def _standing(views: PartialView) -> Standing:
     return views.standing
 
 
 def test_a_reply_to_an_earlier_shuffle_is_not_taken_for_one_to_the_present() -> None:
     """Found by a review: a late reply of a neighbour that has died since kept it in the view; only its IP counted."""
-    views = Views("10.0.0.1", Random(1))
+    views = PartialView("10.0.0.1", Random(1))
     views.handle(0.0, Welcomed(("10.0.0.2",)))
     (first,) = views.handle(0.0, Tick(1))
     assert isinstance(first, SendShuffle)
--- a/tests/test_warm_up.py
+++ b/tests/test_warm_up.py
@@ -12,14 +12,21 @@
 
 from cranebank.control.warm_up import ColdBackend, PermitIssuer, RateBound, max_permits
 from cranebank.dataplane.cold_backends import ColdBackends
-from cranebank.membership.warm_up import LEASE_MOST_S, PERMIT_S, RELEASE_S, SECOND_S, WarmUpLimit, read_limits
+from cranebank.membership.warm_up import (
+    MAX_PERMIT_LEASE_S,
+    PERMIT_RELEASE_DELAY_S,
+    PERMIT_REUSE_INTERVAL_S,
+    SECOND_S,
+    WarmUpLimit,
+    read_limits,
+)
 from cranebank.transport.messages import Backend, WarmUpPermits
 
 LIMIT = WarmUpLimit(per_s=23.0, cold_s=3.0)
 BOUND = RateBound(over=1.5, slack=5.0)
-QUIET_S = LEASE_MOST_S + RELEASE_S
+QUIET_S = MAX_PERMIT_LEASE_S + PERMIT_RELEASE_DELAY_S
 STEP_S = 0.05
-PULSE_S = 0.4
+LINK_HEARTBEAT_INTERVAL_S = 0.4
 DIAL_S = 0.3
 RUN_S = 20.0
 
@@ -43,7 +50,7 @@
     """And nothing that may be sent is left over where all of them are there."""
     known, limit = set(ips(count)), WarmUpLimit(per_s, 3.0)
     shares = [PermitIssuer(0.0, Random(1), ip, 1, RateBound(over, slack)).share(limit, known) for ip in known]
-    most = int(min(per_s * PERMIT_S, per_s * over + slack))
+    most = int(min(per_s * PERMIT_REUSE_INTERVAL_S, per_s * over + slack))
     assert sum(shares) <= most and (count < 3 or sum(shares) == most)
 
 
@@ -57,11 +64,11 @@
     made.report_clock(QUIET_S, "link", 100.0)
     ((_, told),) = made.hand_out(QUIET_S, cold(QUIET_S + 3), set(ips(5)))
     lease_s = told.valid_until - 100.0
-    for later in (0.1, lease_s, lease_s + RELEASE_S - 0.01):
+    for later in (0.1, lease_s, lease_s + PERMIT_RELEASE_DELAY_S - 0.01):
         made.report_clock(QUIET_S + later, "link", 100.0 + later)
         assert not made.hand_out(QUIET_S + later, cold(QUIET_S + 30), set(ips(5)))
-    made.report_clock(QUIET_S + lease_s + RELEASE_S + 0.01, "link", 110.0)
-    assert made.hand_out(QUIET_S + lease_s + RELEASE_S + 0.01, cold(QUIET_S + 30), set(ips(5)))
+    made.report_clock(QUIET_S + lease_s + PERMIT_RELEASE_DELAY_S + 0.01, "link", 110.0)
+    assert made.hand_out(QUIET_S + lease_s + PERMIT_RELEASE_DELAY_S + 0.01, cold(QUIET_S + 30), set(ips(5)))
 
 
 def test_a_controller_that_has_just_started_leases_nothing() -> None:
@@ -172,7 +179,7 @@
         for number, found in enumerate(self.proxies):
             if (ip, number) in self.cut:
                 continue
-            if step % round(PULSE_S / STEP_S) == number % 8 and now >= found.frozen_until:
+            if step % round(LINK_HEARTBEAT_INTERVAL_S / STEP_S) == number % 8 and now >= found.frozen_until:
                 made.report_clock(now, number, now + found.clock_offset - self.random.uniform(0, 0.3))
             if left > 0 and self.random.random() < 0.2:
                 found.inbox.append(left)
@@ -224,5 +231,5 @@
     fleet.cold_until, fleet.knows_until = 20.0, dict.fromkeys(fleet.ips, 20.0)
     fleet.run(4.0)
     rounds = 2
-    counted = [at for at in fleet.written if 1.0 <= at < 1.0 + rounds * PERMIT_S]
+    counted = [at for at in fleet.written if 1.0 <= at < 1.0 + rounds * PERMIT_REUSE_INTERVAL_S]
     assert len(counted) >= 0.75 * 5 * 4 * rounds
