--- a/cranebank/config/checks.py
+++ b/cranebank/config/checks.py
@@ -25,7 +25,7 @@
     """A file or variable that can't be used; the message is one line that says why."""
 
 
-def typed(told: object, kind: type[T], where: str, strict: bool = True) -> T:
+def convert_checked(told: object, kind: type[T], where: str, strict: bool = True) -> T:
     """Convert ``told`` (as JSON, TOML or text gave it) to ``kind``; ``where`` names file or variable.
 
     Not ``strict``: texts that read as a number or as true or false stand for these, as in variables.
--- a/cranebank/config/load.py
+++ b/cranebank/config/load.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Meta
 
-from cranebank.config.checks import ConfigError, typed
+from cranebank.config.checks import ConfigError, convert_checked
 from cranebank.config.own import RELOADABLE, Layered, layered
-from cranebank.config.platform import Told, settings_of
+from cranebank.config.platform import PlatformSettings, to_decision_settings
 from cranebank.decisions import interface as api
 from cranebank.discovery.listing import Listing, ListReader
 
@@ -27,7 +27,7 @@
 class File(msgspec.Struct, frozen=True, kw_only=True):
     """The JSON that GW_CONFIG names. Keys that are not listed here are passed over."""
 
-    settings: Told
+    settings: PlatformSettings
     name: str = ""
     listen: str = ""
     discovery: str = ""
@@ -86,7 +86,7 @@
         raise ConfigError(f"GW_CONFIG: {path}: {error.strerror or error}") from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"GW_CONFIG: {path}: expected JSON: {error}") from None
-    return typed(_given(told), File, f"GW_CONFIG: {path}")
+    return convert_checked(_given(told), File, f"GW_CONFIG: {path}")
 
 
 def load(environ: Mapping[str, str], file: str | None = None, flags: Sequence[str] = ()) -> Config:
@@ -122,7 +122,7 @@
         seed=seed,
         sockets=told.limits.sockets,
         memory=int(told.limits.memory_mb * (1 << 20)),
-        settings=settings_of(told.settings),
+        settings=to_decision_settings(told.settings),
         classes=tuple(lane.name for lane in told.settings.lanes),
         tenants=tuple(realm.name for realm in told.settings.realms),
         reader=reader,
--- a/cranebank/config/own.py
+++ b/cranebank/config/own.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from cranebank.config.checks import ConfigError, typed
+from cranebank.config.checks import ConfigError, convert_checked
 from cranebank.core.log_settings import LogSettings
 from cranebank.routing.subset import FEWEST
 
@@ -101,7 +101,7 @@
 
     if path := file or environ.get(FILE):
         read = read_toml(path)
-        typed(read, Own, str(path))
+        convert_checked(read, Own, str(path))
         for table, keys in read.items():
             for key, value in keys.items():
                 lay(table, key, value, f"file {path}")
@@ -111,15 +111,15 @@
             if not mark:
                 raise ConfigError(f"{name}: expected a name such as {PREFIX}LOG_LEVEL")
             lay(table, key, environ[name], f"variable {name}")
-            typed(told, Own, name, strict=False)
+            convert_checked(told, Own, name, strict=False)
     for flag in flags:
         path_of, mark, value = flag.partition("=")
         table, dot, key = path_of.strip().partition(".")
         if not (mark and dot):
             raise ConfigError(f"--set {flag}: expected TABLE.KEY=VALUE")
         lay(table, key, value.strip(), "--set")
-        typed(told, Own, f"--set {flag}", strict=False)
-    return Layered(typed(told, Own, "settings", strict=False), sources)
+        convert_checked(told, Own, f"--set {flag}", strict=False)
+    return Layered(convert_checked(told, Own, "settings", strict=False), sources)
 
 
 def shown(settings: Layered) -> list[str]:
--- a/cranebank/config/platform.py
+++ b/cranebank/config/platform.py
@@ -1,7 +1,7 @@
 """The settings that the platform gives an instance, as one typed record with two readers.
 
 The JSON that GW_CONFIG names holds them nested; the simulator's START line holds them as path=value pairs
-(``cranebank.simwire.wire``). Both become ``Told`` and then ``Settings``. Names, units (milliseconds) and
+(``cranebank.simwire.wire``). Both become ``PlatformSettings`` and then ``Settings``. Names, units (milliseconds) and
 meanings are the platform's. New keys can show up, so unknown ones are passed over here, unlike in our files.
 """
 
@@ -107,7 +107,7 @@
     passes_deadline: bool = True
 
 
-class Told(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
+class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
     """The whole of the settings, as far as they are used."""
 
     balancers: Annotated[int, Meta(ge=1)]  # this one is among them
@@ -131,7 +131,7 @@
     over_share_worth: Number = 1.0
 
 
-def settings_of(told: Told) -> api.Settings:
+def to_decision_settings(told: PlatformSettings) -> api.Settings:
     """What the decision module is told, in its own names."""
     limits, rules, prices = told.limits, told.rules, told.prices
     return api.Settings(
--- a/cranebank/control/order_intents.py
+++ b/cranebank/control/order_intents.py
@@ -21,9 +21,10 @@
 class OrderIntents:
     """One controller's view of the intents that the record names, and of those that it must name."""
 
-    def __init__(self, turn_wait_s: float) -> None:
-        """``turn_wait_s``: for so long after a takeover, or after an order, another holder's order must not follow."""
-        self._turn_wait_s = turn_wait_s
+    def __init__(self, takeover_wait_s: float) -> None:
+        """``takeover_wait_s``: for so long after a takeover, or after an order, another holder's order must not
+        follow."""
+        self._turn_wait_s = takeover_wait_s
         self._former: Intents | None = {}  # of former primaries; None: they may have ordered any backend
         self._unfollowed: dict[str, str] = {}  # of these, whose fate nobody has looked after yet
         self._turn_at = float("-inf")  # when those may be ordered, too
--- a/cranebank/control/stage_balancer.py
+++ b/cranebank/control/stage_balancer.py
@@ -64,11 +64,11 @@
 
 
 class BalancerSettings(msgspec.Struct, frozen=True):
-    """``owner`` is this controller's name in its orders; ``turn_wait_s`` how long after a takeover it leaves alone whom
-    a former primary may have ordered; ``beat_s`` the time between a backend's heartbeats."""
+    """``owner`` is this controller's name in its orders; ``takeover_wait_s`` how long after a takeover it leaves alone
+    whom a former primary may have ordered; ``beat_s`` the time between a backend's heartbeats."""
 
     owner: str
-    turn_wait_s: float
+    takeover_wait_s: float
     beat_s: float
 
 
@@ -84,7 +84,7 @@
         self._needed: dict[str, tuple[Need, float]] = {}  # by service: what it needs, and since when
         self._unattended_since: dict[str, float] = {}
         self._term: int | None = None
-        self._intents = OrderIntents(settings.turn_wait_s)
+        self._intents = OrderIntents(settings.takeover_wait_s)
         self._last_fence = -1
         self._refused_fence = -1  # a backend has seen a higher one
         self._looked_at = float("-inf")
--- a/cranebank/lab/arrivals.py
+++ b/cranebank/lab/arrivals.py
@@ -10,7 +10,7 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from cranebank.config.checks import ConfigError, typed
+from cranebank.config.checks import ConfigError, convert_checked
 from cranebank.lab.scenario import Load, Scenario
 from cranebank.lab.streams import stream
 
@@ -126,11 +126,11 @@
                     raise ConfigError(f"{where}: expected at most {TRACE_ROWS} lines")
                 told = msgspec.json.decode(line)
                 if number == 1:
-                    head = typed(told, TraceHead, where)
+                    head = convert_checked(told, TraceHead, where)
                     if (head.format, head.version) != ("cranebank-trace", 1):
                         raise ConfigError(f"{where}: expected format cranebank-trace, version 1")
                     continue
-                row = typed(told, TraceRow, where)
+                row = convert_checked(told, TraceRow, where)
                 if row.kind not in kinds:
                     raise ConfigError(f"{where}: class: expected one of {', '.join(kinds)}, got {row.kind[:60]!r}")
                 if row.tenant and row.tenant not in tenants:
--- a/cranebank/lab/experiment.py
+++ b/cranebank/lab/experiment.py
@@ -21,7 +21,7 @@
 import numpy as np
 from scipy import stats
 
-from cranebank.config.checks import ConfigError, typed
+from cranebank.config.checks import ConfigError, convert_checked
 from cranebank.config.own import read_toml
 from cranebank.lab.child import Part
 from cranebank.lab.plan import plan
@@ -94,7 +94,7 @@
 
 def read(path: Path) -> Experiment:
     """Read and check an experiment, its scenarios under every setting of its grid included."""
-    experiment = typed(read_toml(path), Experiment, str(path))
+    experiment = convert_checked(read_toml(path), Experiment, str(path))
     cases(experiment, path)
     return experiment
 
@@ -116,7 +116,7 @@
             settings = " ".join(f"{key}={value}" for key, value in cell)
             where = f"{path}: {name}{f' with {settings}' if settings else ''}"
             for seed in experiment.seeds:
-                scenario = typed(changed | {"seed": seed}, Scenario, where)
+                scenario = convert_checked(changed | {"seed": seed}, Scenario, where)
                 try:
                     plan(scenario)
                 except ValueError as error:
--- a/cranebank/lab/plan.py
+++ b/cranebank/lab/plan.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from cranebank.config.checks import ConfigError, typed
+from cranebank.config.checks import ConfigError, convert_checked
 from cranebank.config.own import read_toml
 from cranebank.lab import model
 from cranebank.lab.scenario import DISCOVERY_FAULTS, HOST_FAULTS, PROXY_FAULTS, Fault, Scenario, Tier
@@ -315,7 +315,7 @@
 
 def read_scenario(path: Path) -> Scenario:
     """Read and check a scenario file, the names in its faults as well."""
-    scenario = typed(read_toml(path), Scenario, str(path))
+    scenario = convert_checked(read_toml(path), Scenario, str(path))
     try:
         plan(scenario)
     except ValueError as error:
--- a/cranebank/lab/simulated/hunt.py
+++ b/cranebank/lab/simulated/hunt.py
@@ -17,7 +17,7 @@
 import numpy as np
 import tomli_w
 
-from cranebank.config.checks import ConfigError, typed
+from cranebank.config.checks import ConfigError, convert_checked
 from cranebank.lab.scenario import Scenario
 from cranebank.lab.simulated.world import play
 from cranebank.lab.streams import stream
@@ -133,8 +133,8 @@
 def judge(told: dict[str, Any]) -> Found | None:
     """Play a scenario with the module and with the oracle; None if it can't be played."""
     try:
-        module = play(typed(told, Scenario, "drawn"))
-        oracle = play(typed(told | {"policy": "oracle"}, Scenario, "drawn"))
+        module = play(convert_checked(told, Scenario, "drawn"))
+        oracle = play(convert_checked(told | {"policy": "oracle"}, Scenario, "drawn"))
     except (ConfigError, ValueError):
         return None
     breaches = tuple(b.rule for b in module.verdict.breaches)
--- a/cranebank/lab/simulated/world.py
+++ b/cranebank/lab/simulated/world.py
@@ -14,8 +14,8 @@
 import msgspec
 from msgspec.structs import replace
 
-from cranebank.config.checks import typed
-from cranebank.config.platform import Told, settings_of
+from cranebank.config.checks import convert_checked
+from cranebank.config.platform import PlatformSettings, to_decision_settings
 from cranebank.core import rules
 from cranebank.core.counters import Counters
 from cranebank.decisions import interface as api
@@ -659,7 +659,7 @@
             key = (mine.tier, mine.zone)
             if key not in by_zone:
                 told = proxy_settings(scenario, mine, counts[mine.tier])
-                by_zone[key] = settings_of(typed(told, Told, "settings"))
+                by_zone[key] = to_decision_settings(convert_checked(told, PlatformSettings, "settings"))
             settings = replace(by_zone[key], slot=mine.slot)
             self.proxies[mine.name] = Proxy(self, mine, settings, scenario.seed * 1_000_003 + number)
         self._rows = arrivals(scenario, beside)
--- a/cranebank/programs/control.py
+++ b/cranebank/programs/control.py
@@ -18,15 +18,15 @@
 
 from cranebank.control.consensus import ConsensusCore
 from cranebank.control.consensus_replica import CONSENSUS_FILE, PUBLISHED_KEY, ConsensusReplica, ConsensusSettings
-from cranebank.programs import ring as ring_module
+from cranebank.programs import log_ring as ring_module
 from cranebank.programs.controller import Controller
-from cranebank.programs.local_state import NoDisk, Storage, recalled_records
+from cranebank.programs.local_state import NoDisk, Storage, decode_registry_records
 from cranebank.programs.settings import NodeSettings, load
 from cranebank.programs.tally_service import FILE as TALLY_FILE
 from cranebank.programs.tally_service import TallyDisk
 from cranebank.storage.records import StorageError
 
-__all__ = ["Controller", "losses", "make_controller", "run"]
+__all__ = ["Controller", "make_controller", "run", "tolerated_machine_losses"]
 
 DISK_RETRY_S = 0.3
 
@@ -54,7 +54,7 @@
     return not settings.tolerance.zones and not settings.tolerance.regions
 
 
-def losses(settings: NodeSettings) -> int:
+def tolerated_machine_losses(settings: NodeSettings) -> int:
     """Machines that may be lost at once: where whole zones or regions may go, as many as a majority can do without."""
     machines = settings.tolerance.machines
     return machines if is_counted_in_machines(settings) else max(machines, 99)
@@ -71,7 +71,7 @@
                 settings.ip,
                 settings.seed_ips,
                 settings.is_first_start and not is_damaged,
-                losses(settings),
+                tolerated_machine_losses(settings),
                 is_counted_in_machines=is_counted_in_machines(settings),
                 zones={settings.ip: settings.failure_domain(settings.zone)},
             ),
@@ -85,11 +85,11 @@
         msgspec.msgpack.decode(stored[PUBLISHED_KEY], type=tuple[int, bytes]) if PUBLISHED_KEY in stored else None
     )
     tally_disk = TallyDisk(stored_tallies, tally_storage)
-    recalled = recalled_records(stored)
+    recalled = decode_registry_records(stored)
     return Controller(settings, make_consensus, storage, SystemRandom(), reload, published, recalled, tally_disk)
 
 
-async def run(settings: NodeSettings, ring: ring_module.Ring | None = None) -> int:
+async def run(settings: NodeSettings, ring: ring_module.LogRing | None = None) -> int:
     """Serve control until SIGTERM; the exit code."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
--- a/cranebank/programs/controller.py
+++ b/cranebank/programs/controller.py
@@ -29,7 +29,7 @@
 from cranebank.programs.local_state import LAST_S, LocalState, NoDisk, Storage
 from cranebank.programs.registry_service import RegistryService, wait_for_acks
 from cranebank.programs.settings import NodeSettings, SettingsError
-from cranebank.programs.stage_duty import StageDuty
+from cranebank.programs.stage_balancer_driver import StageBalancerDriver
 from cranebank.programs.tally_service import TallyDisk, TallyService
 from cranebank.transport.links import LINK_HEARTBEAT_INTERVAL_S, Link, listen
 from cranebank.transport.messages import Backend, ConfigAck, Message
@@ -85,7 +85,7 @@
             self.tallies,
             self._publish,
         )
-        self.stage_duty = StageDuty(
+        self.stage_balancer_driver = StageBalancerDriver(
             settings,
             self.now,
             self._consensus,
@@ -112,7 +112,7 @@
         self._link_server = await listen(self._protocol, self._settings.ip, self._settings.link_port)
         self._tick()
         self._registry_tick()
-        self.stage_duty.start()
+        self.stage_balancer_driver.start()
         ip, _, port = self._settings.binds.get(
             "control_addr", f"{self._settings.ip}:{self._settings.control_port}"
         ).rpartition(":")
@@ -128,7 +128,7 @@
         await self._until(lambda: self._may_end(successor_by), self._handover_s())
         self._api.stop()
         await self._until(lambda: self._api.is_idle, FINISH_S)
-        self.stage_duty.stop()
+        self.stage_balancer_driver.stop()
         for timer in self._timers:
             timer.cancel()
         if self._link_server is not None:
--- a/cranebank/programs/edge.py
+++ b/cranebank/programs/edge.py
@@ -18,7 +18,7 @@
 from cranebank.membership.fleet import FleetLinks
 from cranebank.membership.neighbour_loads import LoadSums
 from cranebank.membership.neighbours import Neighbours
-from cranebank.programs.ring import Ring
+from cranebank.programs.log_ring import LogRing
 from cranebank.programs.settings import NodeSettings, SettingsError, load
 from cranebank.transport.messages import Backend, CachedPrefix, Hello, PrefillBegun, StageLoad, WarmUpPermits
 
@@ -243,7 +243,7 @@
     return await asyncio.get_running_loop().create_server(protocol, host, int(port), backlog=1024, reuse_address=True)
 
 
-async def run(settings: NodeSettings, ring: Ring | None = None) -> int:
+async def run(settings: NodeSettings, ring: LogRing | None = None) -> int:
     """Run one proxy until SIGTERM; the exit code."""
     if ring is not None:
         loop = asyncio.get_running_loop()
--- a/cranebank/programs/local_state.py
+++ b/cranebank/programs/local_state.py
@@ -98,7 +98,7 @@
         return True
 
 
-def recalled_records(stored: Mapping[str, bytes]) -> tuple[Backend, ...]:
+def decode_registry_records(stored: Mapping[str, bytes]) -> tuple[Backend, ...]:
     """The registry's records of an earlier life, from what was read from the disk; the ends come last."""
     return tuple(
         record
--- a/cranebank/programs/ring.py
+++ b/cranebank/programs/log_ring.py
@@ -24,7 +24,7 @@
 _ERROR = 40
 
 
-class Ring:
+class LogRing:
     """A sink for loguru."""
 
     def __init__(self, node: str, out: IO[str] | None = None, size: int = SIZE) -> None:
@@ -57,9 +57,9 @@
         report_unhandled(str(context.get("message")), context.get("exception"))
 
 
-def install(node: str) -> Ring:
+def install(node: str) -> LogRing:
     """Make a ring the only sink of this process."""
-    ring = Ring(node)
+    ring = LogRing(node)
     logger.remove()
     logger.add(ring.write, format=FORMAT, level="INFO", backtrace=False, diagnose=False)
     sys.excepthook = ring.uncaught
--- a/cranebank/programs/registry_relay.py
+++ b/cranebank/programs/registry_relay.py
@@ -17,9 +17,9 @@
 from cranebank.transport.links import Link
 from cranebank.transport.messages import RegistrySync, RelayTo
 
-RELAYS = 3  # proxies that each message goes by
-HEARD_S = 2.5  # a controller counts as heard for so long: two messages may be lost
-REMEMBERED_S = 20.0  # by which proxy a controller was heard last
+RELAY_FANOUT = 3  # proxies that each message goes by
+RELAYED_CONTACT_TIMEOUT_S = 2.5  # a controller counts as heard for so long: two messages may be lost
+ROUTE_RETENTION_S = 20.0  # by which proxy a controller was heard last
 
 
 class _Arrival(NamedTuple):
@@ -37,7 +37,7 @@
     def received(self, now: float, source: str, link: Link) -> None:
         """Something came from a controller by way of the proxy on this link."""
         self._arrivals[source] = _Arrival(now, link)
-        self._arrivals = {ip: one for ip, one in self._arrivals.items() if now - one.at <= REMEMBERED_S}
+        self._arrivals = {ip: one for ip, one in self._arrivals.items() if now - one.at <= ROUTE_RETENTION_S}
 
     @property
     def remembered(self) -> int:
@@ -47,7 +47,7 @@
     def is_heard(self, now: float, ip: str) -> bool:
         """Whether something came from this controller lately."""
         arrival = self._arrivals.get(ip)
-        return arrival is not None and now - arrival.at <= HEARD_S
+        return arrival is not None and now - arrival.at <= RELAYED_CONTACT_TIMEOUT_S
 
     def send(self, destination: str, sync: RegistrySync) -> None:
         """Send this to a controller, without its number, which is for a connection."""
@@ -57,7 +57,7 @@
 
     def _proxies_towards(self, destination: str) -> list[Link]:
         links = [link for link, peer in self._delivery.peers.items() if peer.slot >= 0 and isinstance(link, Link)]
-        drawn = self._random.sample(links, min(RELAYS, len(links)))
+        drawn = self._random.sample(links, min(RELAY_FANOUT, len(links)))
         arrival = self._arrivals.get(destination)
         if arrival is None or not arrival.link.up or arrival.link in drawn:
             return drawn
--- a/cranebank/programs/serve.py
+++ b/cranebank/programs/serve.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from cranebank.dataplane.policy import PolicyError, without
-from cranebank.programs import ring as ring_module
+from cranebank.programs import log_ring as ring_module
 from cranebank.programs import timing
 from cranebank.programs.settings import NodeSettings, Role, SettingsError, load
 
@@ -39,7 +39,7 @@
         return int(runner.run(_run(role, settings, ring)))
 
 
-async def _run(role: Role, settings: NodeSettings, ring: ring_module.Ring) -> int:
+async def _run(role: Role, settings: NodeSettings, ring: ring_module.LogRing) -> int:
     if role == "edge":
         from cranebank.programs.edge import run  # noqa: PLC0415
     else:
--- a/cranebank/programs/stage_duty.py
+++ b/cranebank/programs/stage_balancer_driver.py
@@ -41,16 +41,16 @@
 
 LOOK_S = 0.25
 CONNECT_S = 0.4
-ANSWER_S = 0.6  # a backend answers an order at once; one that is slower may have taken it
+ORDER_ANSWER_TIMEOUT_S = 0.6  # a backend answers an order at once; one that is slower may have taken it
 MARGIN_S = 0.2  # for clocks that run at different rates, and timers that go off late
 ANSWER_BYTES = 64 << 10
 MS_PER_S = 1000.0
 
 
-def turn_wait_s(settings: NodeSettings) -> float:
+def takeover_wait_s(settings: NodeSettings) -> float:
     """How long a new primary leaves alone whom a former one may have ordered: the last such order has then arrived or
     been reset for longer than the rule's lease time."""
-    return settings.bounds.lease_ms / MS_PER_S + ANSWER_S + MARGIN_S
+    return settings.bounds.lease_ms / MS_PER_S + ORDER_ANSWER_TIMEOUT_S + MARGIN_S
 
 
 class _Target(msgspec.Struct):
@@ -101,7 +101,7 @@
     call_seq: Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)] = 0
 
 
-class StageDuty:
+class StageBalancerDriver:
     """A controller's stage balancer with its timer and its calls to backends."""
 
     def __init__(
@@ -122,7 +122,7 @@
         self._loads, self._hold_off = loads, hold_off
         self._held: set[str] = set()  # backends that proxies were told to send nothing to
         self.balancer = StageBalancer(
-            BalancerSettings(settings.node_name, turn_wait_s(settings), settings.beat_ms / MS_PER_S)
+            BalancerSettings(settings.node_name, takeover_wait_s(settings), settings.beat_ms / MS_PER_S)
         )
         self._services: dict[str, Service] = {}
         self._revision = -1
@@ -222,7 +222,7 @@
             connection.close()
 
     async def _transmit(self, connection: HttpLink, backend: Backend, transmit: Transmit) -> None:
-        answer = await connection.ask(order_request(backend, transmit.order), ANSWER_S)
+        answer = await connection.ask(order_request(backend, transmit.order), ORDER_ANSWER_TIMEOUT_S)
         logger.info("order to {}: {} -> {}", backend.id, transmit.order, answer.status)
         if answer.whole:
             connection.reset_on_close(False)
@@ -241,7 +241,7 @@
                 self._feed(Unreported(number))
                 return
             headers = {"Host": backend.address, "X-Target-Instance": backend.id}
-            answer = await connection.ask(request_bytes("GET", "/api/report", headers), ANSWER_S)
+            answer = await connection.ask(request_bytes("GET", "/api/report", headers), ORDER_ANSWER_TIMEOUT_S)
         finally:
             connection.close()
         if answer.status != 200 or not answer.whole:
--- a/cranebank/simwire/wire.py
+++ b/cranebank/simwire/wire.py
@@ -8,8 +8,8 @@
 import msgspec
 from msgspec import inspect
 
-from cranebank.config.checks import ConfigError, typed
-from cranebank.config.platform import LOAD_NAMES, Told, settings_of
+from cranebank.config.checks import ConfigError, convert_checked
+from cranebank.config.platform import LOAD_NAMES, PlatformSettings, to_decision_settings
 from cranebank.decisions import interface as api
 
 T = TypeVar("T")
@@ -25,7 +25,7 @@
 # By what each holds: plain values are joined with commas, tables counted. Read off the settings themselves.
 _LISTS = {
     field.encode_name: field.type
-    for field in msgspec.structs.fields(Told)
+    for field in msgspec.structs.fields(PlatformSettings)
     if isinstance(inspect.type_info(field.type), inspect.VarTupleType)
 }
 
@@ -49,7 +49,7 @@
         else:
             node[last] = value.split(",") if path in _LISTS else value
     try:
-        return settings_of(typed(_nested(tree, ""), Told, "setting", strict=False))
+        return to_decision_settings(convert_checked(_nested(tree, ""), PlatformSettings, "setting", strict=False))
     except ConfigError as error:
         raise WireError(str(error)) from None
 
--- a/tests/controlsim/world.py
+++ b/tests/controlsim/world.py
@@ -12,8 +12,8 @@
 from cranebank.control.consensus_replica import PUBLISHED_KEY, ConsensusReplica, ConsensusSettings
 from cranebank.membership.backends import newer
 from cranebank.membership.fleet import FleetLinks
-from cranebank.programs.control import Controller, is_counted_in_machines, losses
-from cranebank.programs.local_state import recalled_records
+from cranebank.programs.control import Controller, is_counted_in_machines, tolerated_machine_losses
+from cranebank.programs.local_state import decode_registry_records
 from cranebank.programs.settings import NodeSettings, Tolerance
 from cranebank.transport.links import Link
 from cranebank.transport.messages import Backend, ConfigPush, Hello, Message, StageLoad, WarmUpPermits
@@ -384,7 +384,7 @@
                 machine.ip,
                 settings.seed_ips,
                 is_first_start,
-                losses(settings),
+                tolerated_machine_losses(settings),
                 is_counted_in_machines=is_counted_in_machines(settings),
                 zones={settings.ip: settings.failure_domain(settings.zone)},
             )
@@ -398,7 +398,7 @@
             Random(f"{self.seed} {machine.ip} {machine.lives}"),
             lambda: msgspec.structs.replace(settings, seed_addrs=self._seed_addrs(False)),
             msgspec.msgpack.decode(stored[PUBLISHED_KEY], type=tuple[int, bytes]) if PUBLISHED_KEY in stored else None,
-            recalled_records(stored),
+            decode_registry_records(stored),
         )
         machine.loop.create_task(machine.controller.start())
 
@@ -630,7 +630,7 @@
             return
         for machine in self.machines.values():
             if machine.controller is not None:
-                for what in machine.controller.stage_duty.balancer.violations:
+                for what in machine.controller.stage_balancer_driver.balancer.violations:
                     self.judge.breach("invariant", f"{machine.ip}: {what}")
         is_in_trouble = any(one.troubles or not one.is_running for one in self.machines.values() if not one.is_removed)
         self.stage_rules.look(self.staged, self.switch_s, self.scheduler.now if is_in_trouble else self.last_event)
--- a/tests/mutants_evacuation.py
+++ b/tests/mutants_evacuation.py
@@ -144,17 +144,17 @@
     Mutant(
         Point.EVACUATION,
         "an order is written to a zone that was evacuated while the connection was made",
-        "programs/stage_duty.py",
+        "programs/stage_balancer_driver.py",
         "            if backend.zone in self._evacuated():\n                self._feed(NotConnected(number))",
         "            if False:\n                self._feed(NotConnected(number))",
-        "test_stage_duty.py",
+        "test_stage_balancer_driver.py",
     ),
     Mutant(
         Point.EVACUATION,
         "the stage balancer is shown backends of evacuated zones",
-        "programs/stage_duty.py",
+        "programs/stage_balancer_driver.py",
         "        if not evacuated:\n            return records",
         "        if True:\n            return records",
-        "test_stage_duty.py",
+        "test_stage_balancer_driver.py",
     ),
 )
--- a/tests/mutants_liveness.py
+++ b/tests/mutants_liveness.py
@@ -193,7 +193,7 @@
         Point.LIVENESS,
         "a controller that was heard once is heard for ever",
         "programs/registry_relay.py",
-        "return arrival is not None and now - arrival.at <= HEARD_S",
+        "return arrival is not None and now - arrival.at <= RELAYED_CONTACT_TIMEOUT_S",
         "return arrival is not None",
         "test_registry_relay.py",
     ),
--- a/tests/mutants_stages.py
+++ b/tests/mutants_stages.py
@@ -72,7 +72,7 @@
     Mutant(
         Point.LIVENESS,
         "proxies are not told when an order has come to nothing",
-        "programs/stage_duty.py",
+        "programs/stage_balancer_driver.py",
         "for name in self._held - held.keys():",
         "for name in ():",
         "test_stage_load.py",
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -189,7 +189,7 @@
 
 
 @dataclass
-class Story:
+class ProxyHarness:
     """A running proxy with the peers around it."""
 
     proxy: Proxy
@@ -210,7 +210,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(path: Path, *hosts: UpstreamHost, **limits: Any) -> AsyncIterator[Story]:
+async def running(path: Path, *hosts: UpstreamHost, **limits: Any) -> AsyncIterator[ProxyHarness]:
     """A proxy in this loop, before scripted hosts s0, s1, ... that discovery has listed; ``own`` holds
     settings of our own as the command line takes them."""
     async with contextlib.AsyncExitStack() as stack:
@@ -224,11 +224,11 @@
         proxy = Proxy(config, Log(config.name, config.layers.own.log))
         listen, port = await proxy.start()
         client = await stack.enter_async_context(aiohttp.ClientSession(auto_decompress=False))
-        yield Story(proxy, discovery, client, f"http://{listen}:{port}", at[0] if at else "", at)
+        yield ProxyHarness(proxy, discovery, client, f"http://{listen}:{port}", at[0] if at else "", at)
         await proxy.stop(linger=0.0)
 
 
-def play(tmp_path: Path, story: Callable[[Story], Awaitable[None]], *hosts: UpstreamHost, **limits: Any) -> None:
+def play(tmp_path: Path, story: Callable[[ProxyHarness], Awaitable[None]], *hosts: UpstreamHost, **limits: Any) -> None:
     """Run a story around a proxy of its own."""
 
     async def whole() -> None:
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -19,7 +19,7 @@
 from cranebank.fleetlab.lab_run import BAD_LINE
 from cranebank.fleetlab.records import DayRecord
 from cranebank.invariants import violations
-from cranebank.programs.ring import Ring
+from cranebank.programs.log_ring import LogRing
 from cranebank.transport import links
 from cranebank.transport.links import Dialer, Link
 
@@ -72,7 +72,7 @@
         raise KeyError("backend")
 
     async def run() -> None:
-        asyncio.get_running_loop().set_exception_handler(Ring("n", io.StringIO()).uncaught_in_loop)
+        asyncio.get_running_loop().set_exception_handler(LogRing("n", io.StringIO()).uncaught_in_loop)
         asyncio.get_running_loop().call_soon(fails)
         await asyncio.sleep(0.01)
 
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from peers import Reader, Story, UpstreamHost, Writer, play, request_headers, until
+from peers import ProxyHarness, Reader, UpstreamHost, Writer, play, request_headers, until
 
 HEAD = b"POST /order HTTP/1.1\r\nHost: x\r\n" + b"".join(
     b"%s: %s\r\n" % (name.encode(), value.encode()) for name, value in request_headers("order").items()
@@ -14,7 +14,7 @@
 WHOLE = HEAD + b"Content-Length: 2\r\n\r\nok"
 
 
-async def connected(s: Story) -> tuple[Reader, Writer]:
+async def connected(s: ProxyHarness) -> tuple[Reader, Writer]:
     return await asyncio.open_connection(*s.url.removeprefix("http://").split(":"))
 
 
@@ -31,7 +31,7 @@
 def test_a_request_that_does_not_end_in_time_is_closed_on(tmp_path: Path, said: bytes) -> None:
     own = ("door.kept_idle_s=0.1", "door.request_s=0.3", "door.most_idle_s=0.3")
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         for before in (b"", WHOLE):  # on a fresh connection, and on one that has had an answer
             reader, writer = await connected(s)
             if before:
@@ -64,7 +64,7 @@
 ) -> None:
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         reader, writer = await connected(s)
         writer.write(said)
         assert int((await reader.readline()).split()[1]) == status
@@ -78,7 +78,7 @@
 def test_the_id_of_a_request_that_is_open_is_refused_and_may_come_again_later(tmp_path: Path) -> None:
     host = UpstreamHost(lambda n: None if n == 1 else b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         first = asyncio.ensure_future(s.ask())
         await until(lambda: len(host.requests) == 1)
         assert (await s.ask("order"))[0] == 400
@@ -95,7 +95,7 @@
 ) -> None:
     monkeypatch.setattr("cranebank.http.client_connections.SETTLING", 0)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         flood = [await connected(s) for _ in range(60)]
         for _ in range(8):
             assert (await s.ask())[0] == 200
@@ -107,7 +107,7 @@
 
 
 def test_clients_that_ask_once_and_stay_are_closed_on_when_room_is_short(tmp_path: Path) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         kept = []
         for _ in range(40):
             reader, writer = await connected(s)
@@ -121,7 +121,7 @@
 
 
 def test_when_places_run_short_an_answer_is_the_last_on_its_connection(tmp_path: Path) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert "Connection" not in (await s.ask())[2]
         flood = [await connected(s) for _ in range(40)]
         await until(lambda: s.proxy.places_taken >= 40)
--- a/tests/test_cold_backends_wire.py
+++ b/tests/test_cold_backends_wire.py
@@ -8,7 +8,7 @@
 
 import pytest
 from test_configuration import body, document, route
-from test_control_program import ONE, PROXY, REPLACE, Caller, caller, free_port, settings_of
+from test_control_program import ONE, PROXY, REPLACE, Caller, caller, controller_settings, free_port
 from test_flat_over_changes import DataPlane, single_replica
 from test_registry import beat
 
@@ -35,7 +35,7 @@
     """How many calls may go to the one backend: while it is warm (many), told cold, and under permits."""
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
-    settings = settings_of(ONE, ports)
+    settings = controller_settings(ONE, ports)
     controller = Controller(settings, single_replica, AsyncStore(store), Random(1), lambda: settings)
     await controller.start()
     proxy = Proxy(RetryRule(0.1, 10, 1.0, True), Random(2), controller.now())
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -35,7 +35,7 @@
     Controller,
 )
 from cranebank.programs.local_state import LAST_S
-from cranebank.programs.ring import Ring, install
+from cranebank.programs.log_ring import LogRing, install
 from cranebank.programs.settings import NodeSettings, Tolerance
 from cranebank.storage.store import AsyncStore, open_store
 from cranebank.transport.frames import Decoder, encode, encode_items
@@ -76,7 +76,7 @@
         return int(found.getsockname()[1])
 
 
-def settings_of(ip: str, ports: tuple[int, int], seeds: tuple[str, ...] = (ONE,)) -> NodeSettings:
+def controller_settings(ip: str, ports: tuple[int, int], seeds: tuple[str, ...] = (ONE,)) -> NodeSettings:
     """Settings of a controller."""
     link, control = ports
     return NodeSettings(
@@ -95,7 +95,7 @@
     folder: Path, ports: tuple[int, int], ip: str = ONE, leader: str | None = None
 ) -> AsyncIterator[Controller]:
     """A controller that runs."""
-    settings = settings_of(ip, ports)
+    settings = controller_settings(ip, ports)
     store, damage = open_store(folder, "custody")
     assert damage is None
     made = Controller(
@@ -609,7 +609,7 @@
             may_shut_down[0] = True
             await stopping
             assert made.now() - began < made._handover_s()
-        assert made._handover_s() + FINISH_S + LAST_S < settings_of(ONE, ports).bounds.grace_s
+        assert made._handover_s() + FINISH_S + LAST_S < controller_settings(ONE, ports).bounds.grace_s
 
     play(story)
 
@@ -643,7 +643,7 @@
         async with controller(tmp_path, ports), caller(ports) as client:
             assert (await client.call("POST", REPLACE, sent, 0))[0] == 200
         settings = msgspec.structs.replace(
-            settings_of(ONE, ports),
+            controller_settings(ONE, ports),
             data_dir=str(tmp_path),
             tolerance=Tolerance(machines=1),
             seed_addrs=(f"{ONE}:1", f"{TWO}:1"),
@@ -670,7 +670,7 @@
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat()))[0] == 200
         store, _ = open_store(tmp_path, "custody")
         recalled = msgspec.msgpack.decode(store.values["known"], type=tuple[Backend, ...])
-        settings = settings_of(ONE, ports)
+        settings = controller_settings(ONE, ports)
         again = Controller(
             settings,
             lambda now, random: SingleNodeConsensus(ONE, store.values),
@@ -744,7 +744,7 @@
         planes: dict[str, Controller] = {}
         for ip in ips:
             settings = msgspec.structs.replace(
-                settings_of(ip, ports, ips),
+                controller_settings(ip, ports, ips),
                 data_dir=str(tmp_path / ip),
                 is_first_start=True,
                 tolerance=Tolerance(machines=1),
@@ -781,7 +781,7 @@
     """Where zones or regions may be lost no number of machines says how large it is."""
 
     async def story(ports: tuple[int, int]) -> None:
-        settings = msgspec.structs.replace(settings_of(ONE, ports), tolerance=tolerance)
+        settings = msgspec.structs.replace(controller_settings(ONE, ports), tolerance=tolerance)
         made = await make_controller(settings, lambda: settings)
         assert isinstance(made._consensus, ConsensusReplica)
         assert made._consensus._group_size == size
@@ -859,7 +859,7 @@
         assert "four" in told
         ring.dump()
         assert capsys.readouterr().err == ""
-        assert isinstance(ring, Ring)
+        assert isinstance(ring, LogRing)
     finally:
         logger.remove()
 
@@ -882,7 +882,7 @@
 def test_what_falls_due_on_a_tick_goes_out_with_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         store, _ = open_store(tmp_path, "custody")
-        settings = settings_of(ONE, (free_port(), free_port()))
+        settings = controller_settings(ONE, (free_port(), free_port()))
         consensus = SingleNodeConsensus(ONE, store.values)
         controller = Controller(settings, lambda now, random: consensus, AsyncStore(store), Random(1), lambda: settings)
         link = Link(controller._protocol, dialled=False)
--- a/tests/test_control_settings.py
+++ b/tests/test_control_settings.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from single_node_consensus import SingleNodeConsensus
-from test_control_program import ONE, free_port, settings_of
+from test_control_program import ONE, controller_settings, free_port
 
 from cranebank.programs import controller as program
 from cranebank.programs.controller import Controller
@@ -40,7 +40,7 @@
 async def exchange_seeds(folder: Path, by_signal: bool) -> None:
     """Give a controller that reaches no other one a broken file, then one with other seeds."""
     ports = (free_port(), free_port())
-    settings = settings_of(ONE, ports, (ONE, OLD))
+    settings = controller_settings(ONE, ports, (ONE, OLD))
     file = SettingsFile(settings)
     store, _ = open_store(folder, "custody")
     made = Controller(
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -29,9 +29,9 @@
 from cranebank.control.stage_balancer import StageBalancer
 from cranebank.control.stage_events import Authority
 from cranebank.control.stage_order import BackendOrder, OrderState
-from cranebank.programs import stage_duty
+from cranebank.programs import stage_balancer_driver
 from cranebank.programs.consensus_driver import ConsensusDriver
-from cranebank.programs.stage_duty import StageDuty
+from cranebank.programs.stage_balancer_driver import StageBalancerDriver
 from cranebank.transport.messages import Evacuations
 
 SCHEDULES = 10
@@ -175,13 +175,13 @@
     """The primary of the newest record that this controller knows, whether its lease runs or not, and whether the
     record names the order or not: without a lease nothing new is recorded."""
 
-    def authority(self: StageDuty) -> Authority:
+    def authority(self: StageBalancerDriver) -> Authority:
         status = self._consensus.status(self._now())
         recorded = {intent.backend: intent.stage for intent in status.intents or ()}
         return Authority(status.primary == status.id, status.term, status.epoch, recorded)
 
-    patch.setattr(StageDuty, "_authority", authority)
-    patch.setattr(stage_duty, "turn_wait_s", lambda settings: 0.0)
+    patch.setattr(StageBalancerDriver, "_authority", authority)
+    patch.setattr(stage_balancer_driver, "takeover_wait_s", lambda settings: 0.0)
     patch.setattr(StageBalancer, "_may_send", lambda self, now, order, authority: self._may_order(authority))
     patch.setattr(stage_balancer, "CONFIRM_S", 0.0)
 
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 
 import pytest
-from peers import OK, Story, UpstreamHost, entry, play, until
+from peers import OK, ProxyHarness, UpstreamHost, entry, play, until
 
 
 @pytest.mark.parametrize("tenant", ["", "acme"], ids=["none named", "one named all the same"])
 def test_where_there_are_no_tenants_nobody_must_name_one(tmp_path: Path, tenant: str) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         for kind in ("look", "order", "pay"):
             assert (await s.ask(kind, {"X-Tenant": tenant}))[0] == 200
 
@@ -21,7 +21,7 @@
 
 
 def test_where_there_are_tenants_an_unknown_one_gets_400(tmp_path: Path) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert (await s.ask(changes={"X-Tenant": "nobody"}))[0] == 400
 
     play(tmp_path, story, UpstreamHost())
@@ -30,7 +30,7 @@
 def test_a_class_that_is_unsafe_needs_no_key_and_passes_none_on(tmp_path: Path) -> None:
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert (await s.ask("pay", {"Idempotency-Key": ""}, b"order"))[0] == 200
         assert b"idempotency-key" not in host.requests[0].lower()
 
@@ -44,7 +44,7 @@
     """A dial may take longer than the grace: the list is looked at once more when the connection is there."""
     slow, other = UpstreamHost(), UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         links, told = s.proxy._pool, asyncio.Event()
         take = links.take
 
@@ -68,7 +68,7 @@
 
 
 def test_all_attempts_are_used_where_nobody_listens_and_no_more(tmp_path: Path) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         line = {"version": 2, "full": True, "servers": [entry(f"d{i}", f"127.0.0.1:{1 + i}") for i in range(12)]}
         s.discovery.lines.put_nowait(json.dumps(line).encode())
         await until(lambda: s.proxy.counters["lists_all"] == 1)
@@ -83,7 +83,7 @@
     hosts = UpstreamHost(lambda n: None if n in hushed else OK), UpstreamHost()
     names = itertools.count()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         async def ask() -> int:
             return (await s.ask("look", {"X-Request-Id": f"q{next(names)}"}))[0]
 
--- a/tests/test_durable_endings.py
+++ b/tests/test_durable_endings.py
@@ -16,7 +16,7 @@
 from cranebank.control.delivery import Delivery
 from cranebank.control.events import Status
 from cranebank.programs.controller_links import ControllerLinks
-from cranebank.programs.local_state import ENDED, KNOWN, LocalState, recalled_records
+from cranebank.programs.local_state import ENDED, KNOWN, LocalState, decode_registry_records
 from cranebank.programs.registry_service import RegistryService
 from cranebank.programs.settings import NodeSettings
 from cranebank.storage.records import DiskRefused
@@ -113,7 +113,7 @@
         disk.is_free.set()
         await turns()
         assert acknowledged(link) == [7]
-        assert recalled_records(disk.values) == (DRAINING,)
+        assert decode_registry_records(disk.values) == (DRAINING,)
 
     asyncio.run(story())
 
@@ -153,8 +153,8 @@
         ENDED: msgspec.msgpack.encode((DRAINING,)),
         KNOWN: msgspec.msgpack.encode((ready,)),
     }
-    assert recalled_records(stored)[-1] == DRAINING
-    assert recalled_records({}) == ()
+    assert decode_registry_records(stored)[-1] == DRAINING
+    assert decode_registry_records({}) == ()
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from peers import Story, UpstreamHost, answer, entry, play, request_headers, until
+from peers import ProxyHarness, UpstreamHost, answer, entry, play, request_headers, until
 
 from cranebank.config.load import load
 from cranebank.core.clock import Clock
@@ -51,13 +51,13 @@
         monkeypatch.setattr(ConnectionPool, "take", take)
 
 
-async def read_out(s: Story, *hosts: UpstreamHost) -> None:
+async def read_out(s: ProxyHarness, *hosts: UpstreamHost) -> None:
     """End the idle connections to the hosts, and go on once these have read all that there was."""
     s.proxy._pool.drop()
     await until(lambda: all(host.ended == host.connections for host in hosts))
 
 
-async def repeat_dialled(s: Story, held: Held) -> tuple[asyncio.Future[Any], int]:
+async def repeat_dialled(s: ProxyHarness, held: Held) -> tuple[asyncio.Future[Any], int]:
     """A keyed request whose first leg was answered by an error and whose repeat is being dialled; the first of so many
     requests that came so far: a machine that stands still may let a window pass before its repeat is decided."""
     asks = 0
@@ -69,7 +69,7 @@
             return asked, asks
 
 
-async def past(s: Story, moment: int) -> None:
+async def past(s: ProxyHarness, moment: int) -> None:
     """Go on once the proxy's clock has passed ``moment``, in microseconds."""
     while s.proxy._clock.now() <= moment:
         await asyncio.sleep(0.01)
@@ -81,7 +81,7 @@
 ) -> None:
     hosts = [UpstreamHost(lambda _: answer(500)) for _ in range(2)]
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         held = Held(monkeypatch, after=2)
         asked, asks = await repeat_dialled(s, held)
         if late:
@@ -116,7 +116,7 @@
         UpstreamHost(lambda _: answer(500), reads=lambda _: bool(firsts and firsts.pop()), room=4096) for _ in range(2)
     ]
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         left = {} if kind == "order" else {"X-Deadline-Ms": str(WINDOW_MS)}
         ends, asks = "legs_moot" if kind == "order" else "legs_connect_failed", 0
         while not any(host.reads_nothing for host in hosts):  # or the machine stood still till its time was up
@@ -137,7 +137,7 @@
 ) -> None:
     hosts = [UpstreamHost(lambda _: answer(500)) for _ in range(2)]
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         held = Held(monkeypatch, after=2)
         asked, asks = await repeat_dialled(s, held)
         end = time.monotonic() + WINDOW_MS / 1000
@@ -157,7 +157,7 @@
     """Its time is up; that it never ran is told at once, and must be so."""
     hosts = [UpstreamHost(), UpstreamHost()]
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         held = Held(monkeypatch)
         ended = s.proxy._engine._rules._leg_ended
 
@@ -181,7 +181,7 @@
     narrow(monkeypatch)
     host = UpstreamHost(reads=lambda _: False, room=4096)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         links = Held(monkeypatch)
         links.let_go.set()
         ended = s.proxy._engine._rules._leg_ended
@@ -204,7 +204,7 @@
 class Client:
     """A client's bare socket: what it does is in the kernel at once, before the loop goes on."""
 
-    def __init__(self, s: Story, room: int = 0) -> None:
+    def __init__(self, s: ProxyHarness, room: int = 0) -> None:
         host, _, port = s.url.removeprefix("http://").rpartition(":")
         self.socket = socket.socket()
         if room:
@@ -240,7 +240,7 @@
 LEAVE = ["FIN", "RST", "half", "behind"]
 
 
-def ask_and_more(s: Story, how: str, count: int = 1) -> list[Client]:
+def ask_and_more(s: ProxyHarness, how: str, count: int = 1) -> list[Client]:
     clients = [Client(s) for _ in range(count)]
     for number, client in enumerate(clients):
         client.ask("order", number)
@@ -258,7 +258,7 @@
     """Its end lies in the kernel when the connection comes up, and the loop has not seen it."""
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         held = Held(monkeypatch)
         clients = ask_and_more(s, how, count)
         await until(lambda: held.dials == count)
@@ -279,7 +279,7 @@
 ) -> None:
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         async def tell(version: int, state: str) -> None:
             change = {"version": version, "full": False, "servers": [entry("s0", s.address, state)]}
             s.discovery.lines.put_nowait(json.dumps(change).encode())
@@ -304,7 +304,7 @@
     body = b"x" * 300_000
     host = UpstreamHost(lambda _: answer(200, body), reads=lambda _: False)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         s.proxy._frontend.closing = True  # as while it stops
         client = Client(s, room=4096)
         if status == 400:
@@ -326,7 +326,7 @@
     play(tmp_path, story, host)
 
 
-async def tell(s: Story, version: int, *servers: dict[str, Any]) -> None:
+async def tell(s: ProxyHarness, version: int, *servers: dict[str, Any]) -> None:
     """Discovery tells changes; go on once they are heard."""
     before = s.proxy.counters["lists_changes"]
     s.discovery.lines.put_nowait(json.dumps({"version": version, "full": False, "servers": servers}).encode())
@@ -337,7 +337,7 @@
 def test_a_host_that_is_back_with_the_next_word_of_discovery_is_asked(tmp_path: Path, moves: bool) -> None:
     hosts = UpstreamHost(), UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         await tell(s, 2, entry("s0", s.addresses[0], "DELETED"), entry("s1", s.addresses[1], "DELETED"))
         await asyncio.sleep(0.05)  # the actors have heard
         await tell(s, 3, entry("s0", s.addresses[moves], started_ms=1))
@@ -355,7 +355,7 @@
     """Another host may stand there: not from a dial that was under way, nor on a connection that was in use."""
     old, new = UpstreamHost(), UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         await tell(s, 2, entry("s1", s.addresses[1], "DELETED"))
         held = Held(monkeypatch)
         asked = asyncio.ensure_future(s.ask("pay"))
@@ -387,7 +387,7 @@
     monkeypatch.setattr(ClientConnection, "connection_made", connection_made)
 
 
-def unsent_bytes(s: Story) -> list[int]:
+def unsent_bytes(s: ProxyHarness) -> list[int]:
     """What waits in the proxy for each client's connection."""
     return [one.get_write_buffer_size() for one in s.proxy._connections._transports.values()]
 
@@ -398,7 +398,7 @@
     body = b"x" * 1_000_000
     keep_little_in_the_kernel(monkeypatch)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         slow, quick = Client(s, room=4096), Client(s)
         slow.ask("look", 1)
         quick.ask("look", 2)
@@ -423,7 +423,7 @@
     body = b"x" * 400_000
     keep_little_in_the_kernel(monkeypatch)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         slow = Client(s, room=4096)
         slow.ask("look", 1)
         await until(lambda: s.proxy.counters["answers_served"] == 1 and sum(unsent_bytes(s)) > 0)
@@ -447,7 +447,7 @@
 ) -> None:
     keep_little_in_the_kernel(monkeypatch)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         stuck = Client(s, room=4096)
         stuck.ask("look", 1)
         await until(lambda: sum(unsent_bytes(s)) > 0)
@@ -460,7 +460,7 @@
 def test_whoever_the_kernel_lets_in_during_the_listeners_last_turn_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         last = list[Client]()
 
         async def late(server: asyncio.Server) -> None:
@@ -485,7 +485,7 @@
 ) -> None:
     """It lies in the kernel, and the loop has not seen it."""
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         limited, clients = s.proxy._connections, [Client(s) for _ in range(2 + 28 * crowded)]
         clients[0].ask("look", 1)
         clients[1].ask("look", 2)
@@ -508,7 +508,7 @@
     """Whichever is taken first: one final answer, and nothing behind it."""
     hosts = [UpstreamHost(reads=lambda _: False) for _ in range(2)]
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         client = Client(s)
         client.ask(kind, 1, **{"X-Deadline-Ms": "400"})
         await until(lambda: any(host.connections for host in hosts) or s.proxy.counters["answers_declined"] > 0)
@@ -535,7 +535,7 @@
     """They need a restart, which is said; until then the old ones hold for all, whatever vanished from the file."""
     host = UpstreamHost(reads=lambda _: False)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         asked = asyncio.ensure_future(s.ask("pay"))
         await until(lambda: host.connections == 1)
         path = tmp_path / "config.json"
@@ -560,7 +560,7 @@
     """It lies in the kernel: the loop has seen nothing yet. The next request gets a connection of its own."""
     host = UpstreamHost(lambda n: answer(200, b"%d" % n))
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert (await s.ask("pay"))[:2] == (200, b"1")
         await asyncio.sleep(0.05)  # a connection rests before it is used again
         sock = host.writers[0].get_extra_info("socket")
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -21,7 +21,7 @@
 import pytest
 import uvloop
 from test_configuration import body, document, route
-from test_control_program import ONE, PROXY, REPLACE, Caller, caller, free_port, settings_of
+from test_control_program import ONE, PROXY, REPLACE, Caller, caller, controller_settings, free_port
 from test_exchange import Story, calls
 from test_registry import beat
 
@@ -124,7 +124,7 @@
     """Put all changes through a controller and a linked proxy; `look` is called before each."""
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
-    settings = msgspec.structs.replace(settings_of(ONE, ports), beat_ms=BEAT_MS)
+    settings = msgspec.structs.replace(controller_settings(ONE, ports), beat_ms=BEAT_MS)
     controller = Controller(settings, single_replica, AsyncStore(store), Random(1), lambda: settings)
     await controller.start()
     proxy = Proxy(RetryRule(0.1, 10, 1.0, True), Random(2), controller.now())
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from peers import Story, UpstreamHost, play, until
+from peers import ProxyHarness, UpstreamHost, play, until
 
 from cranebank.cli.main import main
 from cranebank.lab import fleetlog
@@ -90,7 +90,7 @@
 ) -> None:
     said = ""
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         await s.ask()
 
         def there() -> bool:
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from peers import Discovery, Reader, Story, UpstreamHost, Writer, entry, listening, play, request_headers, until
+from peers import Discovery, ProxyHarness, Reader, UpstreamHost, Writer, entry, listening, play, request_headers, until
 
 from cranebank.config.load import load
 
@@ -17,7 +17,7 @@
 )
 
 
-async def connect(s: Story) -> tuple[Reader, Writer]:
+async def connect(s: ProxyHarness) -> tuple[Reader, Writer]:
     """A client's connection, bare."""
     return await asyncio.open_connection(*s.url.removeprefix("http://").split(":"))
 
@@ -28,7 +28,7 @@
 
 
 def test_requests_half_read_on_kept_connections_and_on_new_ones_are_answered_while_it_stops(tmp_path: Path) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         half, kept = await connect(s), await connect(s)
         kept[1].write(f"{HEAD}X-Request-Id: 1\r\n\r\n".encode())
         assert await status(kept[0]) == 200
@@ -54,7 +54,7 @@
 def test_whoever_is_let_in_as_the_listener_closes_is_heard(tmp_path: Path) -> None:
     """Accepted in one turn of the loop, its protocol made in the next: between the two lay the listener's end."""
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         host, _, port = s.url.removeprefix("http://").rpartition(":")
         client = socket.create_connection((host, int(port)))  # the kernel has it, nobody else
         client.sendall(b"GET /-/counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -70,7 +70,7 @@
     """Who crosses such an end tries once more, and must find somebody. What has come already is read."""
     monkeypatch.setattr("cranebank.daemon.CROSSING_S", 1.0)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         ends = [await connect(s) for _ in range(2)]
         for number, (reader, writer) in enumerate(ends):
             writer.write(f"{HEAD}X-Request-Id: {number}\r\n\r\n".encode())
@@ -99,7 +99,7 @@
 def test_a_request_whose_last_byte_comes_after_the_listener_has_closed_is_answered(tmp_path: Path, sent: str) -> None:
     """Its connection was let in before: whatever is sent on it is taken."""
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         reader, writer = await connect(s)
         writer.write(sent.encode())
         await until(lambda: s.proxy.places_taken == 1)
@@ -116,7 +116,7 @@
 def test_a_drain_told_by_the_new_discovery_is_kept_though_the_old_watch_was_open(tmp_path: Path) -> None:
     drained, other, new = UpstreamHost(), UpstreamHost(), Discovery()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         await until(lambda: len(s.discovery.watches) == 1)
         async with listening(new.talk) as address:
             path = tmp_path / "config.json"
@@ -141,7 +141,7 @@
     """What a list that was late for long tells: s0 drains, s1 has come back, s2 stands where s0 stood."""
     hosts = UpstreamHost(), UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         back = entry("s1", s.address, started_ms=1)  # never at its own address any more
         for number in range(6):
             assert (await s.ask(changes={"X-Request-Id": str(number)}))[0] == 200
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from peers import Story, UpstreamHost, answer, play
+from peers import ProxyHarness, UpstreamHost, answer, play
 
 from cranebank.core.log import Handler, Log
 from cranebank.core.log_settings import LogSettings
@@ -72,7 +72,7 @@
     hosts = [UpstreamHost(lambda n: answer(500) if n == 1 else answer(200, b"ok"))] * 2
     own = ("log.level=debug", "log.format=json")
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert (await s.ask())[0] == 200
 
     play(tmp_path, story, *hosts, MaxAttempts=3, own=own)
@@ -93,7 +93,7 @@
 def test_sampling_keeps_debug_affordable(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], own: tuple[str, ...], followed: int
 ) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         for _ in range(12):
             assert (await s.ask())[0] == 200
 
--- a/tests/test_lost_hosts.py
+++ b/tests/test_lost_hosts.py
@@ -8,7 +8,7 @@
 
 import pytest
 from conftest import Driver, make_settings
-from peers import OK, Story, UpstreamHost, answer, play
+from peers import OK, ProxyHarness, UpstreamHost, answer, play
 from test_subset import Time, news
 
 from cranebank.core import rules
@@ -160,7 +160,7 @@
     """The host's table may be full, and what it has goes on. Of a death the others are reset as well."""
     host = UpstreamHost(lambda _: first)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert (await s.ask())[0] == 200
         whole = ConnectionPool.take
 
@@ -181,7 +181,7 @@
     """It was idle for too long, say, and the end came between the look at it and the use."""
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         whole = ConnectionPool.take
 
         async def ended(links: ConnectionPool, server: str, address: str) -> Any:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -17,7 +17,7 @@
 from cranebank.programs import metrics
 from cranebank.programs.__main__ import Options, _options
 from cranebank.programs.edge import Edge
-from cranebank.programs.ring import Ring, install
+from cranebank.programs.log_ring import LogRing, install
 from cranebank.programs.settings import METRICS, NodeSettings, SettingsError, load, parse
 
 LINE = re.compile(r'(# (HELP|TYPE) \w+ .+|\w+(\{\w+="\w+"\})? \d+)')
@@ -126,7 +126,7 @@
     from loguru import logger  # noqa: PLC0415
 
     monkeypatch.setattr("sys.excepthook", None)
-    ring: Ring = install("core-1")
+    ring: LogRing = install("core-1")
 
     async def story() -> None:
         ports = free_port(), free_port()
--- a/tests/test_registry_relay.py
+++ b/tests/test_registry_relay.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cranebank.control.delivery import Delivery
-from cranebank.programs.registry_relay import HEARD_S, RELAYS, REMEMBERED_S, RegistryRelay
+from cranebank.programs.registry_relay import RELAY_FANOUT, RELAYED_CONTACT_TIMEOUT_S, ROUTE_RETENTION_S, RegistryRelay
 from cranebank.transport.frames import Decoder
 from cranebank.transport.links import Link
 from cranebank.transport.messages import Backend, Message, RegistrySync, RelayTo
@@ -53,7 +53,7 @@
 def test_a_message_goes_by_a_few_proxies_and_its_number_does_not() -> None:
     scene = Scene()
     used = {link for _ in range(60) for link in scene.ways()}
-    assert {len(scene.ways()) for _ in range(9)} == {RELAYS}
+    assert {len(scene.ways()) for _ in range(9)} == {RELAY_FANOUT}
     assert used == set(scene.proxies)
     assert scene.sent[0][1] == RelayTo(OTHER, RegistrySync(SYNC.backends, SYNC.heard, 0, SYNC.requested_ids))
 
@@ -64,13 +64,15 @@
     scene.relay.received(5.0, "10.0.0.4", scene.proxies[8])
     for _ in range(20):
         ways = scene.ways()
-        assert scene.proxies[7] in ways and len(set(ways)) == RELAYS
+        assert scene.proxies[7] in ways and len(set(ways)) == RELAY_FANOUT
     scene.proxies[7].up = False
     scene.delivery.leave(scene.proxies[7])
     assert all(scene.proxies[7] not in scene.ways() for _ in range(20))
 
 
-@pytest.mark.parametrize(("after", "is_heard"), [(0.0, True), (HEARD_S, True), (HEARD_S + 0.01, False)])
+@pytest.mark.parametrize(
+    ("after", "is_heard"), [(0.0, True), (RELAYED_CONTACT_TIMEOUT_S, True), (RELAYED_CONTACT_TIMEOUT_S + 0.01, False)]
+)
 def test_a_controller_is_heard_for_a_while_after_its_last_message(after: float, is_heard: bool) -> None:
     scene = Scene()
     scene.relay.received(5.0, OTHER, scene.proxies[7])
@@ -89,4 +91,4 @@
     for number in range(50):
         scene.relay.received(float(number), f"10.0.2.{number}", scene.proxies[0])
     assert scene.relay.is_heard(49.0, "10.0.2.49")
-    assert scene.relay.remembered <= REMEMBERED_S + 1
+    assert scene.relay.remembered <= ROUTE_RETENTION_S + 1
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranebank.config.checks import ConfigError, typed
-from cranebank.config.platform import Told, settings_of
+from cranebank.config.checks import ConfigError, convert_checked
+from cranebank.config.platform import PlatformSettings, to_decision_settings
 from cranebank.decisions import interface as api
 from cranebank.decisions.balance import Balancer
 from cranebank.simwire import wire
@@ -107,7 +107,7 @@
 
 
 def from_json(told: dict[str, Any]) -> api.Settings:
-    return settings_of(typed(json.loads(json.dumps(told)), Told, "file"))
+    return to_decision_settings(convert_checked(json.loads(json.dumps(told)), PlatformSettings, "file"))
 
 
 def play(told: api.Settings) -> int:
--- a/tests/test_stage_balancer.py
+++ b/tests/test_stage_balancer.py
@@ -39,7 +39,7 @@
 from cranebank.control.stage_policy import ServiceStages
 from cranebank.invariants import violations
 from cranebank.programs.settings import Bounds, NodeSettings
-from cranebank.programs.stage_duty import ANSWER_S, read_services, turn_wait_s
+from cranebank.programs.stage_balancer_driver import ORDER_ANSWER_TIMEOUT_S, read_services, takeover_wait_s
 from cranebank.transport.messages import Backend, StageLoad
 
 WAIT_S = 3.8
@@ -599,7 +599,7 @@
 
 def test_the_wait_after_a_takeover_covers_the_lease_time_and_an_order_on_its_way() -> None:
     settings = NodeSettings("n", "10.0.0.1", "z", (7000, 7009), ("10.0.0.1:80",), bounds=Bounds(lease_ms=5000))
-    assert turn_wait_s(settings) > 5.0 + ANSWER_S
+    assert takeover_wait_s(settings) > 5.0 + ORDER_ANSWER_TIMEOUT_S
 
 
 def test_services_are_those_with_engines_that_a_route_leads_to() -> None:
--- a/tests/test_stage_duty.py
+++ b/tests/test_stage_balancer_driver.py
@@ -23,9 +23,9 @@
     Transmit,
     Unreported,
 )
-from cranebank.programs import stage_duty
+from cranebank.programs import stage_balancer_driver
 from cranebank.programs.settings import NodeSettings
-from cranebank.programs.stage_duty import StageDuty
+from cranebank.programs.stage_balancer_driver import StageBalancerDriver
 from cranebank.transport.http_client import Answer
 from cranebank.transport.messages import Backend
 
@@ -64,10 +64,10 @@
         return {}
 
 
-def duty_of(consensus: SingleNodeConsensus) -> tuple[StageDuty, RecordingBalancer]:
+def duty_of(consensus: SingleNodeConsensus) -> tuple[StageBalancerDriver, RecordingBalancer]:
     """A duty whose balancer records what it is told."""
     settings = NodeSettings("n", "10.0.0.1", "z", (7000, 7009), ())
-    duty = StageDuty(settings, lambda: 0.0, consensus, lambda: True, Registry(0.0, 1.0))
+    duty = StageBalancerDriver(settings, lambda: 0.0, consensus, lambda: True, Registry(0.0, 1.0))
     balancer = RecordingBalancer()
     duty.balancer = balancer  # type: ignore[assignment]
     return duty, balancer
@@ -96,7 +96,7 @@
     async def connect(address: str, seconds: float, max_bytes: int) -> Connection:
         return Connection(body)
 
-    monkeypatch.setattr(stage_duty, "connect", connect)
+    monkeypatch.setattr(stage_balancer_driver, "connect", connect)
     assert asyncio.run(told_after(AskReport(3, BACKEND))) == [event]
 
 
@@ -113,7 +113,7 @@
         return connection
 
     async def story() -> None:
-        monkeypatch.setattr(stage_duty, "connect", connect)
+        monkeypatch.setattr(stage_balancer_driver, "connect", connect)
         duty, balancer = duty_of(consensus)
         duty._do(action)
         await asyncio.gather(*duty._tasks._tasks)
@@ -143,7 +143,9 @@
 def test_an_order_names_the_incarnation_that_it_is_for() -> None:
     """The address may be another backend's by the time it arrives."""
     backend = Backend("i-7", "s", "10.0.0.9:80", "z", "prefill", 4, "ready", 1)
-    head, _, body = stage_duty.order_request(backend, Order("decode", "node-1", 41, expected=2)).partition(b"\r\n\r\n")
+    head, _, body = stage_balancer_driver.order_request(backend, Order("decode", "node-1", 41, expected=2)).partition(
+        b"\r\n\r\n"
+    )
     assert head.startswith(b"POST /api/order HTTP/1.1\r\n")
     assert b"X-Target-Instance: i-7" in head.split(b"\r\n")
     assert msgspec.json.decode(body) == {
--- a/tests/test_stage_load.py
+++ b/tests/test_stage_load.py
@@ -18,7 +18,7 @@
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.offered_load import LOAD_AVERAGING_S, MAX_REPORTED_SERVICES, OfferedLoad
 from cranebank.programs.settings import NodeSettings
-from cranebank.programs.stage_duty import StageDuty
+from cranebank.programs.stage_balancer_driver import StageBalancerDriver
 from cranebank.transport.frames import Decoder, encode
 from cranebank.transport.messages import Backend, HoldOff, LinkHeartbeat, Push, StageLoad, Welcome
 
@@ -142,7 +142,7 @@
 def test_proxies_are_told_of_an_order_when_it_begins_and_when_it_is_over() -> None:
     async def run() -> list[HoldOff]:
         told: list[HoldOff] = []
-        duty = StageDuty(
+        duty = StageBalancerDriver(
             NodeSettings("n", "10.0.0.1", "z", (7000, 7009), ()),
             lambda: 1.0,
             cast(ConsensusCore, None),
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 import pytest
-from peers import OK, Discovery, Story, UpstreamHost, answer, entry, play, until
+from peers import OK, Discovery, ProxyHarness, UpstreamHost, answer, entry, play, until
 
 from cranebank import Balancer
 from cranebank.core.counters import Counters
@@ -28,7 +28,7 @@
     packed = gzip.compress(b"\x00\xff" * 9000)
     host = UpstreamHost(lambda _: answer(200, packed, "Content-Encoding: gzip"))
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         status, body, headers = await s.ask("order", body=b"a\r\n\x00b")
         assert (status, body, headers["Content-Encoding"]) == (200, packed, "gzip")
         await asyncio.sleep(0.05)  # a connection rests before it is used again
@@ -66,7 +66,7 @@
 def test_a_malformed_request_gets_400_and_no_leg(tmp_path: Path, kind: str, changes: dict[str, str]) -> None:
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert (await s.ask(kind, changes))[0] == 400
         assert (await s.ask("order", body=b"x" * (64 << 10)))[0] == 200
         assert (await s.ask("order", body=b"x" * ((64 << 10) + 1)))[0] == 413
@@ -89,7 +89,7 @@
 def test_a_client_that_talks_rubbish_gets_400_and_the_others_are_served(tmp_path: Path, said: bytes) -> None:
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         reader, writer = await asyncio.open_connection(*s.url.removeprefix("http://").split(":"))
         writer.write(said)
         assert (await reader.readline()).split()[1] == b"400"
@@ -127,7 +127,7 @@
 ) -> None:
     host = UpstreamHost(lambda _: told)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         left, counters = {"X-Deadline-Ms": "300"} if told is None else {}, s.proxy.counters
         status = (await s.ask(kind, left))[0]
         while told is None and not host.requests:  # the machine stood still, and time was up before it was written
@@ -143,7 +143,7 @@
 
 
 def test_a_host_that_is_not_there_is_a_connect_failure_and_the_next_one_serves(tmp_path: Path) -> None:
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         with socket.socket() as nobody:
             nobody.bind(("127.0.0.1", 0))
             down = f"127.0.0.1:{nobody.getsockname()[1]}"
@@ -161,7 +161,7 @@
 def test_a_request_on_a_dead_kept_connection_is_not_sent_once_more(tmp_path: Path) -> None:
     host = UpstreamHost(lambda n: OK if n == 1 else b"")
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert (await s.ask())[0] == 200
         await asyncio.sleep(0.05)
         status, _, headers = await s.ask()
@@ -176,7 +176,7 @@
 def test_a_client_that_leaves_takes_its_leg_along(tmp_path: Path, may_cancel: bool) -> None:
     host = UpstreamHost(lambda _: None)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         asked = asyncio.ensure_future(s.ask())
         await until(lambda: len(host.requests) == 1)
         asked.cancel()
@@ -190,7 +190,7 @@
 def test_a_stopping_proxy_still_serves_but_each_answer_closes_its_connection(tmp_path: Path) -> None:
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         assert "Connection" not in (await s.ask())[2]
         stopping = asyncio.ensure_future(s.proxy.stop(linger=3.0))
         await asyncio.sleep(0)
@@ -223,7 +223,7 @@
     handle = Balancer.handle
     host = UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         with monkeypatch.context() as patch:
             patch.setattr(Balancer, "handle", faulty)
             assert (await s.ask("pay", {"X-Deadline-Ms": "100"}))[0] == status
@@ -240,7 +240,7 @@
 ) -> None:
     old, new = UpstreamHost(), UpstreamHost()
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         change = {
             "version": 7,
             "full": False,
@@ -269,7 +269,7 @@
 def test_a_silent_watch_is_left_and_asked_for_anew(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, mode: str) -> None:
     monkeypatch.setattr("cranebank.discovery.routing_table.CALL_TIMEOUT_S", 0.2)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         await until(lambda: len(s.discovery.watches) >= 2)
         assert s.discovery.watches[0] == b"/api/targets?watch=1&from=1"
 
@@ -317,7 +317,7 @@
     monkeypatch.setattr("cranebank.discovery.routing_table.CALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(Discovery, "talk", UpstreamHost(lambda _: told).talk)
 
-    async def story(s: Story) -> None:
+    async def story(s: ProxyHarness) -> None:
         await until(lambda: s.proxy.counters["lists_refused"] == 2)
         # Each is asked for once the one before it was given up, and by one party alone.
         assert s.proxy.counters["watches_opened"] <= s.proxy.counters["watches_ended"] + 1 <= 4
--- a/tests/test_tallies_program.py
+++ b/tests/test_tallies_program.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 from single_node_consensus import SingleNodeConsensus
-from test_control_program import CALLER_S, ONE, TWO, Answer, caller, play, settings_of
+from test_control_program import CALLER_S, ONE, TWO, Answer, caller, controller_settings, play
 
 from cranebank.programs.control import make_controller
 from cranebank.programs.controller import Controller
@@ -42,7 +42,7 @@
             data = folder / ip
             data.mkdir(exist_ok=True)
             settings = msgspec.structs.replace(
-                settings_of(ip, ports, ALL), zone=f"zone-{ip}", data_dir=str(data), is_first_start=is_first
+                controller_settings(ip, ports, ALL), zone=f"zone-{ip}", data_dir=str(data), is_first_start=is_first
             )
             controller = await make_controller(settings, partial(_same, settings))
             await controller.start()
@@ -106,7 +106,7 @@
 @asynccontextmanager
 async def lone(ports: Ports, disk: Storage) -> AsyncIterator[Controller]:
     """A controller without others, with this disk for its tallies."""
-    settings = settings_of(ONE, ports)
+    settings = controller_settings(ONE, ports)
     made = Controller(
         msgspec.structs.replace(settings, is_first_start=True),
         lambda now, random: SingleNodeConsensus(ONE, {}, None),
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -8,8 +8,8 @@
 from conftest import Driver, make_settings
 from msgspec.structs import replace
 
-from cranebank.config.checks import typed
-from cranebank.config.platform import Told, settings_of
+from cranebank.config.checks import convert_checked
+from cranebank.config.platform import PlatformSettings, to_decision_settings
 
 Drive = Callable[..., Driver]
 CLASSES = tuple(
@@ -117,5 +117,7 @@
         "Rules": {"ColdFrom": 0.3, "WarmAfter": 9000.0, "FallMultiple": 4.0, "OverloadFor": 3000.0},
     }
     mix = {"Whole": 0.4, "WorstClass": 0.3, "WorstWindow": 0.2}
-    assert settings_of(typed(told, Told, "settings")).worst_class_share == 0.0
-    assert settings_of(typed(told | {"ScoringMix": mix}, Told, "settings")).worst_class_share == pytest.approx(0.75)
+    assert to_decision_settings(convert_checked(told, PlatformSettings, "settings")).worst_class_share == 0.0
+    assert to_decision_settings(
+        convert_checked(told | {"ScoringMix": mix}, PlatformSettings, "settings")
+    ).worst_class_share == pytest.approx(0.75)
