--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -19,7 +19,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from cranebank.routing.subset import position, spread
+from cranebank.routing.subset import ring_position, slot_ring_position
 
 Way = Callable[[int, int, list[str], int], set[str]]  # slot, told count, hosts, size
 
@@ -54,8 +54,8 @@
     def chosen(slot: int, count: int, hosts: list[str], size: int) -> set[str]:
         found: set[str] = set()
         for arc in range(arcs):
-            places = sorted((position(host, arc), host) for host in hosts)
-            at = bisect.bisect_left(places, (spread(slot, arc), ""))
+            places = sorted((ring_position(host, arc), host) for host in hosts)
+            at = bisect.bisect_left(places, (slot_ring_position(slot, arc), ""))
             wanted, step = min(len(hosts), (size * (arc + 1)) // arcs), 0
             while len(found) < wanted and step < len(places):
                 found.add(places[(at + step) % len(places)][1])
--- a/cranebank/background.py
+++ b/cranebank/background.py
@@ -44,7 +44,7 @@
 
 def report_unhandled(what: str, error: BaseException | None) -> None:
     """Count and log an exception that nobody handled. ``what`` says where it came up."""
-    invariants.note(UNHANDLED, f"{what}: {error!r}")
+    invariants.record_violation(UNHANDLED, f"{what}: {error!r}")
     logger.opt(exception=error).error("unhandled: {}", what)
 
 
--- a/cranebank/config/platform.py
+++ b/cranebank/config/platform.py
@@ -160,7 +160,7 @@
         may_probe=limits.may_probe,
         may_cancel=limits.cancel,
         second_copies=limits.second_copies,
-        tells_retry_after=limits.retry_after,
+        sends_retry_after=limits.retry_after,
         max_retry_after=limits.max_retry_after,
         max_attempts=limits.max_attempts,
         passes_deadline=told.family_info.passes_deadline,
@@ -179,7 +179,7 @@
         warm_after=rules.warm_after,
         fall_multiple=rules.fall_multiple,
         overload_for=rules.overload_for,
-        only_draining_binds=rules.dropped_stay_open,
+        removals_are_advisory=rules.dropped_stay_open,
         idle_after=limits.conn_idle,
         shares_connections=limits.streams_per_conn > 1,
     )
--- a/cranebank/control/replica.py
+++ b/cranebank/control/replica.py
@@ -35,7 +35,7 @@
     ip_of,
 )
 from cranebank.control.membership import group_size
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 
 MARGIN_S = 0.1  # by which the primary stops before its lease ends
 ELECTION_TIMEOUT_S = (0.05, 0.25)  # random wait before a candidacy, so that two seldom coincide
@@ -286,4 +286,4 @@
     @staticmethod
     def _require(holds_lease: bool, what: str) -> None:
         if not holds_lease:
-            raise broken(what)
+            raise invariant_error(what)
--- a/cranebank/control/stage_balancer.py
+++ b/cranebank/control/stage_balancer.py
@@ -48,7 +48,7 @@
     OrderState,
 )
 from cranebank.control.stage_policy import Need, ServiceStages, needed_stage
-from cranebank.invariants import note
+from cranebank.invariants import record_violation
 from cranebank.transport.messages import Backend
 
 CONFIRM_S = 0.5  # for so long a need must have held: a replacement's first heartbeat may be on its way
@@ -149,7 +149,7 @@
         """Count and log a broken invariant."""
         if not holds:
             self.violations[what] += 1
-            note(what, "stage balancer")
+            record_violation(what, "stage balancer")
         return holds
 
     # Looking.
--- a/cranebank/control/tallies/replica.py
+++ b/cranebank/control/tallies/replica.py
@@ -15,7 +15,7 @@
 from cranebank.control.tallies.peers import Copy, Peer, PeerTable, confirmed_upto
 from cranebank.control.tallies.segments import Segments
 from cranebank.control.tallies.state import covers
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 from cranebank.transport.messages import TallyAdd, TallyAdds, TallyBase, TallyVector
 
 CHUNK = 500
@@ -249,7 +249,7 @@
         before, self._durable, self._writing = self._durable, durable, None
         applied = self._state.applied
         if not covers(applied, durable):
-            raise broken("what is on disk is held", f"{durable} of {applied}")
+            raise invariant_error("what is on disk is held", f"{durable} of {applied}")
         news = {origin: number for origin, number in durable.items() if before.get(origin) != number}
         held = {origin: applied[origin] for origin in news}
         settings = self._settings
--- a/cranebank/control/tallies/segments.py
+++ b/cranebank/control/tallies/segments.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cranebank.control.tallies.state import TallyState, in_order
-from cranebank.invariants import note
+from cranebank.invariants import record_violation
 from cranebank.transport.messages import TallyAdd
 
 SEGMENT_ADDS = 128
@@ -106,7 +106,7 @@
             if add.number == state.applied_of(add.origin) + 1:
                 state.append(add, segments[add.origin, add.number])
             else:
-                note("adds on disk are contiguous", f"{add.number} after {state.applied_of(add.origin)}")
+                record_violation("adds on disk are contiguous", f"{add.number} after {state.applied_of(add.origin)}")
         return state
 
     def _read(self, number: int, value: bytes) -> list[tuple[TallyAdd, int]]:
--- a/cranebank/control/tallies/state.py
+++ b/cranebank/control/tallies/state.py
@@ -10,7 +10,7 @@
 from array import array
 from collections.abc import Iterable, Iterator, Mapping
 
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 from cranebank.transport.messages import TallyAdd
 
 ADD_OVERHEAD_BYTES = 32
@@ -111,7 +111,7 @@
         if log is None:
             log = self._logs[add.origin] = OriginLog()
         if add.number != log.applied + 1:
-            raise broken("adds of an origin are contiguous", f"{add.number} after {log.applied}")
+            raise invariant_error("adds of an origin are contiguous", f"{add.number} after {log.applied}")
         log.adds.append(add)
         log.segments.append(segment)
         self.bytes_held += _bytes_of(add)
@@ -215,11 +215,11 @@
         for add in winners.values():
             totals[add.tally] = totals.get(add.tally, 0) + add.amount
         if winners != self._by_id:
-            raise broken("no id counts twice")
+            raise invariant_error("no id counts twice")
         if {k: v for k, v in totals.items() if v} != {k: v for k, v in self._totals.items() if v}:
-            raise broken("a total is the sum of its adds", f"{self._totals} for {totals}")
+            raise invariant_error("a total is the sum of its adds", f"{self._totals} for {totals}")
         if self.bytes_held != sum(map(_bytes_of, self.adds())):
-            raise broken("the bytes of adds are counted")
+            raise invariant_error("the bytes of adds are counted")
 
 
 def _bytes_of(add: TallyAdd) -> int:
--- a/cranebank/core/tally.py
+++ b/cranebank/core/counter_log.py
@@ -12,7 +12,7 @@
 LEAST_S = 0.1  # guards the processor against a line for each turn of the loop
 
 
-class Tally:
+class CounterLog:
     """One line a period: ``cpu_ms`` used in it, the beliefs as they are, ``+name`` for each counter that rose."""
 
     def __init__(self, counters: Counters, beliefs: Callable[[], Mapping[str, float]], log: Log) -> None:
--- a/cranebank/core/engine.py
+++ b/cranebank/core/engine.py
@@ -15,7 +15,7 @@
 from cranebank.core.counters import Counters
 from cranebank.core.log import Log
 from cranebank.core.mailbox import Mailbox
-from cranebank.core.rules import Answer, Call, Decisions, Leg, Message, Rules, TableNews
+from cranebank.core.rules import Answer, Call, Decisions, Leg, Message, RoutingUpdate, Rules
 from cranebank.decisions import interface as api
 from cranebank.decisions.balance import Balancer
 from cranebank.routing.subset import Subset
@@ -24,7 +24,7 @@
 class Upstreams(Protocol):
     """The upstream hosts' side, as the engine needs it."""
 
-    def update(self, news: TableNews) -> None:
+    def update(self, news: RoutingUpdate) -> None:
         """Take what the routing table now says of the hosts."""
 
     def send(self, leg: Leg) -> None:
@@ -71,9 +71,9 @@
         self._upstreams, self._table = upstreams, table
 
     def submit(self, call: Call) -> asyncio.Future[Answer]:
-        """Take a request; the future gets its one final answer. Cancel by posting ``Left``."""
+        """Take a request; the future gets its one final answer. Cancel by posting ``ClientLeft``."""
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self.post(rules.Arrived(call, answer, self._clock.now(), self._log.follow()))
+        self.post(rules.RequestArrived(call, answer, self._clock.now(), self._log.follow()))
         self._counters.add("requests_taken")
         self._owed += 1
         return answer
@@ -83,17 +83,17 @@
         return self._rules.beliefs() | {"owed": self._owed}
 
     @property
-    def owed(self) -> int:
+    def unanswered_count(self) -> int:
         """Answers that are owed."""
         return self._owed
 
     def _take(self, message: Message) -> None:
-        if isinstance(message, rules.Overdue | rules.TimedOut):
+        if isinstance(message, rules.DeadlinePassed | rules.LegTimedOut):
             self._alarms.pop(id(message), None)
-        owed = self._rules.owed + isinstance(message, rules.Arrived)
+        unanswered_count = self._rules.unanswered_count + isinstance(message, rules.RequestArrived)
         for order in self._rules.handle(self._clock.now(), message):
             self._do(order)
-        self._owed -= owed - self._rules.owed
+        self._owed -= unanswered_count - self._rules.unanswered_count
 
     def _do(self, order: rules.Order) -> None:
         match order:
@@ -101,9 +101,9 @@
                 self._upstreams.send(leg)
             case rules.SetAlarm(at, alarm):
                 handle = self._clock.call_at(at, self.post, alarm)
-                if isinstance(alarm, rules.Overdue | rules.TimedOut):
+                if isinstance(alarm, rules.DeadlinePassed | rules.LegTimedOut):
                     self._alarms[id(alarm)] = handle  # the handle keeps the alarm, and so its identity
-            case rules.DropAlarm(alarm):
+            case rules.CancelAlarm(alarm):
                 if (dropped := self._alarms.pop(id(alarm), None)) is not None:
                     dropped.cancel()
             case rules.Reply(ticket, answer):
@@ -113,9 +113,9 @@
                 self._upstreams.cancel(leg)
             case rules.ProbeHost(server):
                 self._upstreams.probe(server)
-            case rules.Relisted(news):
+            case rules.UpdateUpstreams(news):
                 self._upstreams.update(news)
             case rules.Watch(enable):
                 self._table.watch(enable)
-            case rules.Note(level, event, fields):
+            case rules.LogLine(level, event, fields):
                 (self._log.debug if level == "debug" else self._log.error)(event, **fields)
--- a/cranebank/core/rules.py
+++ b/cranebank/core/rules.py
@@ -81,7 +81,7 @@
 # Messages.
 
 
-class Arrived(msgspec.Struct, frozen=True):
+class RequestArrived(msgspec.Struct, frozen=True):
     """Message: a request was taken at ``at``, its last byte in; ``ticket`` names it to who brought it."""
 
     call: Call
@@ -90,25 +90,25 @@
     followed: bool = False  # in the log, step by step
 
 
-class Left(msgspec.Struct, frozen=True):
+class ClientLeft(msgspec.Struct, frozen=True):
     """Message: the client of this request went away."""
 
     ticket: Any
 
 
 class LegEnded(msgspec.Struct, frozen=True):
-    """Message: how a leg ended; ``content`` came with OK; ``hopeless`` if the request itself is at fault;
+    """Message: how a leg ended; ``content`` came with OK; ``is_request_fault`` if the request itself is at fault;
     ``unproven`` if its connection failed and the host may listen all the same."""
 
     leg: Leg
     outcome: api.Outcome
     load: dict[str, float] | None = None
     content: Any = None
-    hopeless: bool = False
+    is_request_fault: bool = False
     unproven: bool = False
 
 
-class Probed(msgspec.Struct, frozen=True):
+class ProbeEnded(msgspec.Struct, frozen=True):
     """Message: what a probe found."""
 
     server: str
@@ -118,44 +118,44 @@
     unproven: bool = False  # as for a leg
 
 
-class TableNews(msgspec.Struct, frozen=True):
+class RoutingUpdate(msgspec.Struct, frozen=True):
     """Message: discovery's word on the upstream hosts."""
 
     kind: api.ListKind
     hosts: tuple[Host, ...] = ()
 
 
-class Due(msgspec.Struct, frozen=True):
+class TimerDue(msgspec.Struct, frozen=True):
     """Message, and what an alarm is set for: a timer of the module's; one from before a fault is nobody's."""
 
     name: str
     balancer: Decisions
 
 
-class Overdue(msgspec.Struct, frozen=True):
+class DeadlinePassed(msgspec.Struct, frozen=True):
     """Message, and what an alarm is set for: a request is past its deadline, whatever the module makes of it."""
 
     request: str
 
 
-class TimedOut(msgspec.Struct, frozen=True):
+class LegTimedOut(msgspec.Struct, frozen=True):
     """Message, and what an alarm is set for: a leg's time is up."""
 
     leg: Leg
 
 
-class Unsent(msgspec.Struct, frozen=True):
+class SendWindowClosed(msgspec.Struct, frozen=True):
     """Message, and what an alarm is set for: a leg that is not written by now may not be any more."""
 
     leg: Leg
 
 
-class Relist(msgspec.Struct, frozen=True):
+class ResendList(msgspec.Struct, frozen=True):
     """Message, and what an alarm is set for: the list as it stands is told to a module that starts anew."""
 
 
-Alarm = Due | Overdue | TimedOut | Unsent | Relist
-Message = Arrived | Left | LegEnded | Probed | TableNews | Alarm
+Alarm = TimerDue | DeadlinePassed | LegTimedOut | SendWindowClosed | ResendList
+Message = RequestArrived | ClientLeft | LegEnded | ProbeEnded | RoutingUpdate | Alarm
 
 
 # Orders.
@@ -193,7 +193,7 @@
     alarm: Alarm
 
 
-class DropAlarm(msgspec.Struct, frozen=True):
+class CancelAlarm(msgspec.Struct, frozen=True):
     """Order: this alarm isn't wanted any more; bringing it all the same does no harm."""
 
     alarm: Alarm
@@ -205,13 +205,13 @@
     enable: bool
 
 
-class Relisted(msgspec.Struct, frozen=True):
+class UpdateUpstreams(msgspec.Struct, frozen=True):
     """Order: discovery's word, for the upstream side; comes before any order that follows from it."""
 
-    news: TableNews
+    news: RoutingUpdate
 
 
-class Note(msgspec.Struct, frozen=True):
+class LogLine(msgspec.Struct, frozen=True):
     """Order: a line for the log."""
 
     level: str  # debug, error
@@ -219,7 +219,7 @@
     fields: dict[str, Any]
 
 
-Order = SendLeg | CancelLeg | ProbeHost | Reply | SetAlarm | DropAlarm | Watch | Relisted | Note
+Order = SendLeg | CancelLeg | ProbeHost | Reply | SetAlarm | CancelAlarm | Watch | UpdateUpstreams | LogLine
 
 
 class Decisions(Protocol):
@@ -229,7 +229,7 @@
         """Take an event and return what is to be done."""
 
 
-class ModuleTime(Protocol):
+class ModuleClock(Protocol):
     """The module's float milliseconds, and this layer's whole microseconds."""
 
     def module_ms(self, at: int) -> float:
@@ -248,12 +248,12 @@
     deadline: int
     over: bool = False
     followed: bool = False
-    overdue: Overdue | None = None
+    overdue: DeadlinePassed | None = None
     legs: list[Leg] = msgspec.field(default_factory=list)
-    alarms: list[TimedOut] = msgspec.field(default_factory=list)  # by leg
+    alarms: list[LegTimedOut] = msgspec.field(default_factory=list)  # by leg
 
 
-def span_us(ms: float) -> int:
+def ms_to_us(ms: float) -> int:
     """A duration of the settings or the module in microseconds."""
     return round(ms * 1000.0)
 
@@ -265,7 +265,7 @@
         self,
         settings: api.Settings,
         seed: int,
-        time: ModuleTime,
+        time: ModuleClock,
         counters: Counters,
         make: Callable[[api.Settings, int], Decisions] = Balancer,
         subset: Subset | None = None,
@@ -278,14 +278,14 @@
         self._by_ticket: dict[Any, Open] = {}
         self._hosts: dict[str, Host] = {}  # all that are listed
         # Where only draining binds, a host can't be taken from the module again: then it knows all.
-        self._subset = None if settings.only_draining_binds else subset
+        self._subset = None if settings.removals_are_advisory else subset
         self._kept: set[str] = set()  # by the subset
         self._orders: list[Order] = []
         self._next: deque[Message] = deque()  # brought by this layer itself: the module may be inside an event
         self._now = 0
 
     @property
-    def owed(self) -> int:
+    def unanswered_count(self) -> int:
         """Requests that are not answered yet."""
         return len(self._by_ticket)
 
@@ -309,30 +309,30 @@
 
     def _take(self, message: Message) -> None:
         match message:
-            case Arrived():
+            case RequestArrived():
                 self._arrived(message)
             case LegEnded():
                 self._leg_ended(message)
-            case Due(name, balancer):
+            case TimerDue(name, balancer):
                 if balancer is self._balancer:
                     self._tell(api.TimerFired(name))
-            case Probed(server, outcome, took, load, unproven):
+            case ProbeEnded(server, outcome, took, load, unproven):
                 self._counters.add(f"probes_{outcome.name.lower()}")
                 self._tell(api.ProbeResult(server, outcome, took / 1000.0, load, unproven))
-            case Left(ticket):
+            case ClientLeft(ticket):
                 self._left(ticket)
-            case TimedOut(leg):
+            case LegTimedOut(leg):
                 # A connection that was never up has carried nothing: that is a connect failure, whatever the hour.
                 self._drop(leg, api.Outcome.TIMEOUT if leg.written else api.Outcome.CONNECT_FAILED)
-            case Unsent(leg):
+            case SendWindowClosed(leg):
                 if not leg.written:  # never run, and no fault of the host's
                     self._drop(leg, api.Outcome.MOOT)
-            case TableNews():
+            case RoutingUpdate():
                 self._news(message)
-            case Overdue(name):
+            case DeadlinePassed(name):
                 self._overdue(name)
-            case Relist():
-                self._news(TableNews(api.ListKind.REMEMBERED, tuple(self._hosts.values())))
+            case ResendList():
+                self._news(RoutingUpdate(api.ListKind.REMEMBERED, tuple(self._hosts.values())))
 
     def _tell(self, event: api.Event) -> None:
         """Give the module an event and carry out what it says."""
@@ -340,7 +340,7 @@
             actions = self._balancer.handle(self._time.module_ms(self._now), event)
         except Exception:  # guards every open request against a fault in the decisions
             self._counters.add("module_faults")
-            self._orders.append(Note("error", "module_fault", {"trace": traceback.format_exc()[-400:]}))
+            self._orders.append(LogLine("error", "module_fault", {"trace": traceback.format_exc()[-400:]}))
             self._restart_module(RELIST_AFTER if isinstance(event, api.ServerList) else 0)
             return
         for action in actions:
@@ -349,9 +349,9 @@
     def _do(self, action: api.Action) -> None:
         match action:
             case api.Send(name, server, timeout):
-                self._send(name, server, span_us(timeout))
+                self._send(name, server, ms_to_us(timeout))
             case api.SetTimer(at, name):
-                self._orders.append(SetAlarm(self._time.from_module_ms(at), Due(name, self._balancer)))
+                self._orders.append(SetAlarm(self._time.from_module_ms(at), TimerDue(name, self._balancer)))
             case api.Probe(server):
                 self._counters.add("probes_sent")
                 self._orders.append(ProbeHost(server))
@@ -360,22 +360,22 @@
                     self._drop(self._open[name].legs[number], api.Outcome.CANCELLED)
             case api.Refuse(name, retry_after):
                 if name in self._open:
-                    self._decline(self._open[name], span_us(retry_after))
+                    self._decline(self._open[name], ms_to_us(retry_after))
             case api.Fail(name):
                 if name in self._open:
                     self._answer(self._open[name], Failed())
             case api.Watch(enable):
                 self._orders.append(Watch(enable))
 
-    def _arrived(self, message: Arrived) -> None:
+    def _arrived(self, message: RequestArrived) -> None:
         call = message.call
         request = Open(next(self._names), call, message.ticket, message.at + max(0, call.time_left))
         self._open[request.name] = self._by_ticket[message.ticket] = request
         request.followed = message.followed
         self._follow(request, "taken", kind=call.class_index, tenant=call.tenant, left_us=call.time_left)
         # Guards the promise of one answer in time against a module that forgets the request.
-        request.overdue = Overdue(request.name)
-        late = request.deadline + span_us(self.settings.answer_slack / 2)
+        request.overdue = DeadlinePassed(request.name)
+        late = request.deadline + ms_to_us(self.settings.answer_slack / 2)
         self._orders.append(SetAlarm(late, request.overdue))
         left = max(0, request.deadline - self._now) / 1000.0
         self._tell(api.Request(request.name, call.class_index, left, call.tenant, None, call.cost, call.resubmitted))
@@ -396,7 +396,7 @@
             min(deadline, self._window_end(request)),
         )
         request.legs.append(leg)
-        alarm = TimedOut(leg)
+        alarm = LegTimedOut(leg)
         request.alarms.append(alarm)
         if request.over or now >= deadline or leg.number >= self.settings.max_attempts:
             self._next.append(LegEnded(leg, api.Outcome.MOOT))
@@ -413,7 +413,7 @@
         self._follow(request, "leg_sent", leg=leg.number, host=server, wait_us=deadline - now)
         self._orders.append(SetAlarm(deadline, alarm))
         if leg.send_by < deadline:
-            self._orders.append(SetAlarm(leg.send_by, Unsent(leg)))
+            self._orders.append(SetAlarm(leg.send_by, SendWindowClosed(leg)))
         self._orders.append(SendLeg(leg))
 
     def _window_end(self, request: Open) -> int:
@@ -425,7 +425,7 @@
         ran = next((leg for leg in request.legs if leg.outcome not in NEVER_RAN), None)
         if ran is None or kind.effect is not api.Effect.KEYED:
             return request.deadline
-        return ran.sent_at + span_us(kind.repeat_window - self.settings.tick)
+        return ran.sent_at + ms_to_us(kind.repeat_window - self.settings.tick)
 
     def _drop(self, leg: Leg, outcome: api.Outcome) -> None:
         """Stop waiting for a leg that is still out."""
@@ -440,7 +440,7 @@
         if request is None or leg.outcome is not None:
             return  # its outcome came already: every leg has one
         leg.outcome = ended.outcome
-        self._orders.append(DropAlarm(request.alarms[leg.number]))
+        self._orders.append(CancelAlarm(request.alarms[leg.number]))
         self._counters.add(f"legs_{ended.outcome.name.lower()}")
         self._follow(
             request,
@@ -454,7 +454,7 @@
         if ended.outcome is api.Outcome.OK:
             self._answer(request, Served(ended.content))
         outcome = ended.outcome
-        if ended.hopeless:  # no host would take it, and it says nothing about this one
+        if ended.is_request_fault:  # no host would take it, and it says nothing about this one
             self._answer(request, Failed())
             outcome = api.Outcome.CANCELLED
         took = (self._now - leg.sent_at) / 1000.0
@@ -467,7 +467,7 @@
 
     def _follow(self, request: Open, event: str, **fields: Any) -> None:
         if request.followed:
-            self._orders.append(Note("debug", event, {"request": request.call.name, **fields}))
+            self._orders.append(LogLine("debug", event, {"request": request.call.name, **fields}))
 
     def _decline(self, request: Open, retry_after: int) -> None:
         kind = self.settings.classes[request.call.class_index]
@@ -490,7 +490,7 @@
     def _close(self, request: Open) -> None:
         request.over = True
         if request.overdue is not None:
-            self._orders.append(DropAlarm(request.overdue))
+            self._orders.append(CancelAlarm(request.overdue))
         self._by_ticket.pop(request.ticket, None)
         self._forget(request)
 
@@ -514,11 +514,11 @@
         if request is None or request.over:
             return
         self._counters.add("answers_overdue")
-        self._orders.append(Note("error", "answer_overdue", {"request": request.call.name}))
+        self._orders.append(LogLine("error", "answer_overdue", {"request": request.call.name}))
         self._answer(request, Failed())
         self._tell(api.RequestGone(name))
 
-    def _news(self, news: TableNews) -> None:
+    def _news(self, news: RoutingUpdate) -> None:
         self._counters.add(f"lists_{news.kind.value}")
         if news.kind not in (api.ListKind.REFUSED, api.ListKind.CHANGES):
             self._hosts.clear()
@@ -529,10 +529,10 @@
                 self._hosts[host.entry.server] = host
         if self._subset is not None and news.kind is not api.ListKind.REFUSED:
             news = self._narrowed(self._subset, news)
-        self._orders.append(Relisted(news))
+        self._orders.append(UpdateUpstreams(news))
         self._tell(api.ServerList(news.kind, tuple(host.entry for host in news.hosts)))
 
-    def _narrowed(self, subset: Subset, news: TableNews) -> TableNews:
+    def _narrowed(self, subset: Subset, news: RoutingUpdate) -> RoutingUpdate:
         """The same news to who knows but a part of the hosts; one that leaves the part is said to be gone."""
         in_service = api.ServerState.IN
         whole = news.kind is not api.ListKind.CHANGES
@@ -546,7 +546,7 @@
         self._counters.add("subset_joined", len(self._kept - before))
         self._counters.add("subset_left", len(before - self._kept))
         if whole:
-            return TableNews(news.kind, tuple(host for name, host in self._hosts.items() if name in self._kept))
+            return RoutingUpdate(news.kind, tuple(host for name, host in self._hosts.items() if name in self._kept))
         named = {host.entry.server for host in news.hosts}
         hosts = [host for host in news.hosts if host.entry.server in before or host.entry.server in self._kept]
         hosts += [self._hosts[name] for name in sorted(self._kept - before) if name not in named]
@@ -555,7 +555,7 @@
             for name in sorted(before - self._kept)
             if name not in named and name in self._hosts
         ]
-        return TableNews(news.kind, tuple(hosts))
+        return RoutingUpdate(news.kind, tuple(hosts))
 
     def _restart_module(self, pause: int) -> None:
         """After a fault nothing that the module remembers is to be trusted: answer all, start it anew."""
@@ -565,4 +565,4 @@
             self._decline(request, 0)
         for leg in [leg for r in self._open.values() for leg in r.legs]:
             self._drop(leg, api.Outcome.CANCELLED)
-        self._orders.append(SetAlarm(self._now + pause, Relist()))
+        self._orders.append(SetAlarm(self._now + pause, ResendList()))
--- a/cranebank/daemon.py
+++ b/cranebank/daemon.py
@@ -15,11 +15,11 @@
 from cranebank.config.checks import ConfigError
 from cranebank.config.load import Config, load
 from cranebank.core.clock import Clock
+from cranebank.core.counter_log import CounterLog
 from cranebank.core.counters import Counters
 from cranebank.core.engine import Engine
 from cranebank.core.log import Handler, Log
-from cranebank.core.rules import Decisions, Host, span_us
-from cranebank.core.tally import Tally
+from cranebank.core.rules import Decisions, Host, ms_to_us
 from cranebank.decisions import interface as api
 from cranebank.decisions.balance import Balancer
 from cranebank.discovery.routing_table import RoutingTable
@@ -28,7 +28,7 @@
 from cranebank.http.frontend import Frontend
 from cranebank.http.socket_state import readable, stop_accepting
 from cranebank.http.upstream import Directory, Upstream
-from cranebank.routing.subset import Subset, Wanted, slot_of
+from cranebank.routing.subset import Subset, SubsetSpec, slot_from_name
 
 IDLE_MARGIN_MS = 1000.0  # idle connections are dropped this much before the host's machine would
 SPARE = 32  # the interpreter's own, the listener, discovery, and what is accepted before ``ClientConnections`` sees it
@@ -51,15 +51,15 @@
         times = ConnectionTimeouts(
             round(told.request_s * 1e6), round(told.kept_idle_s * 1e6), round(told.most_idle_s * 1e6)
         )
-        idle = span_us(max(100.0, settings.idle_after - IDLE_MARGIN_MS))
+        idle = ms_to_us(max(100.0, settings.idle_after - IDLE_MARGIN_MS))
         self._pool = ConnectionPool(
             self._links_at_most, config.memory // 8, idle, settings.connect_timeout / 1000.0, clock, self.counters
         )
         own = config.layers.own.subset
         subset = (
             Subset(
-                Wanted(own.size, own.from_hosts, own.cover),
-                settings.slot if settings.slot >= 0 else slot_of(config.name),
+                SubsetSpec(own.size, own.from_hosts, own.cover),
+                settings.slot if settings.slot >= 0 else slot_from_name(config.name),
                 settings.copies,
                 settings.zone,
                 settings.cross_zone_price > 0,
@@ -67,7 +67,7 @@
             if own.size
             else None
         )
-        if subset is not None and settings.only_draining_binds:
+        if subset is not None and settings.removals_are_advisory:
             log.warning("subset_off", why="only draining binds here: a host can't be taken from the module")
         self._engine = Engine(settings, config.seed, clock, self.counters, log, make, subset)
 
@@ -94,7 +94,7 @@
         self._connections = self._frontend.connections
         self._listener: asyncio.Server
         self._socket: socket.socket
-        self._tally = Tally(self.counters, self._beliefs, log)
+        self._tally = CounterLog(self.counters, self._beliefs, log)
         self._tally.every(config.layers.own.log.tally_s)
 
     @property
@@ -160,7 +160,7 @@
         for its second try. Connections with a request on its way in stay till it is answered or its time to come in
         is up: aiohttp would drop what they still send (``pre_shutdown``).
         """
-        self._log.info("stopping", clients=self._connections.count, owed=self._engine.owed)
+        self._log.info("stopping", clients=self._connections.count, owed=self._engine.unanswered_count)
         linger = self._linger if linger is None else linger
         longest = max(kind.deadline for kind in self._config.settings.classes) / 1000.0
         killed = min(longest, KILLED_MOST_S) + KILLED_S
--- a/cranebank/dataplane/attempts.py
+++ b/cranebank/dataplane/attempts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 
 UNSENT = 4  # calls of one request that never left us, before it is given up
 FURTHER_READINGS = 1  # of one request's prompt after its first
@@ -76,4 +76,4 @@
     def check(self) -> None:
         """Raise InvariantBroken where the state contradicts itself."""
         if self.count > max(1, self._tries):
-            raise broken("no more attempts than tries", f"{self.count} of {self._tries}")
+            raise invariant_error("no more attempts than tries", f"{self.count} of {self._tries}")
--- a/cranebank/dataplane/candidates.py
+++ b/cranebank/dataplane/candidates.py
@@ -7,7 +7,7 @@
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.cold_backends import ColdBackends
 from cranebank.dataplane.suspects import Place, Suspects, is_last_resort
-from cranebank.invariants import broken, note
+from cranebank.invariants import invariant_error, record_violation
 from cranebank.membership.backends import newer
 from cranebank.transport.messages import Backend
 
@@ -180,7 +180,7 @@
             return 0.0
         permitted_until = self.cold.use_permit(now, seen.backend)
         if permitted_until is None:
-            raise broken("a cold backend is sent to under a permit", seen.backend.id)
+            raise invariant_error("a cold backend is sent to under a permit", seen.backend.id)
         return permitted_until
 
     def may_write(self, now: float, backend: Backend, permitted_until: float) -> bool:
@@ -248,7 +248,7 @@
             _place(seen.backend) == place and self._may_be_tried(now, seen)
             for seen in self._usable(now, list(self.views.values()), without)
         ):
-            note("nobody is passed over where a backend may be tried", f"{place}")
+            record_violation("nobody is passed over where a backend may be tried", f"{place}")
 
     def _may_be_tried(self, now: float, seen: BackendView) -> bool:
         phase = seen.backend.phase
--- a/cranebank/dataplane/client_answer.py
+++ b/cranebank/dataplane/client_answer.py
@@ -9,7 +9,7 @@
 from cranebank.dataplane.events_stream import EventSplitter
 from cranebank.dataplane.exchange_events import Break, Data, Finish, Head, Reply
 from cranebank.dataplane.open_legs import Leg
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 
 RETRY_AFTER_S = 0.1
 
@@ -55,7 +55,7 @@
     def pass_failure(self, leg: Leg) -> list[Head | Data | Finish]:
         """A backend's failure, whole, as it came."""
         if self.is_begun:
-            raise broken("one answer a request")
+            raise invariant_error("one answer a request")
         return [Head(leg.status, leg.headers), Data(leg.body), Finish()]
 
     def drop_rest(self) -> None:
@@ -83,5 +83,5 @@
 
     def _reply(self, error: RequestError) -> Reply:
         if isinstance(error, NotRun) and self.may_have_run:
-            raise broken("what may have run is not refused")
+            raise invariant_error("what may have run is not refused")
         return Reply(error, RETRY_AFTER_S if isinstance(error, NotRun) else None)
--- a/cranebank/dataplane/client_response.py
+++ b/cranebank/dataplane/client_response.py
@@ -6,7 +6,7 @@
 
 from cranebank.dataplane.errors import RequestError
 from cranebank.dataplane.http_fields import HOP_BY_HOP, status_line
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 
 BODILESS_STATUSES = frozenset({204, 304})
 
@@ -40,7 +40,7 @@
     def head(self, status: int, headers: dict[str, str], *, closing: bool) -> bytes:
         """The head of a backend's answer; its body follows with ``frame`` and ``tail``."""
         if self.has_head:
-            raise broken("one head a response")
+            raise invariant_error("one head a response")
         self.has_head = True
         lines = [status_line(status)]
         lines += [
@@ -72,25 +72,25 @@
     def frame(self, data: bytes) -> bytes:
         """Part of the body as it goes on the wire."""
         if not self.has_head:
-            raise broken("a body follows its head")
+            raise invariant_error("a body follows its head")
         if not data or self._is_bodiless:
             return b""
         if self._left is not None:
             self._left -= len(data)
             if self._left < 0:
-                raise broken("no more bytes than the head promised")
+                raise invariant_error("no more bytes than the head promised")
         return b"%x\r\n%b\r\n" % (len(data), data) if self._is_chunked else data
 
     def tail(self) -> bytes:
         """The end of the body."""
         if not self.has_head:
-            raise broken("an end follows its head")
+            raise invariant_error("an end follows its head")
         return b"0\r\n\r\n" if self._is_chunked else b""
 
     def own_reply(self, error: RequestError, retry_after_s: float | None, *, closing: bool) -> bytes:
         """A whole answer of the proxy's own."""
         if self.has_head:
-            raise broken("no reply behind a head")
+            raise invariant_error("no reply behind a head")
         self.has_head = True
         self.keeps_connection = self.keeps_connection and not closing
         body = msgspec.json.encode({"code": error.code, "detail": str(error)})
--- a/cranebank/dataplane/dispatch.py
+++ b/cranebank/dataplane/dispatch.py
@@ -14,7 +14,7 @@
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Engine, Route
 from cranebank.dataplane.shared import Shared
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 from cranebank.transport.messages import PrefillBegun
 
 HANDLE_MARGIN_S = 0.5  # of a handle's life that is not relied on
@@ -96,7 +96,7 @@
         self._shared.count("readings")
         self._shared.count("reading_ms", round(took_ms))
         if self._engine is None:
-            raise broken("a service without engines reads no prompt apart")
+            raise invariant_error("a service without engines reads no prompt apart")
         self.handle = Handle(prefill_backend.seen.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
         decode_backend = self._maker(now)
         return self._make(now, decode_backend, 0) if decode_backend is not None else None
--- a/cranebank/dataplane/exchange.py
+++ b/cranebank/dataplane/exchange.py
@@ -37,7 +37,7 @@
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Engine, Route
 from cranebank.dataplane.shared import Shared
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 
 SILENT_STREAM_S = 0.6  # a stream that may be resumed is given up after so long without an event
 UNPASSED_BYTES = 1 << 20  # of an answer that is held until it is whole
@@ -139,14 +139,14 @@
 
     def _change(self, state: State) -> None:
         if state not in NEXT[self.state]:
-            raise broken("states of a request follow one another", f"{self.state} to {state}")
+            raise invariant_error("states of a request follow one another", f"{self.state} to {state}")
         self.state = state
 
     def _check(self) -> None:
         if self.state is State.OVER and self._legs:
-            raise broken("no call outlives its request")
+            raise invariant_error("no call outlives its request")
         if not self._route.repeatable and self._legs.runs > 1:
-            raise broken("what can't be repeated runs once")
+            raise invariant_error("what can't be repeated runs once")
         self._attempts.check()
 
     def _replan(self, now: float) -> None:
@@ -159,7 +159,7 @@
             return
         leg = self._legs.get(call.leg)
         if leg is None:
-            raise broken("a planned call has its leg")
+            raise invariant_error("a planned call has its leg")
         if leg.reads:
             self._change(State.READING)
         elif self.state is not State.STREAMING:
--- a/cranebank/dataplane/front.py
+++ b/cranebank/dataplane/front.py
@@ -17,7 +17,7 @@
 from cranebank.dataplane.errors import RequestError, TooSlow
 from cranebank.dataplane.routes import ClientLimits
 from cranebank.http.socket_state import readable
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 
 SWEEP_S = 0.25
 HIGH_WATER = 128 << 10
@@ -134,7 +134,7 @@
     def head(self, status: int, headers: dict[str, str]) -> bytes:
         """The bytes of an answer's head; its body follows with ``frame`` and ``tail``."""
         if not self.open:
-            raise broken("a head answers an open request")
+            raise invariant_error("a head answers an open request")
         return self._response.head(status, headers, closing=self._front.closing)
 
     def frame(self, data: bytes) -> bytes:
@@ -175,7 +175,7 @@
     def reply(self, error: RequestError, retry_after_s: float | None) -> None:
         """An answer of our own."""
         if not self.open:
-            raise broken("a reply answers an open request")
+            raise invariant_error("a reply answers an open request")
         self.write(self._response.own_reply(error, retry_after_s, closing=self._front.closing))
         self.finish()
 
--- a/cranebank/decisions/balance.py
+++ b/cranebank/decisions/balance.py
@@ -123,7 +123,7 @@
             self._timer(self.now + self.watch_backoff * (0.5 + self.random.random()), "watch")
             return
         self.watch_backoff = self.settings.ask_within / 16
-        stays = self.settings.only_draining_binds
+        stays = self.settings.removals_are_advisory
         listed = dict(self.servers) if stays or event.kind is ListKind.CHANGES else {}
         for server in listed.values() if event.kind is not ListKind.CHANGES else ():
             server.gone = True  # unless named below; a list may drop what still serves: its answers decide
@@ -500,7 +500,7 @@
         harmless = kind.effect is Effect.SAFE or (kind.effect is Effect.KEYED and kind.group is Group.ALL)
         if harmless or (request.may_have_run is None and not request.open):
             stay_away = min(self.settings.max_retry_after, 2 * self.mean_latency * (1 + self.random.random()))
-            self.actions.append(Refuse(request.name, stay_away * self.settings.tells_retry_after))
+            self.actions.append(Refuse(request.name, stay_away * self.settings.sends_retry_after))
         else:
             self.actions.append(Fail(request.name))
         self._close(request)
--- a/cranebank/decisions/interface.py
+++ b/cranebank/decisions/interface.py
@@ -94,7 +94,7 @@
     may_probe: bool = False
     may_cancel: bool = False
     second_copies: bool = False
-    tells_retry_after: bool = False
+    sends_retry_after: bool = False
     max_retry_after: float = 0.0
     max_attempts: int = 1
     passes_deadline: bool = True
@@ -113,7 +113,7 @@
     warm_after: float = 0.0
     fall_multiple: float = 3.0
     overload_for: float = 1000.0
-    only_draining_binds: bool = False  # a server called gone without having drained may still be sent to
+    removals_are_advisory: bool = False  # a server called gone without having drained may still be sent to
     idle_after: float = 15000.0  # idle connections are closed after this
     shares_connections: bool = True  # several calls at once over one connection
 
--- a/cranebank/discovery/routing_table.py
+++ b/cranebank/discovery/routing_table.py
@@ -13,7 +13,7 @@
 from cranebank.core.counters import Counters
 from cranebank.core.log import Log
 from cranebank.core.mailbox import Mailbox
-from cranebank.core.rules import TableNews
+from cranebank.core.rules import RoutingUpdate
 from cranebank.decisions import interface as api
 from cranebank.discovery.listing import Listing, ListReader, Stream
 
@@ -42,7 +42,7 @@
         self,
         address: str,
         reader: ListReader,
-        tell: Callable[[TableNews], None],
+        tell: Callable[[RoutingUpdate], None],
         counters: Counters,
         log: Log,
         asked: bool,
@@ -68,7 +68,7 @@
         if known is not None:
             self._news(known, api.ListKind.REMEMBERED)
         else:
-            self._tell(TableNews(api.ListKind.REMEMBERED))
+            self._tell(RoutingUpdate(api.ListKind.REMEMBERED))
         if not self._asked:
             self.watch(True)
 
@@ -111,7 +111,7 @@
         await self._watch()
         self._counters.add("watches_ended")
         # The module says when to ask again, ever later. Asking from here as well would be two storms in one.
-        self._tell(TableNews(api.ListKind.REFUSED))
+        self._tell(RoutingUpdate(api.ListKind.REFUSED))
 
     async def _watch(self) -> None:
         """Watch until the connection ends or falls silent."""
@@ -152,6 +152,6 @@
             self._counters.add("list_entries_skipped", listing.skipped)
             self._log.warning("list_entries_skipped", count=listing.skipped)
         self._version = listing.version
-        self._tell(TableNews(kind, listing.hosts))
+        self._tell(RoutingUpdate(kind, listing.hosts))
         if listing.hosts or kind is not api.ListKind.REMEMBERED:
             self.heard.set()
--- a/cranebank/http/frontend.py
+++ b/cranebank/http/frontend.py
@@ -14,7 +14,7 @@
 from cranebank.core.counters import Counters
 from cranebank.core.engine import Engine
 from cranebank.core.log import Log
-from cranebank.core.rules import Call, Declined, Left, Served, span_us
+from cranebank.core.rules import Call, ClientLeft, Declined, Served, ms_to_us
 from cranebank.decisions.interface import Effect, Settings
 from cranebank.http.client_connections import LINGER_S, ClientConnections, ConnectionTimeouts
 from cranebank.http.upstream import HttpAnswer, HttpRequest
@@ -117,7 +117,7 @@
         try:
             outcome = await answer
         except asyncio.CancelledError:
-            self._engine.post(Left(answer))
+            self._engine.post(ClientLeft(answer))
             raise
         finally:
             self._ids.discard(name)
@@ -162,7 +162,7 @@
         kind = self._settings.classes[index]
         deadline = _whole(headers, "X-Deadline-Ms")
         hint = _whole(headers, "X-Cost-Hint")
-        longest = span_us(kind.deadline)  # whatever a client says: nothing is held for longer
+        longest = ms_to_us(kind.deadline)  # whatever a client says: nothing is held for longer
         wait = longest if deadline is None else min(deadline * 1000, longest)
         if self.until is not None:  # who comes while the program stops is answered before it may be killed
             wait = min(wait, max(0, self.until - self._clock.now()))
--- a/cranebank/http/upstream.py
+++ b/cranebank/http/upstream.py
@@ -14,7 +14,7 @@
 from cranebank.core.counters import Counters
 from cranebank.core.log import Log
 from cranebank.core.mailbox import Mailbox
-from cranebank.core.rules import Host, Leg, LegEnded, Message, Probed, TableNews
+from cranebank.core.rules import Host, Leg, LegEnded, Message, ProbeEnded, RoutingUpdate
 from cranebank.decisions import interface as api
 from cranebank.http.connection_pool import (
     ClosedBeforeSent,
@@ -207,7 +207,7 @@
             return LegEnded(leg, api.Outcome.OK, load, HttpAnswer(answer.body, told))
         if answer.status in (503, 504) and answer.headers.get("x-not-run") == "1":
             return LegEnded(leg, api.Outcome.FULL, load)
-        return LegEnded(leg, api.Outcome.ERROR, load, hopeless=400 <= answer.status < 500)
+        return LegEnded(leg, api.Outcome.ERROR, load, is_request_fault=400 <= answer.status < 500)
 
     def _unproven(self, error: OSError) -> bool:
         """Guards a host that lives from passing for lost, and for cold afterwards: it ended a connection that
@@ -244,7 +244,7 @@
             outcome, unproven = api.Outcome.CONNECT_FAILED, self._unproven(error)
         except (ConnectionBroken, MalformedResponse) as error:
             self._log.warning("probe_broken", host=self._server, error=f"{type(error).__name__}: {error}")
-        self._tell(Probed(self._server, outcome, self._clock.now() - sent, load, unproven))
+        self._tell(ProbeEnded(self._server, outcome, self._clock.now() - sent, load, unproven))
 
 
 class Directory:
@@ -255,7 +255,7 @@
         self._upstreams: dict[str, Upstream] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
-    def update(self, news: TableNews) -> None:
+    def update(self, news: RoutingUpdate) -> None:
         """Make known to each actor what the routing table now says of its host."""
         # Before the news: whoever is named in it must not be retired for what was said before.
         for server in [s for s, upstream in self._upstreams.items() if upstream.done]:
@@ -291,7 +291,7 @@
         if server in self._upstreams:
             self._upstreams[server].post(SendProbe())
         else:
-            self._tell(Probed(server, api.Outcome.MOOT, 0))
+            self._tell(ProbeEnded(server, api.Outcome.MOOT, 0))
 
     async def close(self) -> None:
         """Retire all."""
--- a/cranebank/invariants.py
+++ b/cranebank/invariants.py
@@ -1,9 +1,9 @@
 """Invariants that are checked while the code runs: a violation is counted by name, and raised or logged.
 
-The code states what must hold as ``if not holds: raise broken("name", "detail")``, or calls ``note`` instead where it
-can go on. Nothing is paid for where it holds. Whoever contains a raised error (the end of one request, the end of a
-process) logs it; the counts are told by the metrics, so that a long run can be asked whether any invariant was ever
-violated. In tests a violation that is not expected fails the test.
+The code states what must hold as ``if not holds: raise broken("name", "detail")``, or calls ``record_violation``
+instead where it can go on. Nothing is paid for where it holds. Whoever contains a raised error (the end of one request,
+the end of a process) logs it; the counts are told by the metrics, so that a long run can be asked whether any invariant
+was ever violated. In tests a violation that is not expected fails the test.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 from loguru import logger
 
-NAMES_MOST = 256  # names are literals of the code; more than these are counted together
+MAX_NAMES = 256  # names are literals of the code; more than these are counted together
 OTHERS = "others"
-LOGGED_MOST = 3
+MAX_LOGGED_PER_NAME = 3
 
 _counts: Counter[str] = Counter()
 
@@ -28,21 +28,21 @@
         self.name = name
 
 
-def broken(name: str, detail: str = "") -> InvariantBroken:
+def invariant_error(name: str, detail: str = "") -> InvariantBroken:
     """Count a violation; the error is to be raised. ``name``: what must hold, in a few words."""
     _count(name)
     return InvariantBroken(name, detail)
 
 
-def note(name: str, detail: str = "") -> None:
+def record_violation(name: str, detail: str = "") -> None:
     """Count a violation that the code can go on from. The first ones of each name are logged."""
     _count(name)
-    if _counts[name] <= LOGGED_MOST:
+    if _counts[name] <= MAX_LOGGED_PER_NAME:
         logger.error("invariant violated: {}: {}", name, detail)
 
 
 def _count(name: str) -> None:
-    _counts[name if name in _counts or len(_counts) < NAMES_MOST else OTHERS] += 1
+    _counts[name if name in _counts or len(_counts) < MAX_NAMES else OTHERS] += 1
 
 
 def violations() -> Mapping[str, int]:
--- a/cranebank/lab/simulated/world.py
+++ b/cranebank/lab/simulated/world.py
@@ -35,7 +35,7 @@
 from cranebank.lab.simulated.kernel import Event, Kernel
 from cranebank.lab.stage import Ask, Reply
 from cranebank.lab.streams import stream
-from cranebank.routing.subset import Subset, Wanted
+from cranebank.routing.subset import Subset, SubsetSpec
 
 EPOCH = 1_700_000_000_000_000  # the module's clock: microseconds at the start of a run, as Unix time has them
 BEFORE = 500_000  # proxies are up so long before the first request
@@ -192,7 +192,7 @@
         told = self.world.scenario.subset
         subset = (
             Subset(
-                Wanted(told.size, told.from_hosts, told.cover),
+                SubsetSpec(told.size, told.from_hosts, told.cover),
                 self.settings.slot,
                 self.settings.copies,
                 self.plan.zone,
@@ -202,7 +202,7 @@
             else None
         )
         self.rules = rules.Rules(self.settings, self._seed, _Time(), self.counters, self.world.make, subset)
-        self.drive(rules.TableNews(api.ListKind.REMEMBERED, known))
+        self.drive(rules.RoutingUpdate(api.ListKind.REMEMBERED, known))
         if not self.settings.watch_by_asking:
             self.world.discovery.watch(self, 1)
 
@@ -253,13 +253,13 @@
         left = min(ask.left, longest) - MARGIN
         self.counters.add("requests_taken")
         call = rules.Call(ask.kind, ask.tenant, left, ask, ask.hint / 1000.0 if ask.hint else None, ask.again, ask.id)
-        self.drive(rules.Arrived(call, out, now - self._slow))
+        self.drive(rules.RequestArrived(call, out, now - self._slow))
 
     def forsaken(self, out: Out) -> None:
         """A caller has left."""
         if out in self.outs and self.rules is not None:
             del self.outs[out]
-            self.drive(rules.Left(out))
+            self.drive(rules.ClientLeft(out))
             if self._closing:
                 self._end_if_idle()
 
@@ -277,7 +277,7 @@
         """Bring a message and carry out the orders."""
         if self.rules is None:
             return
-        if isinstance(message, rules.Overdue | rules.TimedOut):
+        if isinstance(message, rules.DeadlinePassed | rules.LegTimedOut):
             self._alarms.pop(id(message), None)
         for order in self.rules.handle(self.world.kernel.now, message):
             self._do(order)
@@ -290,9 +290,9 @@
                 self._send(leg)
             case rules.SetAlarm(at, alarm):
                 event = self.world.kernel.at(at, self._alarm, alarm, self.rules)
-                if isinstance(alarm, rules.Overdue | rules.TimedOut):
+                if isinstance(alarm, rules.DeadlinePassed | rules.LegTimedOut):
                     self._alarms[id(alarm)] = event  # the event keeps the alarm, and so its identity
-            case rules.DropAlarm(alarm):
+            case rules.CancelAlarm(alarm):
                 if (event_ := self._alarms.pop(id(alarm), None)) is not None:
                     event_.cancel()
             case rules.Reply(out, answer):
@@ -308,19 +308,19 @@
                     self._end_flight(flight)
             case rules.ProbeHost(server):
                 self._probe(server)
-            case rules.Relisted(news):
+            case rules.UpdateUpstreams(news):
                 self._relisted(news)
             case rules.Watch(enable):
                 if enable:
                     self.world.discovery.watch(self, self.world.discovery.version(self))
-            case rules.Note("error", event_name, fields):
+            case rules.LogLine("error", event_name, fields):
                 self.world.faults.append(f"{self.plan.name}: {event_name}: {fields}")
 
     def _alarm(self, alarm: rules.Alarm, set_by: rules.Rules) -> None:
         if set_by is self.rules:
             self.drive(alarm)
 
-    def _relisted(self, news: rules.TableNews) -> None:
+    def _relisted(self, news: rules.RoutingUpdate) -> None:
         if news.kind in (api.ListKind.ALL, api.ListKind.REMEMBERED):
             named = {host.entry.server for host in news.hosts}
             for server in [server for server in self.hosts if server not in named]:
@@ -464,7 +464,7 @@
             if outcome is api.Outcome.OK:
                 pairs = (pair.partition(b"=") for pair in body.removeprefix(b"TEXT ").split(b", "))
                 load = {name.decode(): float(value) for name, _, value in pairs}
-            self.drive(rules.Probed(flight.server, outcome, self.world.kernel.now - flight.sent, load))
+            self.drive(rules.ProbeEnded(flight.server, outcome, self.world.kernel.now - flight.sent, load))
             return
         self._flights.pop(flight.leg, None)
         digest = self.world.digest_of(body) if outcome is api.Outcome.OK else None
@@ -567,7 +567,7 @@
 
     def _refused(self, proxy: Proxy, asked_by: rules.Rules | None) -> None:
         if proxy.rules is asked_by:
-            proxy.drive(rules.TableNews(api.ListKind.REFUSED))
+            proxy.drive(rules.RoutingUpdate(api.ListKind.REFUSED))
 
     def _answer(self, proxy: Proxy, asked_by: rules.Rules | None, version: int) -> None:
         if proxy.rules is asked_by and not self._down:
@@ -595,11 +595,11 @@
         kind = api.ListKind.ALL if full else api.ListKind.CHANGES
         if full:
             world.write(records.Told(world.kernel.now, proxy.plan.name, "*", ",".join(names), 0))
-        news = rules.TableNews(kind, tuple(hosts))
+        news = rules.RoutingUpdate(kind, tuple(hosts))
         self._last[proxy] = at = max(world.kernel.now + delay, self._last.get(proxy, 0))
         world.kernel.at(at, self._deliver, proxy, proxy.rules, news, registry.version)
 
-    def _deliver(self, proxy: Proxy, told: rules.Rules, news: rules.TableNews, version: int) -> None:
+    def _deliver(self, proxy: Proxy, told: rules.Rules, news: rules.RoutingUpdate, version: int) -> None:
         if proxy.rules is told:
             self._versions[proxy] = version
             proxy.drive(news)
--- a/cranebank/membership/neighbour_loads.py
+++ b/cranebank/membership/neighbour_loads.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 from cranebank.transport.messages import Load
 
 KEPT_S = 1.0
@@ -83,7 +83,7 @@
         old_calls, old_tokens = self._sums.get(backend, (0, 0))
         total = (old_calls + calls, old_tokens + tokens)
         if total[0] < 0 or total[1] < 0:
-            raise broken("loads are not below zero", f"{backend}: {total}")
+            raise invariant_error("loads are not below zero", f"{backend}: {total}")
         if total == (0, 0):
             self._sums.pop(backend, None)
         else:
--- a/cranebank/membership/neighbours.py
+++ b/cranebank/membership/neighbours.py
@@ -17,7 +17,7 @@
 
 from cranebank import background
 from cranebank.decayed_rate import DecayedRate
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 from cranebank.membership.neighbour_loads import LoadSums, NeighbourLoads
 from cranebank.membership.outbox import GossipOutbox
 from cranebank.membership.partial_view import (
@@ -211,7 +211,7 @@
 
     def _send(self, ip: str, frame: bytes) -> None:
         if len(frame) > LARGEST:
-            raise broken("a datagram fits into one packet", f"{len(frame)} bytes")
+            raise invariant_error("a datagram fits into one packet", f"{len(frame)} bytes")
         if self._socket is None:
             return
         try:
--- a/cranebank/membership/partial_view.py
+++ b/cranebank/membership/partial_view.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 
 MOST = 12  # neighbours
 PART = 6  # of the view that goes into one shuffle, the sender included
@@ -172,7 +172,7 @@
                 self._take(((ip, 0) for ip in self._named), [])
             case FetchEnded():
                 if self._standing is not Standing.FETCHING:
-                    raise broken("a fetch that ends was begun")
+                    raise invariant_error("a fetch that ends was begun")
                 self._newer = 0  # who has it still shows it within a second: no tries at one that is gone
                 self._stand(Standing.CURRENT)
         self._check()
@@ -269,22 +269,22 @@
 
     def _change(self, asking: Asking) -> None:
         if asking not in NEXT_ASKING[self._asking]:
-            raise broken("states of asking follow one another", f"{self._asking} to {asking}")
+            raise invariant_error("states of asking follow one another", f"{self._asking} to {asking}")
         self._asking = asking
 
     def _stand(self, standing: Standing) -> None:
         if standing not in NEXT_STANDING[self._standing]:
-            raise broken("states of standing follow one another", f"{self._standing} to {standing}")
+            raise invariant_error("states of standing follow one another", f"{self._standing} to {standing}")
         self._standing = standing
 
     def _check(self) -> None:
         if len(self._ages) > MOST:
-            raise broken("the view is bounded", f"{len(self._ages)} neighbours")
+            raise invariant_error("the view is bounded", f"{len(self._ages)} neighbours")
         if self._ip in self._ages:
-            raise broken("no proxy is its own neighbour")
+            raise invariant_error("no proxy is its own neighbour")
         if not all(0 <= age <= OLDEST for age in self._ages.values()):
-            raise broken("no neighbour is too old")
+            raise invariant_error("no neighbour is too old")
         if (self._asking is Asking.NONE) != (not self._asked):
-            raise broken("whoever asks knows whom")
+            raise invariant_error("whoever asks knows whom")
         if self._asked and self._asked not in self._ages:
-            raise broken("only neighbours are asked")
+            raise invariant_error("only neighbours are asked")
--- a/cranebank/programs/tally_service.py
+++ b/cranebank/programs/tally_service.py
@@ -19,7 +19,7 @@
 
 from cranebank.background import BackgroundTasks, report_unhandled
 from cranebank.control.tallies.replica import LimitReached, Message, TallyReplica, TallyReplicaSettings, TallyStats
-from cranebank.invariants import broken
+from cranebank.invariants import invariant_error
 from cranebank.programs.controller_links import ControllerLinks
 from cranebank.programs.local_state import LAST_S, Storage
 from cranebank.programs.settings import NodeSettings
@@ -81,7 +81,7 @@
         self._proceed()
         is_durable = await self._wait(placed.origin, placed.number)
         if is_durable and not self._replica.holds(placed):
-            raise broken("an acknowledged add is held", f"{placed}")
+            raise invariant_error("an acknowledged add is held", f"{placed}")
         self.counts.acknowledged += is_durable
         self.counts.unclear += not is_durable
         return is_durable
--- a/cranebank/routing/subset.py
+++ b/cranebank/routing/subset.py
@@ -19,13 +19,13 @@
 FEWEST = 4  # hosts that a copy keeps at least: two draws, and two more should these drain
 
 
-def position(host: str, arc: int = 0) -> float:
+def ring_position(host: str, arc: int = 0) -> float:
     """A host's place on a ring, in [0, 1): 53 bits of BLAKE2b of its id. Ids are hashed as text, whatever they hold."""
     digest = blake2b(host.encode("utf-8", "surrogatepass"), digest_size=8, salt=arc.to_bytes(8, "big")).digest()
     return (int.from_bytes(digest, "big") >> 11) / (1 << 53)
 
 
-def spread(slot: int, arc: int = 0) -> float:
+def slot_ring_position(slot: int, arc: int = 0) -> float:
     """A copy's place on a ring, in [0, 1): the van der Corput sequence in base 2, turned a little on each ring."""
     place, part = 0.0, 0.5
     while slot:
@@ -33,13 +33,13 @@
     return (place + arc * 0.6180339887498949) % 1.0
 
 
-def slot_of(name: str) -> int:
+def slot_from_name(name: str) -> int:
     """A number for a copy that isn't told its own: a hash of its name. Less even, but never the same for all."""
-    return int(position(name) * (1 << 16))
+    return int(ring_position(name) * (1 << 16))
 
 
 @dataclass(slots=True, frozen=True)
-class Wanted:
+class SubsetSpec:
     """How many hosts a copy is to keep. ``size`` 0: all. Below ``from_hosts`` listed hosts: all, too.
 
     ``cover``: copies that each host should have on average; a copy keeps more than ``size`` where that needs it, as
@@ -54,7 +54,7 @@
 class Subset:
     """One copy's choice, kept up as hosts come and go."""
 
-    def __init__(self, wanted: Wanted, slot: int, copies: int, zone: int = 0, near: bool = False) -> None:
+    def __init__(self, wanted: SubsetSpec, slot: int, copies: int, zone: int = 0, near: bool = False) -> None:
         """``slot``: the copy's own number; ``near``: it keeps to hosts of its own ``zone`` while it can."""
         self._wanted, self._slot, self._copies = wanted, slot, max(1, copies)
         self._zone, self._near = zone, near
@@ -73,13 +73,13 @@
             if self._zones.get(host) != zone:
                 self._remove(host)
                 self._zones[host] = zone
-                bisect.insort(self._rings.setdefault(zone, []), (position(host), host))
+                bisect.insort(self._rings.setdefault(zone, []), (ring_position(host), host))
 
     def _remove(self, host: str) -> None:
         zone = self._zones.pop(host, None)
         if zone is not None:
             ring = self._rings[zone]
-            del ring[bisect.bisect_left(ring, (position(host), host))]
+            del ring[bisect.bisect_left(ring, (ring_position(host), host))]
             if not ring:
                 del self._rings[zone]
 
@@ -89,7 +89,7 @@
             return set(self._zones)
         found: set[str] = set()
         for zone, ring in self._rings.items():
-            at, count = bisect.bisect_left(ring, (spread(self._slot), "")), self._quota(zone, len(ring))
+            at, count = bisect.bisect_left(ring, (slot_ring_position(self._slot), "")), self._quota(zone, len(ring))
             found.update(host for _, host in ring[at : at + count])
             found.update(host for _, host in ring[: max(0, at + count - len(ring))])
         return found
--- a/tests/test_troubles.py
+++ b/tests/test_balancer_failures.py
@@ -363,7 +363,7 @@
 
 
 def test_a_held_request_is_turned_away_in_the_first_half_of_its_time(drive: Drive) -> None:
-    d = drive(tells_retry_after=True, max_retry_after=1000.0)
+    d = drive(sends_retry_after=True, max_retry_after=1000.0)
     d.listed(["s0"])
     d.balancer.limit = d.balancer.least_limit = 1.0
     d.request()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from cranebank import invariants
-from cranebank.invariants import InvariantBroken, broken, note, violations
+from cranebank.invariants import InvariantBroken, invariant_error, record_violation, violations
 from cranebank.programs import metrics
 
 pytestmark = pytest.mark.violates_invariants
@@ -14,21 +14,21 @@
 
 def test_a_violation_is_counted_by_name() -> None:
     with pytest.raises(InvariantBroken, match="loads are not below zero: i-1"):
-        raise broken("loads are not below zero", "i-1")
-    broken("loads are not below zero")
-    broken("one answer a request")
+        raise invariant_error("loads are not below zero", "i-1")
+    invariant_error("loads are not below zero")
+    invariant_error("one answer a request")
     assert violations() == {"loads are not below zero": 2, "one answer a request": 1}
 
 
 def test_names_are_bounded() -> None:
-    for number in range(invariants.NAMES_MOST + 50):
-        broken(f"invariant {number}")
-    assert len(violations()) <= invariants.NAMES_MOST + 1
-    assert sum(violations().values()) == invariants.NAMES_MOST + 50
+    for number in range(invariants.MAX_NAMES + 50):
+        invariant_error(f"invariant {number}")
+    assert len(violations()) <= invariants.MAX_NAMES + 1
+    assert sum(violations().values()) == invariants.MAX_NAMES + 50
 
 
 def test_the_metrics_tell_of_violations() -> None:
-    broken("a primary's value, by its term")
+    invariant_error("a primary's value, by its term")
     told = metrics.exposition([metrics._invariant_violations("cranebank_edge_")]).decode()
     assert told.splitlines()[-1] == (
         'cranebank_edge_invariant_violations_total{invariant="a_primary_s_value_by_its_term"} 1'
@@ -39,7 +39,7 @@
     lines: list[str] = []
     number = logger.add(lines.append, format="{message}")
     for _ in range(10):
-        note("the fence never falls", "5 after 6")
+        record_violation("the fence never falls", "5 after 6")
     logger.remove(number)
     assert violations() == {"the fence never falls": 10}
-    assert lines == ["invariant violated: the fence never falls: 5 after 6\n"] * invariants.LOGGED_MOST
+    assert lines == ["invariant violated: the fence never falls: 5 after 6\n"] * invariants.MAX_LOGGED_PER_NAME
--- a/tests/test_lab_simulated.py
+++ b/tests/test_lab_simulated.py
@@ -117,7 +117,7 @@
     assert sum(r.status == 200 for r in clients) > 0.5 * world.clients.offered
     for proxy in world.proxies.values():  # nothing is left behind
         assert not proxy.outs
-        assert proxy.rules is None or proxy.rules.owed == 0
+        assert proxy.rules is None or proxy.rules.unanswered_count == 0
 
 
 def test_a_partition_holds_back_news_of_a_drain_and_no_leg_crosses_it() -> None:
@@ -150,14 +150,14 @@
 def test_a_call_into_a_partition_reaches_discovery_with_tcps_next_try_or_is_given_up(
     cut_s: float, told_s: float | None
 ) -> None:
-    """Tries go at 1, 2 and 4 s, as on sockets (tests/test_stories.py); the call is given up at 5 s."""
+    """Tries go at 1, 2 and 4 s, as on sockets (tests/test_network_failures.py); the call is given up at 5 s."""
     world = World(scenario(**THREE, fault=[{"what": "partition", "at_s": 1.0, "for_s": cut_s}]))
     proxy = next(p for p in world.proxies.values() if p.plan.zone == 1)
     proxy.start(())
     heard, drive = list[tuple[int, api.ListKind]](), proxy.drive
 
     def drives(message: rules.Message) -> None:
-        if isinstance(message, rules.TableNews):
+        if isinstance(message, rules.RoutingUpdate):
             heard.append((world.kernel.now, message.kind))
         drive(message)
 
--- a/tests/test_lost_hosts.py
+++ b/tests/test_lost_hosts.py
@@ -143,10 +143,10 @@
     layer.handle(0, news(ListKind.ALL, *((name, ServerState.IN) for name in SERVERS)))
     (leg,) = [
         order.leg
-        for order in layer.handle(0, rules.Arrived(rules.Call(0, 0, left * 1000, None), "t", 0))
+        for order in layer.handle(0, rules.RequestArrived(rules.Call(0, 0, left * 1000, None), "t", 0))
         if isinstance(order, rules.SendLeg)
     ]
-    layer.handle(left * 1000, rules.TimedOut(leg))
+    layer.handle(left * 1000, rules.LegTimedOut(leg))
     assert leg.outcome is Outcome.CONNECT_FAILED
     assert not made[0].servers[leg.server].lost and not made[0].off
 
--- a/tests/test_stories.py
+++ b/tests/test_network_failures.py
@@ -17,7 +17,7 @@
 from cranebank import Balancer
 from cranebank.core.counters import Counters
 from cranebank.core.log import Log
-from cranebank.core.rules import TableNews
+from cranebank.core.rules import RoutingUpdate
 from cranebank.decisions.interface import Action, Event, ListKind, Request
 from cranebank.discovery.listing import ListReader, Stream
 from cranebank.discovery.routing_table import CALL_TIMEOUT_S, RoutingTable
@@ -278,7 +278,7 @@
 
 def test_a_call_whose_syn_is_lost_reaches_discovery_with_the_next_one() -> None:
     """Within the call's own time and without a second call, as the simulator has it."""
-    news, counters = list[TableNews](), Counters()
+    news, counters = list[RoutingUpdate](), Counters()
 
     async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if await reader.read(1):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -150,7 +150,7 @@
 
     def state(self, pick: int, state: ServerState) -> None:
         name = f"s{pick % 6}"
-        if state is ServerState.DRAINING or not self.d.settings.only_draining_binds:
+        if state is ServerState.DRAINING or not self.d.settings.removals_are_advisory:
             (self.gone.discard if state is ServerState.IN else self.gone.add)(name)
         entry = self.entries[name]
         self.entries[name] = ServerEntry(name, entry.zone, entry.cell, state=state)
@@ -161,7 +161,7 @@
         named = tuple(
             ServerEntry(e.server, e.zone, e.cell) for i, e in enumerate(self.entries.values()) if mask >> i & 1
         )
-        if not self.d.settings.only_draining_binds:  # there the list binds by what it says
+        if not self.d.settings.removals_are_advisory:  # there the list binds by what it says
             self.gone = set(self.entries) - {e.server for e in named}
         self.take(self.d.do(ServerList(ListKind.ALL, named)))
 
@@ -204,7 +204,7 @@
     steps: list[tuple[Any, ...]], seed: int, binds: bool, asks: bool, copies: int
 ) -> None:
     source = {"may_probe": True, "report_source": ReportSource.PROBE, "probe_price": 0.002} if asks else {}
-    world = World(seed, only_draining_binds=binds, copies=copies, handshake_price=0.03, **source)
+    world = World(seed, removals_are_advisory=binds, copies=copies, handshake_price=0.03, **source)
     for name, *values in steps:
         getattr(world, name)(*values)
     world.wait(1200.0)
@@ -246,12 +246,12 @@
 
 
 OTHERS = [
-    rules.TimedOut,
+    rules.LegTimedOut,
     lambda leg: rules.LegEnded(leg, Outcome.RESET),
-    lambda leg: rules.Left("ticket"),
-    lambda leg: rules.Overdue(leg.request),
+    lambda leg: rules.ClientLeft("ticket"),
+    lambda leg: rules.DeadlinePassed(leg.request),
     lambda leg: rules.LegEnded(leg, Outcome.OK, None, "again"),
-    rules.Unsent,
+    rules.SendWindowClosed,
 ]
 NAMES = ["time-out", "reset", "client left", "overdue", "second answer", "unsent"]
 
@@ -266,7 +266,7 @@
     counters = Counters()
     layer = rules.Rules(make_settings(classes=CLASSES), 1, Time(), counters)
     layer.handle(0, news(ListKind.ALL, ("s0", ServerState.IN), ("s1", ServerState.IN)))
-    taken = layer.handle(0, rules.Arrived(rules.Call(index, 0, 900_000, None), "ticket", 0))
+    taken = layer.handle(0, rules.RequestArrived(rules.Call(index, 0, 900_000, None), "ticket", 0))
     (leg,) = [order.leg for order in taken if isinstance(order, rules.SendLeg)]
     leg.written = True
     answered = rules.LegEnded(leg, Outcome.OK, None, "the answer")
@@ -278,11 +278,13 @@
         for late in legs:
             orders += layer.handle(at + 1, rules.LegEnded(late, Outcome.RESET))
     replies = [order.answer for order in orders if isinstance(order, rules.Reply)]
-    left = other(leg) == rules.Left("ticket") and first
+    left = other(leg) == rules.ClientLeft("ticket") and first
     assert len(replies) == sum(counters[f"answers_{how}"] for how in ("served", "declined", "failed")) == (not left)
-    assert replies == [rules.Served("the answer")] or (first and other is not rules.Unsent)  # written: it may run
+    assert replies == [rules.Served("the answer")] or (
+        first and other is not rules.SendWindowClosed
+    )  # written: it may run
     assert sum(counters[f"legs_{outcome.name.lower()}"] for outcome in Outcome) == counters["legs_sent"]
-    assert layer.owed == 0
+    assert layer.unanswered_count == 0
 
 
 class Twice:
@@ -301,19 +303,19 @@
     counters = Counters()
     layer = rules.Rules(make_settings(classes=CLASSES), 1, Time(), counters, lambda *_: Twice())
     layer.handle(0, news(ListKind.ALL, ("s0", ServerState.IN), ("s1", ServerState.IN)))
-    taken = layer.handle(0, rules.Arrived(rules.Call(0, 0, 900_000, None), "ticket", 0))
+    taken = layer.handle(0, rules.RequestArrived(rules.Call(0, 0, 900_000, None), "ticket", 0))
     one, two = (order.leg for order in taken if isinstance(order, rules.SendLeg))
     one.written = two.written = True
     answered, orders = rules.LegEnded(one, Outcome.OK, None, "the answer"), list[rules.Order]()
     for message in (other(one), answered) if first else (answered, other(one)):
         orders += layer.handle(900_000, message)
-    for message in (rules.LegEnded(two, late, None, "late"), other(two), rules.Overdue(one.request)):
+    for message in (rules.LegEnded(two, late, None, "late"), other(two), rules.DeadlinePassed(one.request)):
         orders += layer.handle(950_000, message)
     replies = [order for order in orders if isinstance(order, rules.Reply)]
-    assert len(replies) == (not (first and isinstance(other(one), rules.Left)))
+    assert len(replies) == (not (first and isinstance(other(one), rules.ClientLeft)))
     assert counters["answers_overdue"] == sum(reply.answer == rules.Failed() for reply in replies)
     called_off = [order.leg for order in orders if isinstance(order, rules.CancelLeg)]
     assert len(called_off) == len(set(map(id, called_off)))
     assert not (not first and one in called_off)  # it had its end already
-    assert (counters["legs_sent"], layer.open, layer.owed) == (2, 0, 0)
+    assert (counters["legs_sent"], layer.open, layer.unanswered_count) == (2, 0, 0)
     assert sum(counters[f"legs_{outcome.name.lower()}"] for outcome in Outcome) == 2
--- a/tests/test_untrue.py
+++ b/tests/test_stale_lists.py
@@ -49,7 +49,7 @@
     drive: Drive, copies: int, kind: ListKind
 ) -> None:
     for binds in (True, False):
-        d = drive(copies=copies, only_draining_binds=binds)
+        d = drive(copies=copies, removals_are_advisory=binds)
         d.listed(SERVERS)
         served(d, 40)
         gone = [ServerEntry(s, state=ServerState.OUT) for s in SERVERS] if kind is ListKind.CHANGES else []
@@ -59,7 +59,7 @@
 
 @COPIES
 def test_an_instance_that_only_remembers_a_list_serves_though_all_are_called_gone(drive: Drive, copies: int) -> None:
-    d = drive(copies=copies, only_draining_binds=True)
+    d = drive(copies=copies, removals_are_advisory=True)
     d.listed(SERVERS, ListKind.REMEMBERED)
     d.listed([])
     assert sum(served(d, 40).values()) == 40
@@ -67,7 +67,7 @@
 
 @COPIES
 def test_a_drain_binds_when_the_server_leaves_the_list_or_an_old_list_comes_back(drive: Drive, copies: int) -> None:
-    d = drive(copies=copies, only_draining_binds=True)
+    d = drive(copies=copies, removals_are_advisory=True)
     d.listed(SERVERS)
     d.drain("s3")
     d.listed([ServerEntry("s3", state=ServerState.OUT)], ListKind.CHANGES)
@@ -82,7 +82,7 @@
 
 @COPIES
 def test_servers_that_are_really_gone_cost_a_few_calls_and_are_forgotten(drive: Drive, copies: int) -> None:
-    d = drive(copies=copies, only_draining_binds=True)
+    d = drive(copies=copies, removals_are_advisory=True)
     d.listed(SERVERS)
     served(d, 60)
     dead = set(SERVERS[:4])
@@ -99,7 +99,7 @@
     again = {True: 0, False: 0}
     for called_gone in again:
         for seed in range(20):
-            d = Driver(make_settings(copies=copies, only_draining_binds=True, max_attempts=1), seed)
+            d = Driver(make_settings(copies=copies, removals_are_advisory=True, max_attempts=1), seed)
             d.listed(SERVERS)
             served(d, 40)
             if called_gone:
@@ -303,7 +303,7 @@
 def test_the_time_to_come_back_is_spread_and_rises_with_the_usual_time(drive: Drive, copies: int) -> None:
     means = []
     for took in (20.0, 200.0):
-        d = drive(copies=copies, tells_retry_after=True, max_retry_after=5000.0)
+        d = drive(copies=copies, sends_retry_after=True, max_retry_after=5000.0)
         d.listed(SERVERS)
         for _ in range(60):
             d.now += 50.0
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -13,13 +13,13 @@
 from cranebank.core import rules
 from cranebank.core.counters import Counters
 from cranebank.decisions import interface as api
-from cranebank.routing.subset import Subset, Wanted, spread
+from cranebank.routing.subset import Subset, SubsetSpec, slot_ring_position
 
 HOSTS = st.sets(st.text(min_size=1, max_size=8), min_size=1, max_size=60)
 
 
 def held(hosts: list[str], slot: int, copies: int = 50, zones: int = 1, near: bool = False, **wanted: int) -> set[str]:
-    subset = Subset(Wanted(**({"size": 8, "from_hosts": 1, "cover": 1} | wanted)), slot, copies, slot % zones, near)
+    subset = Subset(SubsetSpec(**({"size": 8, "from_hosts": 1, "cover": 1} | wanted)), slot, copies, slot % zones, near)
     subset.update((host, i % zones) for i, host in enumerate(hosts))
     return subset.chosen()
 
@@ -34,7 +34,7 @@
     assert len(found) == min(8, len(hosts))
     shuffled = list(ordered)
     draw.shuffle(shuffled)
-    subset = Subset(Wanted(8, 1, 1), slot, 50)
+    subset = Subset(SubsetSpec(8, 1, 1), slot, 50)
     subset.update((host, 0) for host in [*shuffled, "one more"])
     subset.update((), ["one more"])
     assert subset.chosen() == found
@@ -78,7 +78,7 @@
 
 def test_places_of_copies_are_evenly_spread_for_any_count() -> None:
     for count in (2, 3, 7, 50, 200):
-        places = sorted(spread(slot) for slot in range(count))
+        places = sorted(slot_ring_position(slot) for slot in range(count))
         gaps = [b - a for a, b in zip(places, [*places[1:], places[0] + 1.0], strict=True)]
         assert max(gaps) <= 2.0 / count + 1e-9
 
@@ -121,21 +121,21 @@
         return round(at * 1000.0)
 
 
-def news(kind: api.ListKind, *hosts: tuple[str, api.ServerState]) -> rules.TableNews:
-    return rules.TableNews(kind, tuple(rules.Host(api.ServerEntry(name, state=state), "") for name, state in hosts))
+def news(kind: api.ListKind, *hosts: tuple[str, api.ServerState]) -> rules.RoutingUpdate:
+    return rules.RoutingUpdate(kind, tuple(rules.Host(api.ServerEntry(name, state=state), "") for name, state in hosts))
 
 
 def test_half_of_a_subset_that_drains_is_made_up_for_at_once_and_a_deploy_leaves_no_copy_short() -> None:
     module, counters = Module(), Counters()
     layer = rules.Rules(
-        make_settings(copies=40), 1, Time(), counters, lambda *_: module, Subset(Wanted(10, 50, 1), 7, 40)
+        make_settings(copies=40), 1, Time(), counters, lambda *_: module, Subset(SubsetSpec(10, 50, 1), 7, 40)
     )
     names = [f"s{i}" for i in range(200)]
     serving, draining, out = api.ServerState.IN, api.ServerState.DRAINING, api.ServerState.OUT
     orders = layer.handle(0, news(api.ListKind.ALL, *((name, serving) for name in names)))
     first = set(module.listed)
     assert len(first) == 10
-    (told,) = [order.news.hosts for order in orders if isinstance(order, rules.Relisted)]
+    (told,) = [order.news.hosts for order in orders if isinstance(order, rules.UpdateUpstreams)]
     assert {host.entry.server for host in told} == first  # the upstream side keeps no more than that
     half = sorted(first)[:5]
     layer.handle(1, news(api.ListKind.CHANGES, *((name, draining) for name in half)))
@@ -153,7 +153,12 @@
 def test_where_only_draining_binds_the_module_knows_all() -> None:
     module = Module()
     layer = rules.Rules(
-        make_settings(only_draining_binds=True), 1, Time(), Counters(), lambda *_: module, Subset(Wanted(4, 1, 1), 0, 1)
+        make_settings(removals_are_advisory=True),
+        1,
+        Time(),
+        Counters(),
+        lambda *_: module,
+        Subset(SubsetSpec(4, 1, 1), 0, 1),
     )
     layer.handle(0, news(api.ListKind.ALL, *((f"s{i}", api.ServerState.IN) for i in range(30))))
     assert len(module.listed) == 30
