--- a/cranebank/core/clock.py
+++ b/cranebank/core/clock.py
@@ -1,8 +1,8 @@
-"""The one clock: whole microseconds, monotonic, read once a turn of the event loop.
+"""The clock of a process: monotonic, in whole microseconds, read once per turn of the event loop.
 
-The module counts float milliseconds. Its clock is this one, set at the start to Unix time: so a host's
-``started_ms`` (Unix time on one clock for all machines) is on the module's clock as it stands, and the
-same start always gives the same number. This file is the only place where the two meet.
+The decision module uses float milliseconds on the same clock, offset to Unix time at the start. So a host's
+``started_ms`` (Unix time on one clock for all machines) needs no conversion, and the same start time always
+gives the same number. Only this file converts between the two.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Clock:
-    """Time for everything in one event loop."""
+    """The time of one event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -22,7 +22,7 @@
         self._now: int | None = None
 
     def now(self) -> int:
-        """Microseconds; the same all through one turn of the loop."""
+        """Return microseconds; constant during one turn of the loop."""
         if self._now is None:
             self._now = time.monotonic_ns() // 1000
             self._loop.call_soon(self._forget)
@@ -32,17 +32,17 @@
         self._now = None
 
     def module_ms(self, at: int) -> float:
-        """A time of this clock on the module's."""
+        """Convert a time of this clock to the module's clock."""
         return (at + self._unix_offset) / 1000.0
 
     def from_module_ms(self, at: float) -> int:
-        """A time of the module's clock on this one, rounded up: a timer must not find itself early."""
+        """Convert a time of the module's clock to this one, rounded up, so that no timer fires early."""
         return ceil(at * 1000.0) + 1 - self._unix_offset
 
     def call_at(self, at: int, do: Callable[..., object], *args: object) -> asyncio.TimerHandle:
-        """Call at a time of this clock: never before it, so that a timer never fires early.
+        """Call ``do`` at a time of this clock, never before.
 
-        The loop's clock is the same one, and is not read here: two reads with a pause between them would turn the order
-        of two timers, such as a leg's time-out and the module's deadline right behind it.
+        The loop uses the same clock, which is not read here: two reads with a pause in between could reverse the order
+        of two timers, such as a leg's time-out and the module's deadline right after it.
         """
         return self._loop.call_at((at + 1) / 1e6, do, *args)
--- a/cranebank/core/counters.py
+++ b/cranebank/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the proxy takes in, sends and answers."""
+"""Counters of the requests, legs, answers and faults of a proxy."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class Counters:
-    """Named counts, printed on request and at exit."""
+    """Counters by name, printed on request and at exit."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
     def add(self, name: str, by: int = 1) -> None:
-        """Count one more of ``name``."""
+        """Increase the counter ``name``."""
         self._counts[name] += by
 
     def copy(self) -> Counter[str]:
-        """All counts as they are now."""
+        """Return a copy of all counters."""
         return self._counts.copy()
 
     def __getitem__(self, name: str) -> int:
         return self._counts[name]
 
     def text(self) -> str:
-        """All counts as one line of JSON, in order of name."""
+        """Return all counters as one line of JSON, sorted by name."""
         return json.dumps(self._counts, sort_keys=True)
--- a/cranebank/core/engine.py
+++ b/cranebank/core/engine.py
@@ -1,7 +1,7 @@
-"""The module's actor on asyncio: brings messages to the rules layer and carries out its orders.
+"""Runs the rules layer as an asyncio actor: passes messages to it and executes its orders.
 
-Whoever takes in requests calls ``submit`` and awaits the answer; whoever reaches the upstream hosts implements
-``Upstreams``; whoever reads discovery implements ``RoutingTable``. Speaks no protocol and decides nothing.
+The client side calls ``submit`` and awaits the answer; the upstream side implements ``Upstreams``, and the discovery
+side ``RoutingTable``. Knows no protocol and decides nothing.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class Upstreams(Protocol):
-    """The upstream hosts' side, as the engine needs it."""
+    """The upstream side, as the engine uses it."""
 
     def update(self, news: RoutingUpdate) -> None:
-        """Take what the routing table now says of the hosts."""
+        """Apply an update of the routing table."""
 
     def send(self, leg: Leg) -> None:
         """Send a leg to its host."""
@@ -34,14 +34,14 @@
         """Stop waiting for a leg."""
 
     def probe(self, server: str) -> None:
-        """Ask a host for its load or health."""
+        """Probe a host for its load or health."""
 
 
 class RoutingTable(Protocol):
-    """The discovery side, as the engine needs it."""
+    """The discovery side, as the engine uses it."""
 
     def watch(self, enable: bool) -> None:
-        """Subscribe to changes of the list, or no longer."""
+        """Subscribe to changes of the list, or unsubscribe."""
 
 
 class Engine:
@@ -54,55 +54,55 @@
         clock: Clock,
         counters: Counters,
         log: Log,
-        make: Callable[[api.Settings, int], Decisions] = Balancer,
+        make_module: Callable[[api.Settings, int], Decisions] = Balancer,
         subset: Subset | None = None,
     ) -> None:
         self._clock, self._counters, self._log = clock, counters, log
-        self._rules = Rules(settings, seed, clock, counters, make, subset)
-        self._mailbox: Mailbox[Message] = Mailbox(self._take, log)
+        self._rules = Rules(settings, seed, clock, counters, make_module, subset)
+        self._mailbox: Mailbox[Message] = Mailbox(self._receive, log)
         self.post = self._mailbox.post
         self._upstreams: Upstreams
         self._table: RoutingTable
-        self._alarms: dict[int, asyncio.TimerHandle] = {}  # by the alarm's identity, those that can be dropped
-        self._owed = 0  # answers owed, from the moment of taking: a request may still lie in the mailbox
+        self._alarms: dict[int, asyncio.TimerHandle] = {}  # cancellable alarms, by the id of the alarm
+        self._unanswered_count = 0  # requests without an answer, including those still in the mailbox
 
     def connect(self, upstreams: Upstreams, table: RoutingTable) -> None:
-        """Name the two other sides; to be called before the first message."""
+        """Set the upstream and the discovery side; must be called before the first message."""
         self._upstreams, self._table = upstreams, table
 
     def submit(self, call: Call) -> asyncio.Future[Answer]:
-        """Take a request; the future gets its one final answer. Cancel by posting ``ClientLeft``."""
+        """Submit a request; the future gets its one final answer. To cancel, post ``ClientLeft``."""
         answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self.post(rules.RequestArrived(call, answer, self._clock.now(), self._log.follow()))
         self._counters.add("requests_taken")
-        self._owed += 1
+        self._unanswered_count += 1
         return answer
 
     def beliefs(self) -> dict[str, float]:
-        """What the module believes, and the answers owed; for the log."""
-        return self._rules.beliefs() | {"owed": self._owed}
+        """Return the module's summary of its state and the number of unanswered requests, for the log."""
+        return self._rules.beliefs() | {"owed": self._unanswered_count}
 
     @property
     def unanswered_count(self) -> int:
-        """Answers that are owed."""
-        return self._owed
+        """The number of requests without an answer."""
+        return self._unanswered_count
 
-    def _take(self, message: Message) -> None:
+    def _receive(self, message: Message) -> None:
         if isinstance(message, rules.DeadlinePassed | rules.LegTimedOut):
             self._alarms.pop(id(message), None)
-        unanswered_count = self._rules.unanswered_count + isinstance(message, rules.RequestArrived)
+        before = self._rules.unanswered_count + isinstance(message, rules.RequestArrived)
         for order in self._rules.handle(self._clock.now(), message):
-            self._do(order)
-        self._owed -= unanswered_count - self._rules.unanswered_count
+            self._execute(order)
+        self._unanswered_count -= before - self._rules.unanswered_count
 
-    def _do(self, order: rules.Order) -> None:
+    def _execute(self, order: rules.Order) -> None:
         match order:
             case rules.SendLeg(leg):
                 self._upstreams.send(leg)
             case rules.SetAlarm(at, alarm):
                 handle = self._clock.call_at(at, self.post, alarm)
                 if isinstance(alarm, rules.DeadlinePassed | rules.LegTimedOut):
-                    self._alarms[id(alarm)] = handle  # the handle keeps the alarm, and so its identity
+                    self._alarms[id(alarm)] = handle  # the handle keeps the alarm alive, so its id stays unique
             case rules.CancelAlarm(alarm):
                 if (dropped := self._alarms.pop(id(alarm), None)) is not None:
                     dropped.cancel()
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants that are violated are counted by name and raised, and the metrics tell of them."""
+"""Violated invariants are counted by name and raised, and the metrics export the counts."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 
 def test_the_metrics_tell_of_violations() -> None:
     invariant_error("a primary's value, by its term")
-    told = metrics.exposition([metrics._invariant_violations("cranebank_edge_")]).decode()
-    assert told.splitlines()[-1] == (
+    text = metrics.exposition([metrics._invariant_violations("cranebank_edge_")]).decode()
+    assert text.splitlines()[-1] == (
         'cranebank_edge_invariant_violations_total{invariant="a_primary_s_value_by_its_term"} 1'
     )
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, structured, and a request followed through its legs."""
+"""Log lines: rate-limited, structured, and traces of single requests."""
 
 from __future__ import annotations
 
@@ -39,10 +39,10 @@
         log.info("other", n=1)
     now[0] += 11 * 10**9
     log.warning("flood")
-    told = lines(capsys)
-    assert [t["event"] for t in told].count("flood") == 4
-    assert [t.get("left_out") for t in told if t["event"] == "flood"] == [None, None, None, 47]
-    assert [t["event"] for t in told].count("other") == 3
+    logged = lines(capsys)
+    assert [t["event"] for t in logged].count("flood") == 4
+    assert [t.get("left_out") for t in logged if t["event"] == "flood"] == [None, None, None, 47]
+    assert [t["event"] for t in logged].count("other") == 3
 
 
 def test_kinds_of_event_are_bounded_and_a_level_silences_those_below(capsys: pytest.CaptureFixture[str]) -> None:
@@ -50,9 +50,9 @@
     for number in range(2000):
         log.warning(f"kind{number}")
     log.info("nothing")
-    told = lines(capsys)
-    assert (len(told), told[-1]["event"]) == (2000, "kind1999")
-    assert len(log._kinds) <= 256
+    logged = lines(capsys)
+    assert (len(logged), logged[-1]["event"]) == (2000, "kind1999")
+    assert len(log._windows) <= 256
 
 
 def test_what_libraries_log_goes_the_same_way(capsys: pytest.CaptureFixture[str]) -> None:
@@ -62,8 +62,8 @@
         "aiohttp.server", logging.ERROR, "", 0, "bad %s", ("head",), (ValueError, ValueError("x"), None)
     )
     Handler(Log("p0", LogSettings(format="json"))).emit(record)
-    (told,) = lines(capsys)
-    assert (told["event"], told["said"], told["raised"]) == ("library.aiohttp.server", "bad head", "ValueError('x')")
+    (line,) = lines(capsys)
+    assert (line["event"], line["said"], line["raised"]) == ("library.aiohttp.server", "bad head", "ValueError('x')")
 
 
 def test_a_request_can_be_followed_from_taking_through_its_legs_to_its_answer(
@@ -76,10 +76,10 @@
         assert (await s.ask())[0] == 200
 
     play(tmp_path, story, *hosts, MaxAttempts=3, own=own)
-    told = [t for t in lines(capsys) if t.get("request") == "9b1f03aa"]
-    assert [t["event"] for t in told] == ["taken", "leg_sent", "leg_ended", "leg_sent", "leg_ended", "answered"]
-    assert [t["outcome"] for t in told if t["event"] == "leg_ended"] == ["error", "ok"]
-    assert told[5]["answer"] == "served"
+    logged = [t for t in lines(capsys) if t.get("request") == "9b1f03aa"]
+    assert [t["event"] for t in logged] == ["taken", "leg_sent", "leg_ended", "leg_sent", "leg_ended", "answered"]
+    assert [t["outcome"] for t in logged if t["event"] == "leg_ended"] == ["error", "ok"]
+    assert logged[5]["answer"] == "served"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_network_failures.py
+++ b/tests/test_network_failures.py
@@ -1,4 +1,4 @@
-"""Stories of the network code: one for each failure met or guarded against, on scripted peers."""
+"""Failures of clients, hosts and discovery on real sockets with scripted peers; one test each."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     async def story(s: ProxyHarness) -> None:
         status, body, headers = await s.ask("order", body=b"a\r\n\x00b")
         assert (status, body, headers["Content-Encoding"]) == (200, packed, "gzip")
-        await asyncio.sleep(0.05)  # a connection rests before it is used again
+        await asyncio.sleep(0.05)  # a connection is reused only after a pause
         reader, writer = await asyncio.open_connection(*s.url.removeprefix("http://").split(":"))
         writer.write(
             b"GET /look/%2F%41?q=%20a+b HTTP/1.1\r\nHost: x\r\nX-Request-Id: 7\r\nX-Class: look\r\n"
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("kind", ["look", "order", "pay"])
 @pytest.mark.parametrize(
-    ("told", "outcome", "may_refuse"),
+    ("reply", "outcome", "may_refuse"),
     [
         (answer(500), "error", False),
         (answer(503), "error", False),
@@ -123,18 +123,20 @@
     ids=lambda value: value.decode()[:24].strip() if isinstance(value, bytes) else None,
 )
 def test_each_way_a_leg_ends_has_its_outcome_and_refusals_only_where_harmless(
-    tmp_path: Path, kind: str, told: bytes | None, outcome: str, may_refuse: bool
+    tmp_path: Path, kind: str, reply: bytes | None, outcome: str, may_refuse: bool
 ) -> None:
-    host = UpstreamHost(lambda _: told)
+    host = UpstreamHost(lambda _: reply)
 
     async def story(s: ProxyHarness) -> None:
-        left, counters = {"X-Deadline-Ms": "300"} if told is None else {}, s.proxy.counters
+        left, counters = {"X-Deadline-Ms": "300"} if reply is None else {}, s.proxy.counters
         status = (await s.ask(kind, left))[0]
-        while told is None and not host.requests:  # the machine stood still, and time was up before it was written
+        while (
+            reply is None and not host.requests
+        ):  # the machine stalled: the time was up before the request was written
             status = (await s.ask(kind, left))[0]
         refused = 503 if kind != "pay" or may_refuse else 502
         assert status == (200 if outcome == "ok" else refused)
-        unwritten = counters["legs_connect_failed"] if told is None else 0
+        unwritten = counters["legs_connect_failed"] if reply is None else 0
         assert counters[f"legs_{outcome}"] == counters["legs_sent"] - unwritten == 1
         assert counters["answers_overdue"] == 0
 
@@ -256,7 +258,7 @@
         assert len(old.requests) == before
         assert s.proxy.counters["list_lines_skipped"] == 2
         assert s.proxy.counters["list_entries_skipped"] == 1
-        s.discovery.lines.put_nowait(b"")  # the watch ends; the old list stays
+        s.discovery.lines.put_nowait(b"")  # the watch ends; the old list stays in use
         await until(lambda: len(s.discovery.watches) == 2)
         assert s.discovery.watches[1].endswith(b"from=7")
         assert (await s.ask())[0] == 200
@@ -277,7 +279,7 @@
 
 
 def test_a_call_whose_syn_is_lost_reaches_discovery_with_the_next_one() -> None:
-    """Within the call's own time and without a second call, as the simulator has it."""
+    """Within the time-out of the call and without a second call, as in the simulator."""
     news, counters = list[RoutingUpdate](), Counters()
 
     async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -303,23 +305,23 @@
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
         listener.setblocking(False)
-        for _ in range(3):  # the backlog is full: the kernel drops every further SYN
+        for _ in range(3):  # the backlog is full: the kernel drops further SYNs
             one = crowd.enter_context(socket.socket())
             one.setblocking(False)
             one.connect_ex(listener.getsockname())
         asyncio.run(story(listener))
 
 
-@pytest.mark.parametrize("told", [answer(503), b"", None, b"rubbish\r\n\r\n", answer(200, b"x" * 99)])
+@pytest.mark.parametrize("reply", [answer(503), b"", None, b"rubbish\r\n\r\n", answer(200, b"x" * 99)])
 def test_while_discovery_is_down_the_old_list_serves_and_there_is_no_storm(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, told: bytes | None
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, reply: bytes | None
 ) -> None:
     monkeypatch.setattr("cranebank.discovery.routing_table.CALL_TIMEOUT_S", 0.2)
-    monkeypatch.setattr(Discovery, "talk", UpstreamHost(lambda _: told).talk)
+    monkeypatch.setattr(Discovery, "talk", UpstreamHost(lambda _: reply).talk)
 
     async def story(s: ProxyHarness) -> None:
         await until(lambda: s.proxy.counters["lists_refused"] == 2)
-        # Each is asked for once the one before it was given up, and by one party alone.
+        # A new watch is opened only after the previous one has ended, and by one party only.
         assert s.proxy.counters["watches_opened"] <= s.proxy.counters["watches_ended"] + 1 <= 4
         assert (await s.ask())[0] == 200
 
@@ -331,16 +333,16 @@
 def test_messages_are_cut_at_their_ends_however_they_are_laid_out_and_arrive(
     indent: int | str | None, step: int
 ) -> None:
-    """Half an object, an empty one and strings that look like ends are no ends of others."""
-    told = [{"version": n, "servers": [entry('}"]{', "x:1"), {}], "empty": []} for n in range(3)]
-    lines = [json.dumps(message, indent=indent) for message in told]
-    half = json.dumps(told[0], indent=indent)[:-9]
+    """Truncated and empty objects, and strings that look like the end of an object, do not end other messages."""
+    messages = [{"version": n, "servers": [entry('}"]{', "x:1"), {}], "empty": []} for n in range(3)]
+    lines = [json.dumps(message, indent=indent) for message in messages]
+    half = json.dumps(messages[0], indent=indent)[:-9]
     text = f"\n{lines[0]}\r\n\n{half}\n{lines[1]}\n}}\n{lines[2]}\n".encode()
     stream, found = Stream(), list[Any]()
     for at in range(0, len(text), step):
         found += stream.feed(text[at : at + step])
-    assert [message for message in found if not isinstance(message, ValueError)] == told
-    assert len(found) == 5  # half of one, and an end of none
+    assert [message for message in found if not isinstance(message, ValueError)] == messages
+    assert len(found) == 5  # with two errors: half an object, and an end without a beginning
 
 
 def test_a_message_without_an_end_is_given_up() -> None:
@@ -368,8 +370,8 @@
 )
 def test_an_entry_that_can_not_be_read_is_skipped_and_the_others_stand(change: dict[str, Any]) -> None:
     good = entry("s0", "127.0.0.1:80", zone="b", unheard=1)
-    told = {"version": 4, "full": True, "servers": [good | change, None, good]}
-    listing = ListReader(("a", "b")).read(told)
+    document = {"version": 4, "full": True, "servers": [good | change, None, good]}
+    listing = ListReader(("a", "b")).read(document)
     assert (len(listing.hosts), listing.skipped, listing.hosts[0].entry.zone) == (1, 2, 1)
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Subsets of hosts: bounded, stable, even, never none; and what the rules layer tells the module of them."""
+"""Subsets of hosts: bounded, stable, even, never empty; and the lists that the rules layer passes to the module."""
 
 from __future__ import annotations
 
@@ -18,7 +18,9 @@
 HOSTS = st.sets(st.text(min_size=1, max_size=8), min_size=1, max_size=60)
 
 
-def held(hosts: list[str], slot: int, copies: int = 50, zones: int = 1, near: bool = False, **wanted: int) -> set[str]:
+def chosen_hosts(
+    hosts: list[str], slot: int, copies: int = 50, zones: int = 1, near: bool = False, **wanted: int
+) -> set[str]:
     subset = Subset(SubsetSpec(**({"size": 8, "from_hosts": 1, "cover": 1} | wanted)), slot, copies, slot % zones, near)
     subset.update((host, i % zones) for i, host in enumerate(hosts))
     return subset.chosen()
@@ -30,7 +32,7 @@
     hosts: set[str], slot: int, draw: random.Random
 ) -> None:
     ordered = sorted(hosts)
-    found = held(ordered, slot)
+    found = chosen_hosts(ordered, slot)
     assert len(found) == min(8, len(hosts))
     shuffled = list(ordered)
     draw.shuffle(shuffled)
@@ -47,13 +49,13 @@
 ) -> None:
     ordered = sorted(hosts)
     gone = data.draw(st.sampled_from(ordered))
-    before, after = held(ordered, slot), held([h for h in ordered if h != gone], slot)
+    before, after = chosen_hosts(ordered, slot), chosen_hosts([h for h in ordered if h != gone], slot)
     assert before - after <= {gone}
-    assert len(after - before) <= (gone in before)  # the least possible
+    assert len(after - before) <= (gone in before)  # the minimum
 
 
 @pytest.mark.parametrize(
-    ("copies", "count", "told"),
+    ("copies", "count", "factor"),
     [
         (200, 200, 1.0),
         (200, 200, 2.0),
@@ -65,15 +67,15 @@
     ],
 )
 def test_every_host_is_held_about_evenly_though_the_told_count_is_stale_by_a_factor_of_two(
-    copies: int, count: int, told: float
+    copies: int, count: int, factor: float
 ) -> None:
     hosts = [f"s-{i * 7919:x}" for i in range(count)]
-    of = [held(hosts, slot, round(copies * told), size=20, cover=8) for slot in range(copies)]
+    of = [chosen_hosts(hosts, slot, round(copies * factor), size=20, cover=8) for slot in range(copies)]
     cover = Counter(host for found in of for host in found)
     mean = sum(cover.values()) / count
     assert min(cover[host] for host in hosts) >= max(1.0, 0.25 * mean)
     assert max(cover.values()) <= 2.2 * mean + 1
-    assert mean >= 8 / max(1.0, told) - 1
+    assert mean >= 8 / max(1.0, factor) - 1
 
 
 def test_places_of_copies_are_evenly_spread_for_any_count() -> None:
@@ -85,19 +87,19 @@
 
 def test_zones_are_kept_and_the_own_comes_first_where_crossing_has_a_price() -> None:
     hosts = [f"h{i}" for i in range(300)]
-    far = Counter(int(host[1:]) % 3 for host in held(hosts, 4, zones=3, size=24))
+    far = Counter(int(host[1:]) % 3 for host in chosen_hosts(hosts, 4, zones=3, size=24))
     assert set(far) == {0, 1, 2} and max(far.values()) <= 9
-    near = Counter(int(host[1:]) % 3 for host in held(hosts, 4, zones=3, near=True, size=24))
+    near = Counter(int(host[1:]) % 3 for host in chosen_hosts(hosts, 4, zones=3, near=True, size=24))
     assert (near[1], near[0], near[2]) == (24, 6, 6)
 
 
 @pytest.mark.parametrize(("count", "size", "expected"), [(2, 8, 2), (99, 8, 99), (100, 8, 8), (300, 0, 300)])
 def test_below_a_size_or_switched_off_all_are_held(count: int, size: int, expected: int) -> None:
-    assert len(held([f"h{i}" for i in range(count)], 3, size=size, from_hosts=100)) == expected
+    assert len(chosen_hosts([f"h{i}" for i in range(count)], 3, size=size, from_hosts=100)) == expected
 
 
 class Module:
-    """Keeps the list as the module would."""
+    """A decision module that only keeps the list."""
 
     def __init__(self) -> None:
         self.listed: dict[str, api.ServerEntry] = {}
@@ -135,17 +137,17 @@
     orders = layer.handle(0, news(api.ListKind.ALL, *((name, serving) for name in names)))
     first = set(module.listed)
     assert len(first) == 10
-    (told,) = [order.news.hosts for order in orders if isinstance(order, rules.UpdateUpstreams)]
-    assert {host.entry.server for host in told} == first  # the upstream side keeps no more than that
+    (listed,) = [order.update.hosts for order in orders if isinstance(order, rules.UpdateUpstreams)]
+    assert {host.entry.server for host in listed} == first  # the upstream side gets the subset only
     half = sorted(first)[:5]
     layer.handle(1, news(api.ListKind.CHANGES, *((name, draining) for name in half)))
     assert len(module.listed) == 10 and not set(half) & set(module.listed)
     assert counters["subset_joined"] == 15
-    for number, name in enumerate(names[:194]):  # 97%, one after another, each with a successor
+    for number, name in enumerate(names[:194]):  # 97% of them, one after another, each with a replacement
         layer.handle(2, news(api.ListKind.CHANGES, (f"new{number}", serving), (name, draining)))
         layer.handle(3, news(api.ListKind.CHANGES, (name, out)))
         assert len(module.listed) == 10
-    assert counters["subset_joined"] <= 15 + 2.5 * 10  # each place is filled anew, and little more
+    assert counters["subset_joined"] <= 15 + 2.5 * 10  # about one replacement per host of the subset
     layer.handle(4, news(api.ListKind.ALL, *((name, serving) for name in ("a", "b"))))
     assert set(module.listed) == {"a", "b"}
 
