--- a/cranebank/decisions/balance.py
+++ b/cranebank/decisions/balance.py
@@ -74,14 +74,14 @@
         self.awaiting_probe: dict[str, list[PendingRequest]] = {}  # by the server that is probed
         self.slow_threshold, self.slow_exponent = (
             (1.5, 2.0) if self.probes_pairs else (1.0 + self.density, 4.0 - 3 * self.density))
-        self.mean_server_load = self.mean_own_load = 0.0  # means over reports: calls there, own calls there
+        self.mean_server_load = self.mean_own_load = 0.0  # mean calls at a server when reported: all, own
         self.mean_load = 0.0  # mean reported load by size
         self.priority = ClassPriority(settings)
         self.slowdowns = Slowdowns(len(settings.classes), len(settings.quotas), self.min_aim / self.density)
         self.own_zone = settings.zone if settings.cross_zone_price > 0 else None
         self.crossing_cost_ms = LOSS_COST_IN_AIMS * settings.cross_zone_price * self.min_aim
         self.zone_latency = [0.0, 0.0]  # mean latency of calls to the own zone, and to others
-        self.prefers_open = self.density < 1.0 and settings.handshake_price > 0  # not one for each
+        self.prefers_open = self.density < 1.0 and settings.handshake_price > 0  # many can't keep all
         self.tenant_usage = [(0.0, 0.0)] * len(settings.quotas)
         self.backoff = settings.ask_within / 16
         self.handlers: dict[type, Any] = {
@@ -115,7 +115,7 @@
         self.actions.append(SetTimer(at, name))
 
     def _update_list(self, event: ServerList) -> None:
-        if event.kind is ListKind.REFUSED:  # retry with jitter; back off, except where an own agent is asked
+        if event.kind is ListKind.REFUSED:  # retry with jitter; an own agent has no other clients: no backoff
             if self.settings.watch_by_asking:
                 self.backoff = min(self.backoff * 2, self.settings.ask_within / 2)
             self._set_timer(self.now + self.backoff * (0.5 + self.random.random()), "watch")
@@ -153,7 +153,7 @@
         self.ejected = [s for s in self.listed if s.ejected_until > self.now]
         self.local = [s for s in self.ready if s.entry.zone == self.own_zone]
         self.failure_sum = sum(s.failure_share for s in self.listed)
-        self.min_limit = max(1, len(self.ready)) * self.min_limit_per_server
+        self.min_limit = max(1, len(self.ready)) * self.min_limit_per_server  # never too many calls
         if not self.answers:  # a new copy may start under full traffic: half of its share of the safe calls
             self.limit = max(1.0, self.min_limit, SAFE_CALLS / 2 * len(self.ready) / self.settings.copies)
         elif ready_before and self.ready:  # guards the remaining servers against the calls of those that left
@@ -183,7 +183,7 @@
             return
         refused = sum(s.refused for s in self.ejected)
         mean_others = (self.failure_sum - server.failure_share) / max(1, len(self.servers) - 1)
-        # A fault common to all ejects none. Of a delisted server one failure is enough: two signs agree.
+        # A fault common to all raises mean_others too and ejects none. A delisted server needs one failure.
         stands_out = server.on_trial or server.delisted or server.failure_share - mean_others > OUTLIER_MARGIN
         enough_ready = 2 * len(self.ready) >= len(self.servers) - refused + 2  # half of those accepting stay
         if server.ejected_until <= self.now and (server.refused or (stands_out and enough_ready)):
@@ -250,7 +250,7 @@
 
     def _has_room(self, server: Server, request: PendingRequest) -> bool:
         """Whether a server may take this call; at random where it should get less than a full share."""
-        # Overdue calls count: they still occupy their servers, and others must not take over their shares.
+        # Overdue calls count, as they stay where they are: a server without any may take more of the others.
         room = ceil(MAX_SHARE_FACTOR * (self.in_flight + self.overdue + 1) / self.ready_size * server.size)
         if (server.in_flight >= (1 if server.on_trial else room) or server.full_until > self.now
                 or any(a.server is server for a in request.attempts)):
@@ -263,7 +263,7 @@
         if self.settings.classes[request.class_id].effect is Effect.UNSAFE:  # one try: safer hosts
             chance *= (1.0 - server.swallowed_share) ** 4
         # Slower than the mean, by own calls: drawn less; far less where copies are many and reports old.
-        kind_share = min(1.0, server.size / server.entry.size)  # its size has the speed of its kind already
+        kind_share = min(1.0, server.size / server.entry.size)  # its kind's speed is in its size
         slowness = server.mean_duration / (self.mean_latency or 1.0) / self.slow_threshold * kind_share
         if slowness > 1.0:
             chance /= 2 * slowness if self.density >= 1.0 else slowness ** self.slow_exponent
@@ -272,7 +272,7 @@
 
     def _draw_pair(self, pool: list[Server], request: PendingRequest) -> list[Server]:
         """Return two draws from ``pool``, or fewer where no server has room."""
-        reuse = self.prefers_open and (pool is self.ready or pool is self.local)  # not a group
+        reuse = self.prefers_open and (pool is self.ready or pool is self.local)  # not in a group
         both = reuse and request.probe_rounds < 2 and self.random.random() > GAIN / 8  # else one of all
         first = (self._draw_connected(request) if reuse else None) or self._draw(pool, request)
         second = (self._draw_connected(request) if both else None) or self._draw(pool, request)
@@ -455,7 +455,7 @@
         harmless = spec.effect is Effect.SAFE or (
             spec.effect is Effect.KEYED and spec.group is Group.ALL
             and self.now < first.sent_at + spec.repeat_window - self.settings.tick)
-        # Guards against feeding a jam; a host that swallowed calls of late has likely not begun this one.
+        # Guards against feeding a jam. Where calls were swallowed of late, a copy repeats no heavy work.
         calm = (early and self.fast_ratio < 1.25 * self.idle_ratio) or first.server.swallowed_share > GAIN / 2
         room = 2 * self.in_flight < self.limit
         if harmless and calm and room and self._may_retry(request) and (server := self._select(request)):
--- a/cranebank/decisions/state.py
+++ b/cranebank/decisions/state.py
@@ -51,7 +51,7 @@
         self.restarted_at = 0.0  # when it first answered after that
         self.class_failures = NO_FAILURES  # by class: recent share of its calls that failed here
         self.connected_until = 0.0  # a connection is certainly open until then; 0: not among the connected
-        self.delisted = False  # dropped by the list where removals are advisory
+        self.delisted = False  # dropped by the list, where removals are advisory: one failure then confirms it
         # Token bucket for calls while cold. The first ``tokens`` are random: many copies learn of a start together
         # and fill their buckets at equal rates, so that all would send their first call at the same moment.
         self.tokens, self.tokens_at = tokens, entry.started
--- a/tests/test_unanswered_calls.py
+++ b/tests/test_unanswered_calls.py
@@ -33,7 +33,7 @@
     return names
 
 
-@pytest.mark.parametrize(("answered_after", "kept"), [(True, True), (False, False)], ids=["overtaken", "not skipped"])
+@pytest.mark.parametrize(("answered_after", "kept"), [(True, True), (False, False)], ids=["overtaken", "not overtaken"])
 def test_only_a_call_that_none_overtook_is_a_sign_of_a_jam(drive: Drive, answered_after: bool, kept: bool) -> None:
     d = drive()
     d.listed(["s0", "s1"])
