--- a/cranebank/decisions/host_speeds.py
+++ b/cranebank/decisions/host_speeds.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-SIZE_EXPONENT = 1.5  # size by speed: free capacity grows as the square root of speed, so fast hosts bear more
+SIZE_EXPONENT = 1.5  # size by speed: spare capacity grows as the root of speed, so fast hosts take more than their part
 MAX_ANSWERS = 256  # answers of a kind that count: chance moves the mean of heavy-tailed ones by 6%
 PRIOR_ANSWERS = 8  # answers of usual length that a kind starts with
 MAX_RATIO = 5.0  # one answer counts as this many usual ones at most: outliers say little about speed
--- a/tests/test_network_failures.py
+++ b/tests/test_network_failures.py
@@ -130,9 +130,7 @@
     async def story(s: ProxyHarness) -> None:
         left, counters = {"X-Deadline-Ms": "300"} if reply is None else {}, s.proxy.counters
         status = (await s.ask(kind, left))[0]
-        while (
-            reply is None and not host.requests
-        ):  # the machine stalled: the time was up before the request was written
+        while reply is None and not host.requests:  # the machine stalled: time was up before the request was written
             status = (await s.ask(kind, left))[0]
         refused = 503 if kind != "pay" or may_refuse else 502
         assert status == (200 if outcome == "ok" else refused)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -280,9 +280,8 @@
     replies = [order.answer for order in orders if isinstance(order, rules.Reply)]
     left = other(leg) == rules.ClientLeft("ticket") and first
     assert len(replies) == sum(counters[f"answers_{how}"] for how in ("served", "declined", "failed")) == (not left)
-    assert replies == [rules.Served("the answer")] or (
-        first and other is not rules.SendWindowClosed
-    )  # a written request may run
+    # A leg that is written may run: the end of its window changes nothing.
+    assert replies == [rules.Served("the answer")] or (first and other is not rules.SendWindowClosed)
     assert sum(counters[f"legs_{outcome.name.lower()}"] for outcome in Outcome) == counters["legs_sent"]
     assert layer.unanswered_count == 0
 
