--- a/cranebank/storage/__init__.py
+++ b/cranebank/storage/__init__.py
@@ -1,1 +1,1 @@
-"""An append-only file of checksummed records."""
+"""Durable key-value storage in an append-only file of checksummed records."""
--- a/cranebank/storage/records.py
+++ b/cranebank/storage/records.py
@@ -1,8 +1,8 @@
-"""The records of the append-only file: framed, checksummed and numbered by batch. No I/O.
+"""Records of the append-only file: framed, checksummed and numbered by batch. No I/O.
 
-A batch is what one write appends. It counts only when all of its records are whole, so a write is taken in full or
-not at all. A batch is synced before the next one is written; a batch that is broken *below* a later one was therefore
-damaged after it had been synced, and that is told apart from a write which a loss of power has torn.
+A batch is what one write appends. It is valid only if all of its records are intact, so a write is read back in full
+or not at all. Each batch is synced before the next one is written. A broken batch that precedes a later one was
+therefore damaged after its sync, which distinguishes damage from a write torn by a power loss.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 )
 FRAME_LENGTH: int = _FRAME.sizeof()
 _CRC_LENGTH = 4
-_MOST_RECORDS = 0xFFFF
+_MAX_RECORDS = 0xFFFF
 
 
 class StorageCode(enum.StrEnum):
-    """Codes of the storage errors, for callers and logs."""
+    """Codes of storage errors, for callers and logs."""
 
     DAMAGED_FILE = "damaged_file"
     DISK_REFUSED = "disk_refused"
@@ -41,7 +41,7 @@
 
 
 class StorageError(Exception):
-    """A failure of the storage plane; `code` tells which."""
+    """Base class of storage errors; `code` identifies the kind."""
 
     code: StorageCode
 
@@ -52,33 +52,33 @@
 
 
 class DamagedFile(StorageError):
-    """Synced records are broken; the file can't be trusted and the node counts as one with an empty disk."""
+    """Synced records are corrupt: the file can't be trusted, and the node is treated as if its disk were empty."""
 
     def __init__(self, offset: int) -> None:
         super().__init__(StorageCode.DAMAGED_FILE, offset=offset)
 
 
 class DiskRefused(StorageError):
-    """The operating system refused a read, write, sync or rename; what was put is not stored."""
+    """The operating system refused a read, write, sync or rename; the values of the put are not stored."""
 
     def __init__(self, error: OSError) -> None:
         super().__init__(StorageCode.DISK_REFUSED, errno=error.errno, reason=str(error))
 
 
 class TooManyRecords(StorageError):
-    """One batch holds at most 65,535 records."""
+    """A batch has more than 65,535 records."""
 
     def __init__(self, count: int) -> None:
         super().__init__(StorageCode.TOO_MANY_RECORDS, count=count)
 
 
 class Kind(enum.IntEnum):
-    """Kinds of records."""
+    """Record kinds."""
 
     VALUE = 1
 
 
-class _Found(msgspec.Struct, frozen=True):
+class _Record(msgspec.Struct, frozen=True):
     batch: int
     index: int
     count: int
@@ -88,7 +88,7 @@
 
 
 class Contents(msgspec.Struct, frozen=True):
-    """What a file holds: newest value by key, bytes that are good (the rest is to be cut), number of the last batch."""
+    """Contents of a file: newest value by key, length of the valid part (the rest is to be truncated), last batch."""
 
     values: dict[str, bytes]
     good_length: int
@@ -96,52 +96,52 @@
 
 
 def encode_batch(batch: int, values: Mapping[str, bytes]) -> bytes:
-    """Return the bytes of one batch (its number is 1 or higher); raise TooManyRecords beyond 65,535 records."""
-    if len(values) > _MOST_RECORDS:
+    """Return the encoded batch (batch numbers start at 1). Raises TooManyRecords beyond 65,535 records."""
+    if len(values) > _MAX_RECORDS:
         raise TooManyRecords(len(values))
     parts: list[bytes] = []
     for index, (key, value) in enumerate(values.items()):
-        name = key.encode()
+        key_bytes = key.encode()
         frame: bytes = _FRAME.build(
             {
                 "kind": Kind.VALUE,
                 "batch": batch,
                 "index": index,
                 "count": len(values),
-                "key_length": len(name),
+                "key_length": len(key_bytes),
                 "length": len(value),
                 "crc": bytes(_CRC_LENGTH),
             }
         )[:-_CRC_LENGTH]
-        parts += [frame, _checksum(frame, name + value), name, value]
+        parts += [frame, _checksum(frame, key_bytes + value), key_bytes, value]
     return b"".join(parts)
 
 
 def read_records(data: bytes) -> Contents:
-    """Read a whole file; raise DamagedFile when a broken batch has a valid record of a later batch behind it."""
+    """Read a complete file. Raises DamagedFile if a broken batch is followed by a valid record of a later batch."""
     values: dict[str, bytes] = {}
     good_length = offset = batch = 0
     open_batch: dict[str, bytes] = {}
-    while (found := _record_at(data, offset)) is not None and _follows(found, batch, len(open_batch)):
-        open_batch[found.key] = found.value
-        offset = found.end
-        if found.index == found.count - 1:
+    while (record := _record_at(data, offset)) is not None and _is_next(record, batch, len(open_batch)):
+        open_batch[record.key] = record.value
+        offset = record.end
+        if record.index == record.count - 1:
             values.update(open_batch)
             open_batch = {}
-            batch, good_length = found.batch, offset
-    # What is left is the last write, torn; it can't hold a record of any batch but the one after the last whole one.
+            batch, good_length = record.batch, offset
+    # The remainder is a torn last write: it can only contain records of the batch that follows the last valid one.
     position = data.find(MAGIC, offset)
     while position >= 0:
-        stray = _record_at(data, position)
-        if stray is not None and stray.batch > batch + 1:
+        tail_record = _record_at(data, position)
+        if tail_record is not None and tail_record.batch > batch + 1:
             raise DamagedFile(good_length)
-        position = data.find(MAGIC, position + 1 if stray is None else stray.end)
+        position = data.find(MAGIC, position + 1 if tail_record is None else tail_record.end)
     return Contents(values, good_length, batch)
 
 
-def _follows(found: _Found, batch: int, index: int) -> bool:
-    # The first batch of a rewritten file carries on the numbers of the file before it.
-    return found.index == index and (found.batch == batch + 1 or (batch == 0 and found.batch > 0))
+def _is_next(record: _Record, batch: int, index: int) -> bool:
+    # The first batch of a rewritten file continues the numbering of the previous file.
+    return record.index == index and (record.batch == batch + 1 or (batch == 0 and record.batch > 0))
 
 
 def _checksum(frame: bytes, payload: bytes) -> bytes:
@@ -149,18 +149,18 @@
     return value.to_bytes(_CRC_LENGTH, "little")
 
 
-def _record_at(data: bytes, offset: int) -> _Found | None:
+def _record_at(data: bytes, offset: int) -> _Record | None:
     frame = data[offset : offset + FRAME_LENGTH]
     try:
-        head: Any = _FRAME.parse(frame)
+        header: Any = _FRAME.parse(frame)
     except ConstructError:
         return None
     start = offset + FRAME_LENGTH
-    end = start + head.key_length + head.length
-    if end > len(data) or head.kind != Kind.VALUE:
+    end = start + header.key_length + header.length
+    if end > len(data) or header.kind != Kind.VALUE:
         return None
     payload = data[start:end]
-    if _checksum(frame[:-_CRC_LENGTH], payload) != head.crc:
+    if _checksum(frame[:-_CRC_LENGTH], payload) != header.crc:
         return None
-    key = payload[: head.key_length].decode(errors="replace")
-    return _Found(head.batch, head.index, head.count, key, payload[head.key_length :], end)
+    key = payload[: header.key_length].decode(errors="replace")
+    return _Record(header.batch, header.index, header.count, key, payload[header.key_length :], end)
--- a/tests/mutants_storage.py
+++ b/tests/mutants_storage.py
@@ -17,8 +17,8 @@
         Point.HUNDREDS_OF_CHANGES,
         "a rename whose folder is not synced counts as stored",
         "storage/store.py",
-        "self._files.sync_folder()\n        self._doubtful = False",
-        "self._doubtful = False",
+        "self._files.sync_folder()\n        self._needs_rewrite = False",
+        "self._needs_rewrite = False",
         "test_storage_crashes.py",
     ),
     Mutant(
--- a/tests/simulated_files.py
+++ b/tests/simulated_files.py
@@ -1,8 +1,8 @@
-"""Files of one folder that lose power: every state that the disk may be left in is listed, not drawn.
+"""Simulated files of one folder: enumerates every state in which a power loss may leave the disk.
 
-A file holds what its last sync covered; each write or change of length since then may be present, missing or torn.
-Each entry of the folder that was made, renamed or removed since the folder's last sync is kept or lost by itself, even
-where the file itself was synced. This is the strictest reading of a disk's promises that a rename can live with.
+A file keeps what its last sync covered; each write or change of length since then may be present, missing or torn.
+Each folder entry that was created, renamed or removed since the folder's last sync is kept or lost independently, even
+if the file itself was synced. This is the weakest guarantee of a disk under which an atomic rename still works.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class PowerLost(Exception):
-    """The power went at the chosen step."""
+    """Raised at the step at which the power is lost."""
 
 
 class Inode:
-    """A file's content: what was synced, and the changes since."""
+    """A file's synced content, and the changes since."""
 
     def __init__(self, synced: bytes = b"") -> None:
         self.synced = synced
@@ -27,18 +27,18 @@
 
     @property
     def content(self) -> bytes:
-        """The content as processes see it."""
+        """The current content, as seen by processes."""
         data = self.synced
         for change in self.changes:
             data = change.applied(data)
         return data
 
     def sync(self) -> None:
-        """Make the content last."""
+        """Make the content durable."""
         self.synced, self.changes = self.content, []
 
     def contents_after_loss(self) -> set[bytes]:
-        """Every content that a loss of power may leave."""
+        """Return every content that a power loss may leave."""
         found = {self.synced}
         for change in self.changes:
             found |= {after for data in found for after in change.after_loss(data)}
@@ -46,13 +46,13 @@
 
 
 class Change:
-    """A write at an offset, or a change of length where `data` is None."""
+    """A write at an offset, or a truncation to `offset` if `data` is None."""
 
     def __init__(self, offset: int, data: bytes | None) -> None:
         self.offset, self.data = offset, data
 
     def applied(self, content: bytes) -> bytes:
-        """Return the content with this change made."""
+        """Return the content with this change applied."""
         if self.data is None:
             return content[: self.offset]
         return content.ljust(self.offset, b"\0")[: self.offset] + self.data + content[self.offset + len(self.data) :]
@@ -75,12 +75,12 @@
 
 
 class SimulatedFiles:
-    """`Files` in memory. Each method has a step before its effect and one after it, at which power may be lost or the
-    call refused; `create` has one more between writing and syncing."""
+    """`Files` in memory. Each method has a step before its effect and one after it, at which the power may be lost or
+    the call refused; `create` and `truncate` have one more before their sync."""
 
     def __init__(self, inodes: dict[str, Inode] | None = None) -> None:
         self.entries: dict[str, Inode] = dict(inodes or {})
-        # What each entry was at the folder's last sync and has been since, oldest first.
+        # States of each entry since the folder's last sync, oldest first.
         self.history: dict[str, list[Inode | None]] = {name: [inode] for name, inode in self.entries.items()}
         self.steps = 0
         self.lose_power_at = -1
@@ -88,12 +88,12 @@
         self.log: list[str] = []
 
     def read(self, name: str) -> bytes | None:
-        """Return the content; None where there is no such file."""
+        """Return the content; None if there is no such file."""
         inode = self.entries.get(name)
         return None if inode is None else inode.content
 
     def create(self, name: str, data: bytes) -> None:
-        """Make or truncate a file, write and sync it."""
+        """Create or truncate a file, write and sync it."""
         self._step(f"before create {name}")
         inode = self.entries.get(name)
         if inode is None:
@@ -107,20 +107,20 @@
         self._step(f"after create {name}")
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end."""
+        """Append without a sync."""
         self._step(f"before append {name}")
         inode = self.entries[name]
         inode.changes.append(Change(len(inode.content), data))
         self._step(f"after append {name}")
 
     def sync(self, name: str) -> None:
-        """Make the content last."""
+        """Make the content durable."""
         self._step(f"before sync {name}")
         self.entries[name].sync()
         self._step(f"after sync {name}")
 
     def truncate(self, name: str, length: int) -> None:
-        """Cut the file and sync it."""
+        """Truncate and sync the file."""
         self._step(f"before truncate {name}")
         inode = self.entries[name]
         inode.changes.append(Change(length, None))
@@ -129,7 +129,7 @@
         self._step(f"after truncate {name}")
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
         self._step(f"before rename {old}")
         if old not in self.entries:
             raise FileNotFoundError(errno.ENOENT, old)
@@ -138,28 +138,28 @@
         self._step(f"after rename {old}")
 
     def remove(self, name: str) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
         self._step(f"before remove {name}")
         if name in self.entries:
             self._set(name, None)
         self._step(f"after remove {name}")
 
     def sync_folder(self) -> None:
-        """Make the entries last."""
+        """Make the folder's entries durable."""
         self._step("before sync of the folder")
         self.history = {name: [inode] for name, inode in self.entries.items()}
         self._step("after sync of the folder")
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: there are no descriptors."""
 
     @property
     def bytes_held(self) -> int:
-        """Bytes in all files, as processes see them."""
+        """Total size of all files, as seen by processes."""
         return sum(len(inode.content) for inode in self.entries.values())
 
     def after_kill(self) -> SimulatedFiles:
-        """Return the folder as the next process of the same machine finds it, syncs still missing."""
+        """Return the folder as the next process on the same machine finds it, with unsynced changes still pending."""
         left = SimulatedFiles()
         copies = {inode: _copied(inode) for kept in self.history.values() for inode in kept if inode is not None}
         copies |= {inode: _copied(inode) for inode in self.entries.values() if inode not in copies}
@@ -170,7 +170,7 @@
         return left
 
     def after_power_loss(self) -> Iterator[SimulatedFiles]:
-        """Yield every folder that a loss of power may leave, each once."""
+        """Yield every distinct folder that a power loss may leave."""
         names = sorted(self.history)
         seen: set[tuple[tuple[str, int, bytes], ...]] = set()
         for chosen in itertools.product(*(dict.fromkeys(self.history[name]) for name in names)):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The append-only file under every crash, damage and refusal; the asyncio end under load. Nothing here sleeps."""
+"""The append-only file under crashes, damage and refused calls, and the asyncio front under load. No test sleeps."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
             reopened = Store(left, NAME)
             assert reopened.values in (done, tried)
             reopened.put({"k": b"after"})
-            # Whoever opens it once more finds that, whatever the second loss of power does.
+            # The value survives any outcome of a second power loss.
             for second in left.after_power_loss():
                 assert Store(second, NAME).values["k"] == b"after"
     assert operations > 2 * len(puts) + 8  # files were rewritten on the way
@@ -121,7 +121,7 @@
                 read_records(harmed)
             assert raised.value.code is StorageCode.DAMAGED_FILE
         else:
-            # The last write can't be told from one that a loss of power tore: it is cut, as a whole.
+            # A damaged last write can't be distinguished from a torn one: it is truncated as a whole.
             contents = read_records(harmed)
             assert (contents.good_length, contents.batch) == (last, 3)
             assert contents.values == {"a": b"xxx", "b": b"y"}
@@ -170,7 +170,7 @@
 
 
 class SlowStore:
-    """Holds each put until told, and notes what came in one."""
+    """Blocks each put until released, and records the values of each."""
 
     def __init__(self) -> None:
         self.puts: list[dict[str, bytes]] = []
@@ -197,7 +197,7 @@
     await asyncio.sleep(0)
     others = [asyncio.create_task(disk.put({"a": b"%d" % n, f"k{n}": b""})) for n in range(2, 5)]
     await asyncio.sleep(0)
-    others[1].cancel()  # the caller is gone; what it put is stored all the same
+    others[1].cancel()  # the caller has gone, but its values are stored
     store.go.release(2)
     await asyncio.gather(first, others[0], others[2])
     assert store.puts == [{"a": b"1"}, {"a": b"4", "k2": b"", "k3": b"", "k4": b""}]
@@ -222,10 +222,10 @@
 
 
 def test_real_files_and_their_folder_are_synced(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found missing by a planted fault: the crashes above are played on files of the tests' own."""
+    """The crash tests use simulated files, so they can't detect a missing sync of real ones."""
     synced: list[str] = []
 
-    def told(real: Callable[[int], None]) -> Callable[[int], None]:
+    def recording(real: Callable[[int], None]) -> Callable[[int], None]:
         def sync(descriptor: int) -> None:
             synced.append(Path(f"/proc/self/fd/{descriptor}").readlink().name)
             real(descriptor)
@@ -233,7 +233,7 @@
         return sync
 
     for name in ("fsync", "fdatasync"):
-        monkeypatch.setattr(os, name, told(getattr(os, name)))
+        monkeypatch.setattr(os, name, recording(getattr(os, name)))
     store, _ = open_store(tmp_path, "values")
     store.put({"a": b"1"})
     assert tmp_path.name in synced and "values" in synced
@@ -251,16 +251,16 @@
     done: list[str] = []
     sync, rename = os.fsync, os.rename
 
-    def told_sync(descriptor: int) -> None:
+    def record_sync(descriptor: int) -> None:
         done.append("sync " + Path(f"/proc/self/fd/{descriptor}").readlink().name)
         sync(descriptor)
 
-    def told_rename(old: Path, new: Path) -> None:
+    def record_rename(old: Path, new: Path) -> None:
         done.append("rename " + old.name)
         rename(old, new)
 
-    monkeypatch.setattr(os, "fsync", told_sync)
-    monkeypatch.setattr(os, "rename", told_rename)
+    monkeypatch.setattr(os, "fsync", record_sync)
+    monkeypatch.setattr(os, "rename", record_rename)
     store.put({"a": b"1"})
     assert done == ["sync values.new", "rename values.new", f"sync {tmp_path.name}"]
     store.close()
--- a/tests/test_storage_crashes.py
+++ b/tests/test_storage_crashes.py
@@ -1,6 +1,6 @@
-"""Power lost, or a call refused, at every step of open, put, rewrite and set_aside, with every state of the disk after.
+"""Power loss, or a refused call, at every step of open, put, rewrite and set_aside, with every resulting disk state.
 
-Steps and states are listed in full, not drawn. Each test counts how often its cases were reached.
+Steps and states are enumerated in full, not sampled. Each test counts how often its cases were reached.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from simulated_files import Inode, PowerLost, SimulatedFiles
 
 from cranebank.storage.records import DamagedFile, DiskRefused, encode_batch
-from cranebank.storage.store import MOST_SET_ASIDE, Store, open_or_set_aside, set_aside
+from cranebank.storage.store import MAX_SET_ASIDE_FILES, Store, open_or_set_aside, set_aside
 
 NAME = "state"
 REWRITE_FROM = 300
@@ -21,18 +21,18 @@
 
 @pytest.fixture(autouse=True)
 def small_files(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Files are rewritten every few puts."""
+    """Lower the limit, so that files are rewritten every few puts."""
     monkeypatch.setattr("cranebank.storage.store.REWRITE_FROM_BYTES", REWRITE_FROM)
 
 
 def put_number(number: int) -> dict[str, bytes]:
-    """The values of one put: two keys that must stay together, and one that is large now and then."""
+    """Return the values of one put: two keys that must stay consistent, and one that is large in every third put."""
     size = 90 if number % 3 == 2 else 5
     return {"count": b"%d" % number, "copy": b"%d" % number, "large": bytes([number + 1]) * size}
 
 
-class Told:
-    """What a writer was told, and what it tried since: the values that a reader may find."""
+class AllowedValues:
+    """Values acknowledged to a writer and values it has tried since: those that a reader may find."""
 
     def __init__(self) -> None:
         self.stored: Values = {}
@@ -40,28 +40,28 @@
 
     @property
     def allowed(self) -> list[Values]:
-        """The values that may be read after a crash."""
+        """Values that may be read after a crash."""
         return [self.stored, *self.tried]
 
 
-def write(files: SimulatedFiles, told: Told, puts: int) -> Store:
-    """Open the store and put; a refused put is tried no more than once."""
+def write(files: SimulatedFiles, expected: AllowedValues, puts: int) -> Store:
+    """Open the store and put; refused puts are not retried."""
     store = opened(files)
-    told.stored = dict(store.values)
+    expected.stored = dict(store.values)
     for number in range(puts):
         values = put_number(number)
-        told.tried.append(values)
+        expected.tried.append(values)
         try:
             store.put(values)
         except DiskRefused:
-            assert store.values == told.stored
+            assert store.values == expected.stored
         else:
-            told.stored, told.tried = values, []
+            expected.stored, expected.tried = values, []
     return store
 
 
 def opened(files: SimulatedFiles) -> Store:
-    """Open the store; a refused open is tried again, as the controller does."""
+    """Open the store; a refused open is retried, as the controller does."""
     while True:
         try:
             return Store(files, NAME)
@@ -70,7 +70,7 @@
 
 
 def crashes(run: Callable[[SimulatedFiles], None], make: Callable[[], SimulatedFiles]) -> Iterator[SimulatedFiles]:
-    """Run again and again, losing power one step later each time; yield the files at each loss."""
+    """Run repeatedly, losing power one step later each time; yield the files at each loss."""
     step = 0
     while True:
         step += 1
@@ -85,18 +85,18 @@
 
 
 def states_after(files: SimulatedFiles) -> Iterator[SimulatedFiles]:
-    """Every state after a loss of power, and the one after a mere kill."""
+    """Yield every state after a power loss, and the one after a kill of the process."""
     yield from files.after_power_loss()
     yield files.after_kill()
 
 
 def test_every_step_of_writing_and_every_state_after_it() -> None:
     reached: Counter[str] = Counter()
-    told = Told()
+    expected = AllowedValues()
 
     def run(files: SimulatedFiles) -> None:
-        told.__init__()  # type: ignore[misc]
-        write(files, told, puts=9)
+        expected.__init__()  # type: ignore[misc]
+        write(files, expected, puts=9)
 
     for files in crashes(run, SimulatedFiles):
         at = files.log[-1]
@@ -104,9 +104,9 @@
             reached[at] += 1
             reached["old file under the name"] += NAME + ".new" in left.entries and NAME in left.entries
             reopened = Store(left, NAME)
-            assert reopened.values in told.allowed, at
+            assert reopened.values in expected.allowed, at
             assert NAME + ".new" not in left.entries
-            # What the reopened store shows, and what it stores next, lasts over a second loss.
+            # The values of the reopened store, and those it stores next, survive a second loss.
             shown = dict(reopened.values)
             for second in left.after_power_loss():
                 assert Store(second, NAME).values == shown, at
@@ -131,16 +131,16 @@
 
 
 def test_a_second_loss_at_every_step_of_the_recovery() -> None:
-    told = Told()
+    expected = AllowedValues()
     reached: Counter[str] = Counter()
 
     def run(files: SimulatedFiles) -> None:
-        told.__init__()  # type: ignore[misc]
-        write(files, told, puts=6)
+        expected.__init__()  # type: ignore[misc]
+        write(files, expected, puts=6)
 
     for files in crashes(run, SimulatedFiles):
         for left in states_after(files):
-            allowed = told.allowed
+            allowed = expected.allowed
 
             def recover(found: SimulatedFiles) -> None:
                 Store(found, NAME)
@@ -155,64 +155,64 @@
 
 @pytest.mark.parametrize("refusals", [1, 2, 5])
 def test_every_step_refused_and_every_state_after_it(refusals: int) -> None:
-    """A refused step, alone or with those after it: nothing told is lost, nothing refused counts as told."""
+    """A refused step, alone or with those after it: no acknowledged put is lost, no refused one is acknowledged."""
     whole = SimulatedFiles()
-    write(whole, Told(), puts=8)
+    write(whole, AllowedValues(), puts=8)
     refused_puts = 0
     for step in range(1, whole.steps + 1):
-        files, told = SimulatedFiles(), Told()
+        files, expected = SimulatedFiles(), AllowedValues()
         files.refuse_at = set(range(step, step + refusals))
-        store = write(files, told, puts=8)
-        refused_puts += len(told.tried)
+        store = write(files, expected, puts=8)
+        refused_puts += len(expected.tried)
         for left in states_after(files):
-            assert Store(left, NAME).values in told.allowed, whole.log[step - 1]
+            assert Store(left, NAME).values in expected.allowed, whole.log[step - 1]
         files.refuse_at = set()
         store.put(last := {**put_number(8), "last": b"1"})
         for left in states_after(files):
-            assert Store(left, NAME).values == {**told.stored, **last}, whole.log[step - 1]
+            assert Store(left, NAME).values == {**expected.stored, **last}, whole.log[step - 1]
     assert refused_puts > 0
 
 
 def test_power_lost_at_every_step_after_a_refused_one() -> None:
     whole = SimulatedFiles()
-    write(whole, Told(), puts=6)
+    write(whole, AllowedValues(), puts=6)
     losses = 0
     for refused in range(1, whole.steps + 1):
-        told = Told()
+        expected = AllowedValues()
 
         def make(refused: int = refused) -> SimulatedFiles:
             files = SimulatedFiles()
             files.refuse_at = {refused}
             return files
 
-        def run(files: SimulatedFiles, told: Told = told) -> None:
-            told.__init__()  # type: ignore[misc]
-            write(files, told, puts=6)
+        def run(files: SimulatedFiles, expected: AllowedValues = expected) -> None:
+            expected.__init__()  # type: ignore[misc]
+            write(files, expected, puts=6)
 
         for files in crashes(run, make):
             if files.steps <= refused:
                 continue
             for left in states_after(files):
                 losses += 1
-                assert Store(left, NAME).values in told.allowed, (whole.log[refused - 1], files.log[-1])
+                assert Store(left, NAME).values in expected.allowed, (whole.log[refused - 1], files.log[-1])
     assert losses > 0
 
 
 def damaged_files() -> SimulatedFiles:
-    """A folder whose file has a broken batch below a later one, beside a whole file of a rewrite that never ended."""
+    """Return a folder whose file has a broken batch before a later one, and a valid file of an interrupted rewrite."""
     whole = encode_batch(1, {"old": b"1"}), encode_batch(2, {"old": b"2"})
     damaged = b"\xff" + whole[0][1:] + whole[1] + encode_batch(3, {"old": b"3"})
     return SimulatedFiles({NAME: Inode(damaged), NAME + ".new": Inode(encode_batch(1, {"old": b"0"}))})
 
 
 def open_and_put(files: SimulatedFiles) -> None:
-    """Open a folder with a damaged file and store something."""
+    """Open a folder with a damaged file and put a value."""
     store, _ = open_or_set_aside(files, NAME)
     store.put({"new": b"1"})
 
 
 def test_power_lost_at_every_step_of_setting_a_damaged_file_aside() -> None:
-    """No old value comes back, and the damaged bytes are kept unless the entry that holds them was lost."""
+    """No old value reappears, and the damaged bytes are kept unless their folder entry was lost."""
     reached: Counter[str] = Counter()
     for files in crashes(open_and_put, damaged_files):
         for left in states_after(files):
@@ -257,7 +257,7 @@
 
 
 def test_the_first_write_torn_after_a_refused_one_is_not_taken_for_damage() -> None:
-    """Found by the schedules above: an empty rewritten file went on at batch 3, and a torn batch 3 read as damage."""
+    """If an empty rewritten file continued at batch 3, a torn batch 3 would be taken for damage."""
     files = SimulatedFiles()
     store = Store(files, NAME)
     files.refuse_at = {files.steps + 1}
@@ -269,12 +269,12 @@
 
 def test_damaged_files_that_are_set_aside_are_bounded() -> None:
     files = SimulatedFiles()
-    for number in range(MOST_SET_ASIDE + 3):
+    for number in range(MAX_SET_ASIDE_FILES + 3):
         files.create(NAME, b"damaged %d" % number)
         files.sync_folder()
         set_aside(files, NAME)
-    assert len(files.entries) == MOST_SET_ASIDE
-    assert files.read(f"{NAME}.damaged-{MOST_SET_ASIDE}") == b"damaged %d" % (MOST_SET_ASIDE + 2)
+    assert len(files.entries) == MAX_SET_ASIDE_FILES
+    assert files.read(f"{NAME}.damaged-{MAX_SET_ASIDE_FILES}") == b"damaged %d" % (MAX_SET_ASIDE_FILES + 2)
 
 
 def test_a_damaged_file_that_cannot_be_renamed_is_not_replaced() -> None:
