--- a/cranebank/control/tallies/__init__.py
+++ b/cranebank/control/tallies/__init__.py
@@ -1,4 +1,4 @@
-"""Tallies: sums that every controller adds to and reads at any time, also without a majority.
+"""Tallies: replicated sums that every controller can add to and read at any time, even without a majority.
 
-An add counts once by its id, wherever and however often it comes. The cores here are free of I/O and of a clock.
+Each add counts once by its id, wherever and however often it is received. The modules here have no I/O and no clock.
 """
--- a/cranebank/control/tallies/peers.py
+++ b/cranebank/control/tallies/peers.py
@@ -1,4 +1,4 @@
-"""What the other replicas hold, as they told: who is reached, what is durable on enough of them, what all have."""
+"""State of the other replicas, as they reported it: reachability, and which adds are durable on enough or on all."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from cranebank.control.tallies.state import covers
 from cranebank.transport.messages import TallyVector
 
-RESEND_S = 0.5
-"""What was sent and isn't confirmed after so long is sent again."""
+RESEND_AFTER_S = 0.5
+"""Adds that aren't confirmed within this time are sent again."""
 
-REACHED_S = 0.8
-"""A replica that was heard within this time is reached."""
+REACHABLE_FOR_S = 0.8
+"""A replica is reachable if something was received from it within this time."""
 
-RETIRE_S = 3600.0
-"""A replica that is no member and was not heard for so long isn't waited for."""
+FORGET_AFTER_S = 3600.0
+"""A replica that is not a member and was silent for so long is forgotten, and folds no longer wait for it."""
 
 
-class Copy(NamedTuple):
-    """Up to which number of an origin a replica has the adds on its disk, and its failure domain."""
+class DurableCopy(NamedTuple):
+    """The number up to which a replica has an origin's adds on its disk, and the replica's failure domain."""
 
     number: int
     domain: str
 
 
-def confirmed_upto(held: Iterable[Copy], copies: int, domains: int) -> int:
-    """The highest number that so many replicas in so many failure domains have on their disks."""
+def highest_confirmed(held: Iterable[DurableCopy], copies: int, domains: int) -> int:
+    """Return the highest number that ``copies`` replicas in ``domains`` failure domains have on their disks."""
     seen: set[str] = set()
     for count, copy in enumerate(sorted(held, reverse=True), 1):
         seen.add(copy.domain)
@@ -35,41 +35,41 @@
     return 0
 
 
-class Sent(NamedTuple):
-    """Up to which number the adds of an origin were sent, and since when nothing of it has been confirmed."""
+class SentAdds(NamedTuple):
+    """The number up to which an origin's adds were sent, and since when none of them has been confirmed."""
 
     number: int
     since: float
 
 
 class Peer:
-    """Another replica, by the address of its controller. A ``replica`` is one life of it."""
+    """Another replica, by the address of its controller. ``replica`` identifies its current life."""
 
     def __init__(self, ip: str) -> None:
         self.ip = ip
-        self.replica = ""  # none told yet
+        self.replica = ""  # empty until its first vector
         self.domain = ip
         self.applied: Mapping[str, int] = {}
         self.durable: Mapping[str, int] = {}
-        self._whole: tuple[Mapping[str, int], Mapping[str, int]] = ({}, {})
-        """What it held and what it had on disk when it told of all origins."""
+        self._last_full_vector: tuple[Mapping[str, int], Mapping[str, int]] = ({}, {})
+        """``applied`` and ``durable`` of its last vector that wasn't partial."""
         self.confirmed: Mapping[str, int] = {}
-        """What it had on disk when it held nothing that isn't held here by now."""
-        self.first: Mapping[str, int] | None = None
-        """What it told first, until all of that is held here."""
+        """``durable`` of its newest full vector of which this replica holds all adds."""
+        self.initial_applied: Mapping[str, int] | None = None
+        """``applied`` of its first vector, until this replica holds all of these adds."""
         self.is_linked = False
-        self.heard = float("-inf")
-        self._sent: dict[str, Sent] = {}
+        self.last_heard_at = float("-inf")
+        self._sent: dict[str, SentAdds] = {}
         self.base_sent = float("-inf")
 
-    def told(self, now: float, vector: TallyVector, own: Mapping[str, int]) -> None:
-        """It told what it holds; ``own`` is what is held here."""
+    def receive_vector(self, now: float, vector: TallyVector, own: Mapping[str, int]) -> None:
+        """Process a vector of this peer; ``own`` is what this replica holds."""
         if vector.replica != self.replica:
             if vector.is_partial:
                 return
             self.forget_sent()
-            self.replica, self.first = vector.replica, vector.applied
-        if vector.asks_again:
+            self.replica, self.initial_applied = vector.replica, vector.applied
+        if vector.needs_resend:
             self.forget_sent()
         self._confirm_sent(now, vector.applied)
         self.domain = vector.domain
@@ -78,83 +78,85 @@
             self.durable = {**self.durable, **vector.durable}
             return
         self.applied, self.durable = vector.applied, vector.durable
-        self._whole = vector.applied, vector.durable
+        self._last_full_vector = vector.applied, vector.durable
         self.compare(own)
 
-    def _confirm_sent(self, now: float, told: Mapping[str, int]) -> None:
+    def _confirm_sent(self, now: float, applied: Mapping[str, int]) -> None:
         for origin, sent in list(self._sent.items()):
-            number = told.get(origin, 0)
+            number = applied.get(origin, 0)
             if number >= sent.number:
                 del self._sent[origin]
             elif number > self.applied.get(origin, 0):
-                self._sent[origin] = Sent(sent.number, now)
+                self._sent[origin] = SentAdds(sent.number, now)
 
     def compare(self, own: Mapping[str, int]) -> None:
-        """Take note of what is held here by now."""
-        if self.first is not None and covers(own, self.first):
-            self.first = None
-        applied, durable = self._whole
+        """Update ``initial_applied`` and ``confirmed`` for what this replica holds now."""
+        if self.initial_applied is not None and covers(own, self.initial_applied):
+            self.initial_applied = None
+        applied, durable = self._last_full_vector
         if covers(own, applied):
             self.confirmed = durable
 
     def forget_sent(self) -> None:
-        """What was sent may be lost."""
+        """Treat everything that was sent as lost."""
         self._sent.clear()
         self.base_sent = float("-inf")
 
     def expected(self, now: float) -> dict[str, int]:
-        """What it holds or is about to be given."""
+        """Return what it holds or will hold once the adds sent recently arrive."""
         found = dict(self.applied)
         for origin, sent in self._sent.items():
-            if now - sent.since < RESEND_S:
+            if now - sent.since < RESEND_AFTER_S:
                 found[origin] = max(found.get(origin, 0), sent.number)
         return found
 
     def in_flight(self, now: float) -> int:
-        """How many adds were sent lately that it hasn't told to hold."""
+        """Return the number of recently sent adds that it has not confirmed."""
         held = self.applied.get
-        return sum(sent.number - held(o, 0) for o, sent in self._sent.items() if now - sent.since < RESEND_S)
+        return sum(sent.number - held(o, 0) for o, sent in self._sent.items() if now - sent.since < RESEND_AFTER_S)
 
-    def sending(self, now: float, origin: str, number: int) -> None:
-        """Adds up to this number are sent."""
+    def record_sent(self, now: float, origin: str, number: int) -> None:
+        """Record that adds up to this number are sent."""
         sent = self._sent.get(origin)
-        since = now if sent is None or now - sent.since >= RESEND_S else sent.since
-        self._sent[origin] = Sent(number, since)
+        since = now if sent is None or now - sent.since >= RESEND_AFTER_S else sent.since
+        self._sent[origin] = SentAdds(number, since)
 
-    def is_reached(self, now: float) -> bool:
-        """Whether it was heard lately."""
-        return now - self.heard < REACHED_S
+    def is_reachable(self, now: float) -> bool:
+        """Whether something was received from it recently."""
+        return now - self.last_heard_at < REACHABLE_FOR_S
 
 
 class PeerTable:
-    """The other replicas by address."""
+    """The other replicas, by address."""
 
     def __init__(self) -> None:
         self._peers: dict[str, Peer] = {}
 
-    def at(self, ip: str) -> Peer:
-        """The replica at an address."""
+    def get_or_create(self, ip: str) -> Peer:
+        """Return the replica at an address; create it if it is unknown."""
         return self._peers.setdefault(ip, Peer(ip))
 
     def linked(self) -> list[Peer]:
-        """Those that messages can be sent to."""
+        """Return the replicas that messages can be sent to."""
         return [peer for peer in self._peers.values() if peer.is_linked]
 
-    def reached(self, now: float) -> list[Peer]:
-        """Those that were heard lately."""
-        return [peer for peer in self._peers.values() if peer.is_reached(now)]
+    def reachable(self, now: float) -> list[Peer]:
+        """Return the reachable replicas."""
+        return [peer for peer in self._peers.values() if peer.is_reachable(now)]
 
-    def retire(self, now: float, members: Iterable[str]) -> None:
-        """Forget those that are no members and were not heard for long."""
+    def forget_stale(self, now: float, members: Iterable[str]) -> None:
+        """Forget replicas that are neither members nor linked and have been silent for long."""
         kept = set(members)
         self._peers = {
-            ip: peer for ip, peer in self._peers.items() if ip in kept or peer.is_linked or now - peer.heard < RETIRE_S
+            ip: peer
+            for ip, peer in self._peers.items()
+            if ip in kept or peer.is_linked or now - peer.last_heard_at < FORGET_AFTER_S
         }
 
-    def on_all(self, members: Iterable[str], own: Mapping[str, int]) -> dict[str, int]:
-        """What all members, and all others that are known, have on their disks."""
+    def durable_on_all(self, members: Iterable[str], own: Mapping[str, int]) -> dict[str, int]:
+        """Return what all members and all other known replicas have on their disks."""
         found: dict[str, int] | None = None
-        for peer in [self.at(ip) for ip in members] + list(self._peers.values()):
+        for peer in [self.get_or_create(ip) for ip in members] + list(self._peers.values()):
             peer.compare(own)
             confirmed = peer.confirmed
             found = dict(confirmed) if found is None else {o: min(n, confirmed.get(o, 0)) for o, n in found.items()}
--- a/cranebank/control/tallies/state.py
+++ b/cranebank/control/tallies/state.py
@@ -1,7 +1,7 @@
-"""The adds that a replica holds, and the totals that they make.
+"""The adds that a replica holds, and the totals that result from them.
 
-A total is the sum over distinct ids, whatever order adds come in: of several adds with the same id the one with the
-smallest (origin, number) counts, so that replicas which hold the same adds tell the same totals. Old adds are folded:
+A total is the sum over distinct ids, independent of the order of arrival: of several adds with the same id the one with
+the smallest (origin, number) counts, so replicas that hold the same adds have the same totals. Old adds are folded:
 their amounts stay in the totals, and their ids are forgotten.
 """
 
@@ -14,11 +14,11 @@
 from cranebank.transport.messages import TallyAdd
 
 ADD_OVERHEAD_BYTES = 32
-"""Of an add on disk, beside its tally and its id."""
+"""Size of an add on disk, without its tally and its id."""
 
 
 class OriginLog:
-    """The adds of one origin: those up to ``folded`` are known by their sums only, the others are held."""
+    """The adds of one origin: up to number ``folded`` only their sums are kept, later adds are held in full."""
 
     __slots__ = ("adds", "folded", "segments")
 
@@ -26,32 +26,32 @@
         self.folded = folded
         self.adds: list[TallyAdd] = []
         self.segments = array("L")
-        """Number of the disk's segment of each held add."""
+        """Segment number of each held add."""
 
     @property
     def applied(self) -> int:
-        """The highest number that is held or folded."""
+        """Highest number that is held or folded."""
         return self.folded + len(self.adds)
 
     def held_upto(self, number: int) -> int:
-        """How many held adds have this number or a lower one."""
+        """Return the number of held adds up to and including this number."""
         return min(max(0, number - self.folded), len(self.adds))
 
 
 def covers(vector: Mapping[str, int], other: Mapping[str, int]) -> bool:
-    """Whether a vector holds all that another holds."""
+    """Whether ``vector`` includes all adds of ``other``."""
     return all(vector.get(origin, 0) >= number for origin, number in other.items())
 
 
-def _order(add: TallyAdd) -> tuple[str, int]:
+def _sort_key(add: TallyAdd) -> tuple[str, int]:
     return add.origin, add.number
 
 
 class TallyState:
-    """All adds by origin, the one that counts by id, and the totals by tally."""
+    """All adds by origin, the counted add of each id, and the totals by tally."""
 
     def __init__(self, folded: Mapping[str, int] | None = None, totals: Mapping[str, int] | None = None) -> None:
-        """``folded`` and ``totals``: what was folded before."""
+        """``folded`` and ``totals``: numbers and sums of the adds that were folded before."""
         self._logs = {origin: OriginLog(number) for origin, number in (folded or {}).items()}
         self._folded_totals: dict[str, int] = dict(totals or {})
         self._totals = dict(self._folded_totals)
@@ -65,48 +65,48 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing was ever added."""
+        """Whether there has never been an add."""
         return not self._logs
 
     @property
     def applied(self) -> dict[str, int]:
-        """The highest number held of each origin."""
+        """Highest number held or folded, by origin."""
         return {origin: log.applied for origin, log in self._logs.items()}
 
     @property
     def folded(self) -> dict[str, int]:
-        """The highest number folded of each origin."""
+        """Highest number folded, by origin."""
         return {origin: log.folded for origin, log in self._logs.items() if log.folded}
 
     @property
     def folded_totals(self) -> Mapping[str, int]:
-        """What the folded adds sum up to."""
+        """Sums of the folded adds, by tally."""
         return self._folded_totals
 
     @property
     def tallies(self) -> int:
-        """How many names there are."""
+        """Number of tallies."""
         return len(self._totals)
 
     def knows(self, tally: str) -> bool:
-        """Whether anything was added to this tally."""
+        """Whether there has been an add to this tally."""
         return tally in self._totals
 
     def total(self, tally: str) -> int:
-        """The sum of a tally."""
+        """Return the total of a tally; 0 if it is unknown."""
         return self._totals.get(tally, 0)
 
     def applied_of(self, origin: str) -> int:
-        """The highest number held of this origin."""
+        """Return the highest number held or folded of this origin."""
         log = self._logs.get(origin)
         return 0 if log is None else log.applied
 
     def find(self, call_id: str) -> TallyAdd | None:
-        """The held add that counts for this id."""
+        """Return the held add that counts for this id."""
         return self._by_id.get(call_id)
 
     def append(self, add: TallyAdd, segment: int) -> None:
-        """Take the next add of its origin."""
+        """Append the next add of its origin."""
         log = self._logs.get(add.origin)
         if log is None:
             log = self._logs[add.origin] = OriginLog()
@@ -115,31 +115,31 @@
         log.adds.append(add)
         log.segments.append(segment)
         self.bytes_held += _bytes_of(add)
-        self._count(add)
+        self._count_add(add)
 
-    def _count(self, add: TallyAdd) -> None:
+    def _count_add(self, add: TallyAdd) -> None:
         known = self._by_id.get(add.id)
         if known is None:
             self._by_id[add.id] = add
-            self._sum(add, 1)
+            self._add_to_total(add, 1)
             return
         self._duplicates.setdefault(add.id, [known]).append(add)
-        if _order(add) < _order(known):
+        if _sort_key(add) < _sort_key(known):
             self._by_id[add.id] = add
-            self._sum(known, -1)
-            self._sum(add, 1)
+            self._add_to_total(known, -1)
+            self._add_to_total(add, 1)
 
-    def _sum(self, add: TallyAdd, sign: int) -> None:
+    def _add_to_total(self, add: TallyAdd, sign: int) -> None:
         self._totals[add.tally] = self._totals.get(add.tally, 0) + sign * add.amount
 
-    def lacking(self, vector: Mapping[str, int], most: int) -> list[TallyAdd]:
-        """Held adds that a vector lacks, in order within each origin, so many at most."""
+    def missing_from(self, vector: Mapping[str, int], limit: int) -> list[TallyAdd]:
+        """Return up to ``limit`` held adds that a vector lacks, in order within each origin."""
         found: list[TallyAdd] = []
         for origin, log in self._logs.items():
-            if len(found) >= most:
+            if len(found) >= limit:
                 break
             begin = log.held_upto(vector.get(origin, 0))
-            found += log.adds[begin : begin + most - len(found)]
+            found += log.adds[begin : begin + limit - len(found)]
         return found
 
     def lacks_folded(self, vector: Mapping[str, int]) -> bool:
@@ -147,20 +147,20 @@
         return any(vector.get(origin, 0) < log.folded for origin, log in self._logs.items())
 
     def fold(self, limits: Mapping[str, int]) -> set[int]:
-        """Fold adds up to these numbers, all adds of an id together or none; returns the segments that lose adds."""
-        limits = self._together({o: min(limits.get(o, 0), log.applied) for o, log in self._logs.items()})
+        """Fold adds up to these numbers, all adds of an id or none; return the segments that lose adds."""
+        limits = self._lower_limits({o: min(limits.get(o, 0), log.applied) for o, log in self._logs.items()})
         touched: set[int] = set()
-        gone = [add for origin, log in self._logs.items() for add in self._drop(log, limits[origin], touched)]
-        for add in gone:
+        dropped = [add for origin, log in self._logs.items() for add in self._drop(log, limits[origin], touched)]
+        for add in dropped:
             if self._by_id[add.id] is add:
                 self._folded_totals[add.tally] = self._folded_totals.get(add.tally, 0) + add.amount
-        for add in gone:
+        for add in dropped:
             self._by_id.pop(add.id, None)
             self._duplicates.pop(add.id, None)
         return touched
 
     def take_base(self, folded: Mapping[str, int], totals: Mapping[str, int]) -> set[int] | None:
-        """Take what another replica has folded, unless more is folded here; returns the segments that lose adds."""
+        """Adopt another replica's folded sums unless more is folded here; return the segments that lose adds."""
         if not covers(folded, self.folded):
             return None
         touched: set[int] = set()
@@ -172,8 +172,8 @@
         self._recount()
         return touched
 
-    def _together(self, limits: dict[str, int]) -> dict[str, int]:
-        """Lower limits until no id has an add on either side of them."""
+    def _lower_limits(self, limits: dict[str, int]) -> dict[str, int]:
+        """Lower the limits until the adds of each id are all within them or all beyond."""
         is_stable = False
         while not is_stable:
             is_stable = True
@@ -198,19 +198,19 @@
         self._totals = dict(self._folded_totals)
         self._by_id, self._duplicates = {}, {}
         for add in self.adds():
-            self._count(add)
+            self._count_add(add)
 
     def adds(self) -> Iterator[TallyAdd]:
-        """All held adds."""
+        """Yield all held adds."""
         for log in self._logs.values():
             yield from log.adds
 
     def check(self) -> None:
-        """Count everything anew and compare; for tests, it takes long."""
+        """Recount everything and compare; slow, for tests."""
         winners: dict[str, TallyAdd] = {}
         for add in self.adds():
             known = winners.get(add.id)
-            winners[add.id] = add if known is None else min(add, known, key=_order)
+            winners[add.id] = add if known is None else min(add, known, key=_sort_key)
         totals = dict(self._folded_totals)
         for add in winners.values():
             totals[add.tally] = totals.get(add.tally, 0) + add.amount
@@ -226,6 +226,6 @@
     return ADD_OVERHEAD_BYTES + len(add.tally) + len(add.id)
 
 
-def in_order(adds: Iterable[TallyAdd]) -> list[TallyAdd]:
-    """Adds by origin and number."""
-    return sorted(adds, key=_order)
+def sorted_adds(adds: Iterable[TallyAdd]) -> list[TallyAdd]:
+    """Return the adds by origin and number."""
+    return sorted(adds, key=_sort_key)
--- a/cranebank/transport/messages.py
+++ b/cranebank/transport/messages.py
@@ -257,7 +257,7 @@
 
 class TallyVector(msgspec.Struct, frozen=True, tag=19, array_like=True):
     """Between controllers: the highest number of each origin that the sender holds, all below it included:
-    ``applied`` in memory, ``durable`` on its disk, ``folded`` of which it holds only the sums. ``asks_again``: adds
+    ``applied`` in memory, ``durable`` on its disk, ``folded`` of which it holds only the sums. ``needs_resend``: adds
     came out of order and were dropped; what was sent before doesn't count as sent. ``is_partial``: of the origins that
     it doesn't name nothing is told."""
 
@@ -266,7 +266,7 @@
     applied: dict[str, int]
     durable: dict[str, int]
     folded: dict[str, int]
-    asks_again: bool = False
+    needs_resend: bool = False
     is_partial: bool = False
 
 
--- a/tests/tally_world.py
+++ b/tests/tally_world.py
@@ -1,10 +1,10 @@
-"""Replicas of the tallies with simulated disks, links, cuts, deaths and time, for the tests of the core."""
+"""Tally replicas with simulated disks, links, partitions, restarts and time, for tests without I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 
-from cranebank.control.tallies.replica import Message, Placed, TallyReplica, TallyReplicaSettings
+from cranebank.control.tallies.replica import AddPosition, Message, TallyReplica, TallyReplicaSettings
 
 TALLY = "t"
 SETTLE_S = 6.0
@@ -12,17 +12,17 @@
 
 
 class Machine:
-    """A replica, its disk, and what its callers were told in this life."""
+    """A replica, its disk, and the calls acknowledged in its current life."""
 
     def __init__(self, name: str, copies: int) -> None:
         self.name, self.copies, self.life = name, copies, 0
         self.disk: dict[str, bytes] = {}
         self.writing: dict[str, bytes] = {}
-        self.waiting: dict[str, Placed] = {}
+        self.waiting: dict[str, AddPosition] = {}
         self.acknowledged: set[str] = set()
 
     def start(self, now: float, others: list[str]) -> None:
-        """Begin a life with what is on the disk."""
+        """Start a new life from the contents of the disk."""
         self.life += 1
         settings = TallyReplicaSettings(f"{self.name}{self.life}", self.name, self.copies, 1, self.life == 1)
         self.replica = TallyReplica(settings, self.disk, now)
@@ -31,7 +31,7 @@
 
 
 class World:
-    """Machines that are linked, each to each, but where that is cut."""
+    """Machines that are linked in a full mesh, except where links are cut."""
 
     def __init__(self, names: str, copies: int) -> None:
         self.now = 0.0
@@ -39,7 +39,7 @@
         self.cuts: set[frozenset[str]] = set()
         self.queues: dict[tuple[str, str], deque[Message]] = {}
         self.sent: dict[str, int] = {}
-        """Amount by id of all adds that may count."""
+        """Amounts of all adds that may count, by id."""
         self.owed: set[str] = set()
         for machine in self.machines.values():
             machine.start(self.now, self.others(machine.name))
@@ -49,15 +49,15 @@
                     self.link(one, other)
 
     def others(self, name: str) -> list[str]:
-        """All machines but this one."""
+        """Return all other machines."""
         return [other for other in self.machines if other != name]
 
     def is_linked(self, one: str, other: str) -> bool:
-        """Whether a connection stands."""
+        """Whether two machines can reach each other."""
         return frozenset((one, other)) not in self.cuts
 
     def link(self, one: str, other: str) -> None:
-        """A new connection, if it isn't cut."""
+        """Open a new connection unless it is cut."""
         self.queues[one, other], self.queues[other, one] = deque(), deque()
         if self.is_linked(one, other):
             self.machines[one].replica.linked(self.now, other)
@@ -66,13 +66,13 @@
             self.collect(other)
 
     def unlink(self, one: str, other: str) -> None:
-        """The connection is over, with what was under way on it."""
+        """Close a connection and drop the messages in transit on it."""
         self.queues[one, other], self.queues[other, one] = deque(), deque()
         self.machines[one].replica.unlinked(other)
         self.machines[other].replica.unlinked(one)
 
     def collect(self, name: str) -> None:
-        """Do what a replica asks for, and note which callers are answered."""
+        """Carry out a replica's messages and writes, and record the calls that it acknowledges."""
         machine = self.machines[name]
         for other, message in machine.replica.pop_messages():
             self.queues[name, other].append(message)
@@ -87,33 +87,33 @@
         self.check(machine)
 
     def check(self, machine: Machine) -> None:
-        """No total is too high, and none lacks what the same life has acknowledged."""
+        """Check that the total is not too high, and includes what this life has acknowledged."""
         total = machine.replica._state.total(TALLY)
         assert sum(self.sent[call] for call in machine.acknowledged) <= total <= sum(self.sent.values())
 
     def add(self, name: str, call: str, amount: int) -> None:
-        """A call at a machine."""
+        """Make a call at a machine."""
         self.sent.setdefault(call, amount)
         placed = self.machines[name].replica.add(self.now, TALLY, call, self.sent[call])
-        assert isinstance(placed, Placed)
+        assert isinstance(placed, AddPosition)
         self.machines[name].waiting[call] = placed
         self.collect(name)
 
     def deliver(self, source: str, target: str) -> None:
-        """The next message on a connection."""
+        """Deliver the next message on a connection."""
         if self.queues[source, target]:
             self.machines[target].replica.receive(self.now, source, self.queues[source, target].popleft())
             self.collect(target)
 
     def deliver_all(self) -> None:
-        """All messages that are under way, and the answers to them."""
+        """Deliver all messages in transit, and the replies to them."""
         for _ in range(2):
             for source, target in list(self.queues):
                 while self.queues[source, target]:
                     self.deliver(source, target)
 
     def store(self, name: str, is_refused: bool = False) -> None:
-        """A write ends."""
+        """Complete a machine's pending write, or refuse it."""
         machine = self.machines[name]
         if not machine.writing:
             return
@@ -126,19 +126,19 @@
         self.collect(name)
 
     def cut(self, one: str, other: str) -> None:
-        """Two machines don't reach each other from now on."""
+        """Cut the link between two machines."""
         if one != other and self.is_linked(one, other):
             self.unlink(one, other)
             self.cuts.add(frozenset((one, other)))
 
     def heal(self) -> None:
-        """Everybody reaches everybody."""
+        """Restore all cut links."""
         for one, other in [sorted(cut) for cut in self.cuts]:
             self.cuts.discard(frozenset((one, other)))
             self.link(one, other)
 
     def restart(self, name: str, is_wiped: bool = False) -> None:
-        """A machine loses power and returns, with or without its disk."""
+        """Power-cycle a machine, optionally wiping its disk."""
         for other in self.others(name):
             self.unlink(name, other)
         if is_wiped:
@@ -148,7 +148,7 @@
             self.link(name, other)
 
     def tick(self, seconds: float) -> None:
-        """Time passes."""
+        """Advance the time and tick all replicas."""
         self.now += seconds
         for name in self.machines:
             heard = {other: self.now for other in self.others(name) if self.is_linked(name, other)}
@@ -156,7 +156,7 @@
             self.collect(name)
 
     def settle(self) -> None:
-        """All messages arrive and all disks work for a while."""
+        """Run for a while with all messages delivered and all writes completed."""
         for _ in range(round(SETTLE_S / TICK_S)):
             self.tick(TICK_S)
             for _ in range(2):
@@ -165,5 +165,5 @@
                     self.store(name)
 
     def totals(self) -> set[int | None]:
-        """What the machines tell."""
+        """Return the distinct totals of the machines."""
         return {machine.replica.total(self.now, TALLY) for machine in self.machines.values()}
--- a/tests/test_tallies.py
+++ b/tests/test_tallies.py
@@ -1,4 +1,4 @@
-"""The tallies' core: histories over several replicas, all orders at a small size, folds, bounds, losses of power."""
+"""Tally replicas: random histories, all interleavings of a small case, folds, limits and power losses."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from tally_world import TALLY, World
 
 from cranebank.control.tallies import replica as replica_module
-from cranebank.control.tallies.peers import RESEND_S, Copy, confirmed_upto
+from cranebank.control.tallies.peers import RESEND_AFTER_S, DurableCopy, highest_confirmed
 from cranebank.control.tallies.replica import (
-    CHUNK,
-    FOLD_S,
-    JOIN_S,
-    RETAIN_S,
-    WINDOW,
+    FOLD_INTERVAL_S,
+    ID_RETENTION_S,
+    JOIN_GRACE_S,
+    MAX_ADDS_IN_FLIGHT,
+    MAX_ADDS_PER_MESSAGE,
+    AddPosition,
     LimitReached,
-    Placed,
     TallyReplica,
     TallyReplicaSettings,
 )
@@ -128,7 +128,7 @@
 
 
 def _run(made: TallyReplica, begin: float, end: float) -> None:
-    """Ticks as a program's, from one time to another."""
+    """Tick at a process's rate from ``begin`` to ``end``."""
     for number in range(round((end - begin) / 0.05) + 1):
         made.tick(begin + 0.05 * number, {})
 
@@ -141,7 +141,7 @@
     world.sent["1"] = 12
     world.heal()
     world.settle()
-    assert world.totals() == {5}  # of a's add, the first by name
+    assert world.totals() == {5}  # the add of a: the smallest origin counts
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
 def test_copies_count_by_replica_and_by_failure_domain(
     held: list[tuple[int, str]], copies: int, domains: int, upto: int
 ) -> None:
-    assert confirmed_upto((Copy(*copy) for copy in held), copies, domains) == upto
+    assert highest_confirmed((DurableCopy(*copy) for copy in held), copies, domains) == upto
 
 
 def test_an_add_that_comes_out_of_order_is_asked_for_again() -> None:
@@ -165,18 +165,18 @@
     made.pop_messages()
     made.receive(0.0, "p", TallyAdds("p1", (TallyAdd("p1", 2, TALLY, "x", 1),)))
     ((_, vector),) = made.pop_messages()
-    assert isinstance(vector, TallyVector) and vector.asks_again
+    assert isinstance(vector, TallyVector) and vector.needs_resend
     assert made.total(0.0, TALLY) == 0
 
 
 def test_beyond_a_bound_nothing_is_done(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, most in (("MOST_ADDS", 1), ("MOST_TALLIES", 1), ("MOST_BYTES", 30)):
+    for name, most in (("MAX_HELD_ADDS", 1), ("MAX_TALLIES", 1), ("MAX_HELD_BYTES", 30)):
         with monkeypatch.context() as patch:
             patch.setattr(replica_module, name, most)
             made = _calm()
-            assert made.add(0.0, TALLY, "1", 1) == Placed("me", 1)
+            assert made.add(0.0, TALLY, "1", 1) == AddPosition("me", 1)
             assert isinstance(made.add(0.0, "other", "2", 1), LimitReached)
-            assert made.add(0.0, TALLY, "1", 1) == Placed("me", 1)
+            assert made.add(0.0, TALLY, "1", 1) == AddPosition("me", 1)
             assert made.stats.held == 1
 
 
@@ -192,9 +192,9 @@
 
 
 def _age(world: World) -> None:
-    """All is held long enough to be folded."""
-    for _ in range(int(RETAIN_S / FOLD_S) + 3):
-        world.tick(FOLD_S)
+    """Let all adds reach the age at which they are folded."""
+    for _ in range(int(ID_RETENTION_S / FOLD_INTERVAL_S) + 3):
+        world.tick(FOLD_INTERVAL_S)
         world.settle()
 
 
@@ -238,7 +238,7 @@
 
 
 def test_no_loss_of_power_takes_a_stored_add_or_counts_one_twice() -> None:
-    """At each step of writes and folds: the total is that of the last write that ended, or of the one under way."""
+    """At each step of writes and folds the total is that of the last completed write, or of the one in progress."""
 
     def write(made: TallyReplica, store: Store, stored: list[int]) -> None:
         values = made.take_writes()
@@ -252,8 +252,8 @@
         for number in range(1, 4):
             made.add(0.0, TALLY, str(number), number)
             write(made, store, stored)
-        for turn in range(1, int(RETAIN_S / FOLD_S) + 3):
-            made.tick(turn * FOLD_S, {})
+        for turn in range(1, int(ID_RETENTION_S / FOLD_INTERVAL_S) + 3):
+            made.tick(turn * FOLD_INTERVAL_S, {})
         made.add(700.0, TALLY, "4", 4)
         write(made, store, stored)
 
@@ -285,10 +285,10 @@
     made.add(0.0, TALLY, "1", 1)
     assert made.take_writes()
     made.stored()
-    _run(made, 0.0, JOIN_S / 2)
-    assert made.acknowledged_upto(JOIN_S / 2, "me") == 0
-    _run(made, JOIN_S / 2, JOIN_S)
-    assert made.acknowledged_upto(JOIN_S, "me") == 1
+    _run(made, 0.0, JOIN_GRACE_S / 2)
+    assert made.acknowledged_upto(JOIN_GRACE_S / 2, "me") == 0
+    _run(made, JOIN_GRACE_S / 2, JOIN_GRACE_S)
+    assert made.acknowledged_upto(JOIN_GRACE_S, "me") == 1
 
 
 @pytest.mark.parametrize("is_ticked", [False, True], ids=["before its first tick", "behind it"])
@@ -296,16 +296,16 @@
     made = _calm(2, ("p",))
     made.linked(0.0, "p")
     made.receive(0.0, "p", TallyVector("p1", "y", {}, {}, {}))
-    _run(made, 0.0, 2 * JOIN_S)
-    made.add(2 * JOIN_S, TALLY, "1", 1)
+    _run(made, 0.0, 2 * JOIN_GRACE_S)
+    made.add(2 * JOIN_GRACE_S, TALLY, "1", 1)
     assert made.take_writes()
     made.stored()
-    woken = 2 * JOIN_S + 3.0
+    woken = 2 * JOIN_GRACE_S + 3.0
     if is_ticked:
         made.tick(woken, {})
     assert made.acknowledged_upto(woken, "me") == 0
-    _run(made, woken, woken + JOIN_S)
-    assert made.acknowledged_upto(woken + JOIN_S, "me") == 1
+    _run(made, woken, woken + JOIN_GRACE_S)
+    assert made.acknowledged_upto(woken + JOIN_GRACE_S, "me") == 1
 
 
 def test_an_add_that_a_peer_has_not_on_its_disk_is_not_acknowledged_on_its_copy() -> None:
@@ -314,16 +314,16 @@
     made.add(0.0, TALLY, "1", 1)
     assert made.take_writes()
     made.stored()
-    _run(made, 0.0, JOIN_S)
-    made.receive(JOIN_S, "p", TallyVector("p1", "y", {"me": 1}, {}, {}))
-    assert made.acknowledged_upto(JOIN_S, "me") == 0
-    made.receive(JOIN_S, "p", TallyVector("p1", "y", {"me": 1}, {"me": 1}, {}, is_partial=True))
-    assert made.acknowledged_upto(JOIN_S, "me") == 1
+    _run(made, 0.0, JOIN_GRACE_S)
+    made.receive(JOIN_GRACE_S, "p", TallyVector("p1", "y", {"me": 1}, {}, {}))
+    assert made.acknowledged_upto(JOIN_GRACE_S, "me") == 0
+    made.receive(JOIN_GRACE_S, "p", TallyVector("p1", "y", {"me": 1}, {"me": 1}, {}, is_partial=True))
+    assert made.acknowledged_upto(JOIN_GRACE_S, "me") == 1
 
 
 def test_a_peer_that_confirms_nothing_is_sent_a_window_of_adds_and_the_same_again_later() -> None:
     made = _calm()
-    for number in range(2 * WINDOW):
+    for number in range(2 * MAX_ADDS_IN_FLIGHT):
         made.add(0.0, TALLY, str(number), 1)
     made.linked(0.0, "p")
     made.pop_messages()
@@ -334,7 +334,7 @@
 
     made.receive(0.0, "p", TallyVector("p1", "y", {}, {}, {}))
     made.add(0.0, TALLY, "last", 1)
-    assert sent(RESEND_S / 2) == [CHUNK] * (WINDOW // CHUNK)
-    assert sent(RESEND_S) == [CHUNK] * (WINDOW // CHUNK)
-    made.receive(RESEND_S, "p", TallyVector("p1", "y", {"me": CHUNK}, {}, {}, is_partial=True))
-    assert sent(RESEND_S) == [CHUNK]
+    assert sent(RESEND_AFTER_S / 2) == [MAX_ADDS_PER_MESSAGE] * (MAX_ADDS_IN_FLIGHT // MAX_ADDS_PER_MESSAGE)
+    assert sent(RESEND_AFTER_S) == [MAX_ADDS_PER_MESSAGE] * (MAX_ADDS_IN_FLIGHT // MAX_ADDS_PER_MESSAGE)
+    made.receive(RESEND_AFTER_S, "p", TallyVector("p1", "y", {"me": MAX_ADDS_PER_MESSAGE}, {}, {}, is_partial=True))
+    assert sent(RESEND_AFTER_S) == [MAX_ADDS_PER_MESSAGE]
