--- a/cranebank/membership/__init__.py
+++ b/cranebank/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: backends' records, merged by whoever hears of them, and views of the fleet."""
+"""Fleet membership: merging of backend records, links to controllers, and gossip between proxies."""
--- a/cranebank/membership/backends.py
+++ b/cranebank/membership/backends.py
@@ -1,7 +1,7 @@
-"""The registry's one rule, shared by controllers and proxies: which of two records of a backend holds.
+"""The merge rule of the registry, shared by controllers and proxies: which of two records of a backend is newer.
 
-A backend's own heartbeats are ordered by ``call_seq``; a leave is the last word of an incarnation. Merging is the same
-in whatever order records come, so controllers and proxies need no agreement on them: everybody ends with the same.
+A backend's heartbeats are ordered by ``call_seq``; a leave is final for an incarnation. The result doesn't depend on
+the order in which records arrive, so controllers and proxies converge without consensus on them.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 from cranebank.transport.messages import Backend
 
-_RANK = {"ready": 0, "lost": 1, "draining": 2, "gone": 3}
+_PHASE_RANK = {"ready": 0, "lost": 1, "draining": 2, "gone": 3}
 
 
 def newer(old: Backend | None, new: Backend) -> bool:
-    """Whether ``new`` takes the place of ``old``. A drain is never taken back, an end neither."""
+    """Whether ``new`` replaces ``old``. Neither a drain nor a leave is ever revoked."""
     if old is None:
         return True
     if old.phase == "gone":
@@ -27,15 +27,15 @@
         return True
     if new.call_seq != old.call_seq:
         return new.call_seq > old.call_seq
-    return _RANK[new.phase] > _RANK[old.phase]
+    return _PHASE_RANK[new.phase] > _PHASE_RANK[old.phase]
 
 
 def replace_cold_left(record: Backend, left_s: float) -> Backend:
-    """The record with another time for which its backend is cold still."""
+    """Return the record with ``left_s`` as the remaining time for which its backend is cold."""
     left_ms = round(left_s * 1000)
     return record if record.cold_left_ms == left_ms else msgspec.structs.replace(record, cold_left_ms=left_ms)
 
 
 def is_material_change(old: Backend | None, new: Backend) -> bool:
-    """Whether anything but the count of calls changed: only then is it news for others."""
+    """Whether anything but ``call_seq`` and ``cold_left_ms`` changed; only then is the record sent to peers."""
     return old is None or msgspec.structs.replace(old, call_seq=new.call_seq, cold_left_ms=new.cold_left_ms) != new
--- a/cranebank/membership/neighbour_loads.py
+++ b/cranebank/membership/neighbour_loads.py
@@ -1,7 +1,7 @@
-"""What neighbours have out at each backend, as they told lately: sums by backend, no clock, no sockets.
+"""Load that neighbours have recently reported to have outstanding at each backend, summed by backend. No I/O, no clock.
 
-Each neighbour's newest figures are kept for ``KEPT_S`` and then count no more; a loss of a datagram is mended by the
-next. ``merge`` and ``expire`` return the sums that changed, so that whoever uses them is kept current without asking.
+Each neighbour's newest loads expire after ``MAX_AGE_S``; the next datagram makes up for a lost one. ``merge`` and
+``expire`` return the sums that changed, so that a caller can stay up to date incrementally.
 """
 
 from __future__ import annotations
@@ -11,70 +11,70 @@
 from cranebank.invariants import invariant_error
 from cranebank.transport.messages import Load
 
-KEPT_S = 1.0
-PROXIES = 64  # whose figures are kept
-BACKENDS = 1024  # for each of them
-LARGEST = 1 << 40  # a figure beyond this is none
+MAX_AGE_S = 1.0
+MAX_PROXIES = 64
+MAX_BACKENDS_PER_PROXY = 1024
+MAX_VALUE = 1 << 40  # a load beyond this is ignored as invalid
 
 LoadSums = dict[str, tuple[int, int]]
 
 
-class _Proxy:
-    """Figures of one neighbour: by backend calls, tokens and when they came."""
+class _ProxyLoads:
+    """Loads of one neighbour, by backend: calls, tokens and time of receipt."""
 
-    __slots__ = ("at", "figures", "number")
+    __slots__ = ("at", "by_backend", "number")
 
     def __init__(self) -> None:
         self.number, self.at = -1, 0.0
-        self.figures: dict[str, tuple[int, int, float]] = {}
+        self.by_backend: dict[str, tuple[int, int, float]] = {}
 
 
 class NeighbourLoads:
-    """Sums of neighbours' figures."""
+    """Sums of the neighbours' loads."""
 
     def __init__(self) -> None:
-        self._proxies: dict[str, _Proxy] = {}
+        self._proxies: dict[str, _ProxyLoads] = {}
         self._sums: LoadSums = {}
 
     def merge(self, now: float, ip: str, number: int, loads: Iterable[Load]) -> LoadSums:
-        """Take a neighbour's figures; older ones than it told before are left out. The sums that changed."""
+        """Merge a neighbour's loads unless newer ones were received before; return the sums that changed."""
         proxy = self._proxies.get(ip)
         if proxy is None:
-            if len(self._proxies) >= PROXIES:
+            if len(self._proxies) >= MAX_PROXIES:
                 return {}
-            proxy = self._proxies[ip] = _Proxy()
-        if number <= proxy.number and now - proxy.at <= KEPT_S:
-            return {}  # overtaken on its way; one that began anew counts from the start after KEPT_S
+            proxy = self._proxies[ip] = _ProxyLoads()
+        if number <= proxy.number and now - proxy.at <= MAX_AGE_S:
+            return {}  # reordered; a restarted proxy numbers from 1 again, and is accepted after MAX_AGE_S
         proxy.number, proxy.at = number, now
         changed: LoadSums = {}
         for load in loads:
-            if not (0 <= load.calls <= LARGEST and 0 <= load.tokens <= LARGEST):
+            if not (0 <= load.calls <= MAX_VALUE and 0 <= load.tokens <= MAX_VALUE):
                 continue
-            known = proxy.figures.get(load.backend)
+            known = proxy.by_backend.get(load.backend)
             if load.calls or load.tokens:
-                if known is None and len(proxy.figures) >= BACKENDS:
+                if known is None and len(proxy.by_backend) >= MAX_BACKENDS_PER_PROXY:
                     continue
-                proxy.figures[load.backend] = (load.calls, load.tokens, now)
+                proxy.by_backend[load.backend] = (load.calls, load.tokens, now)
             else:
-                proxy.figures.pop(load.backend, None)
+                proxy.by_backend.pop(load.backend, None)
             old_calls, old_tokens = known[:2] if known is not None else (0, 0)
             self._add(load.backend, load.calls - old_calls, load.tokens - old_tokens, changed)
         return changed
 
     def expire(self, now: float) -> LoadSums:
-        """Let go of what is too old. The sums that changed."""
+        """Drop loads that are too old; return the sums that changed."""
         changed: LoadSums = {}
         for ip, proxy in list(self._proxies.items()):
-            for backend, (calls, tokens, at) in list(proxy.figures.items()):
-                if now - at > KEPT_S:
-                    del proxy.figures[backend]
+            for backend, (calls, tokens, at) in list(proxy.by_backend.items()):
+                if now - at > MAX_AGE_S:
+                    del proxy.by_backend[backend]
                     self._add(backend, -calls, -tokens, changed)
-            if not proxy.figures and now - proxy.at > KEPT_S:
+            if not proxy.by_backend and now - proxy.at > MAX_AGE_S:
                 del self._proxies[ip]
         return changed
 
     def sums(self) -> LoadSums:
-        """All sums that are not zero: calls and tokens by backend."""
+        """Return all non-zero sums: calls and tokens by backend."""
         return dict(self._sums)
 
     def _add(self, backend: str, calls: int, tokens: int, changed: LoadSums) -> None:
--- a/cranebank/membership/neighbours.py
+++ b/cranebank/membership/neighbours.py
@@ -1,7 +1,7 @@
-"""A proxy's exchange with its neighbours: thin asyncio end of the views, the loads and the outbox.
+"""Gossip between a proxy and its neighbours: the asyncio side of the views, the loads and the outbox.
 
-Datagrams on the port for links carry Shuffle and Gossip; a connection there is taken for Fetch alone. Only committed
-configurations are ever held by proxies and a proxy never takes a lower revision, so it may take one from a neighbour.
+Datagrams to the link port carry Shuffle, Gossip and PrefillBegun; connections to it are accepted for Fetch only. A
+proxy may take a configuration from a neighbour, as proxies only hold committed ones and never take a lower revision.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     Event,
     FetchEnded,
     FetchFrom,
-    Heard,
     PartialView,
+    ProxiesNamed,
+    RevisionShown,
     SendShuffle,
-    Shown,
+    ShuffleReceived,
     Tick,
-    Welcomed,
 )
 from cranebank.transport.frames import BadFrame, decode_datagram, encode
 from cranebank.transport.links import Link, dial, listen
@@ -48,70 +48,70 @@
 )
 
 TICK_S = 0.1
-FETCH_S = 3.0  # a fetch that takes longer is given up
-LINKS = 8  # neighbours that fetch from us at once
-LARGEST = 1200  # bytes of a datagram
-READINGS_MOST = 50.0  # of the readings that this proxy begins in a second are told of
-AT_ONCE = 32  # datagrams that are read in one turn
+FETCH_TIMEOUT_S = 3.0
+MAX_FETCH_LINKS = 8  # neighbours that may fetch from this proxy at once
+MAX_DATAGRAM_BYTES = 1200
+MAX_PREFILL_REPORTS_PER_S = 50.0  # reports of started prefills to other proxies
+MAX_DATAGRAMS_PER_TURN = 32  # read in one turn of the event loop
 
 
-class Surroundings(Protocol):
-    """What the exchange takes from the data plane and brings to it."""
+class DataPlane(Protocol):
+    """The data plane, as read and updated by the gossip."""
 
     @property
     def revision(self) -> int:
-        """Of the configuration in force."""
+        """Revision of the configuration in force."""
 
     @property
     def document(self) -> bytes:
         """The configuration in force."""
 
     def configure(self, document: bytes) -> bool:
-        """Take a configuration."""
+        """Apply a configuration."""
 
     def learn(self, backends: Iterable[Backend]) -> None:
-        """Take records of backends."""
+        """Merge backend records."""
 
     def evacuations(self) -> tuple[int, tuple[str, ...]]:
-        """The number of the evacuations in force, 0 where none were ever, and their zones."""
+        """Return the number of the evacuations in force (0 if there never were any) and their zones."""
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
-        """Send nothing more to backends of these zones, unless newer evacuations are known; the number in force."""
+        """Stop sending to backends of these zones unless newer evacuations are known; return the number in force."""
 
     def known(self) -> tuple[Backend, ...]:
-        """All records."""
+        """Return all backend records."""
 
     def records(self) -> Mapping[str, Backend]:
-        """All records by id."""
+        """Return all backend records by id."""
 
     def out(self) -> Iterable[tuple[str, int, int]]:
-        """Calls and tokens that this proxy has out at each backend."""
+        """Return the calls and tokens that this proxy has outstanding at each backend."""
 
     def set_neighbour_loads(self, sums: LoadSums) -> None:
-        """Calls and tokens that neighbours have out at these backends."""
+        """Set the calls and tokens that neighbours have outstanding at these backends."""
 
-    def record_cached_prefix(self, note: CachedPrefix) -> None:
-        """A neighbour had a backend read a shared part."""
+    def record_cached_prefix(self, prefix: CachedPrefix) -> None:
+        """Record that a backend has read, and caches, a shared part of a neighbour's prompt."""
 
-    def reading_begun(self, told: PrefillBegun) -> None:
-        """Another proxy has asked a backend to read a prompt."""
+    def reading_begun(self, prefill: PrefillBegun) -> None:
+        """Record that another proxy has asked a backend to read a prompt."""
 
     def prefill_reporters(self, proxies: int) -> None:
-        """So many other proxies tell of the readings that they begin."""
+        """Set the number of other proxies that report the prefills that they start."""
 
 
 class Neighbours:
-    """One proxy's neighbours; ``named`` gives those that a controller named last."""
+    """One proxy's gossip with its neighbours; ``named`` returns the proxies that a controller named last."""
 
     def __init__(
-        self, plane: Surroundings, named: Callable[[], tuple[str, ...]], ip: str, port: int, random: Random
+        self, plane: DataPlane, named: Callable[[], tuple[str, ...]], ip: str, port: int, random: Random
     ) -> None:
-        self._plane, self._named, self._ip, self._port = plane, named, ip, port
+        self._plane, self._named_proxies, self._ip, self._port = plane, named, ip, port
         self.views, self.loads, self.outbox = PartialView(ip, random), NeighbourLoads(), GossipOutbox()
         self.counters: dict[str, int] = {}
-        self._welcomed: tuple[str, ...] = ()
+        self._last_named: tuple[str, ...] = ()
         self._digest = (b"", 0)
-        self._readings = DecayedRate(1.0)  # told in a second
+        self._prefill_report_rate = DecayedRate(1.0)  # reported in the last second
         self._socket: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -120,25 +120,25 @@
         self._fetched = asyncio.Event()
 
     async def start(self) -> None:
-        """Take the port and begin. Without the port this proxy goes on alone."""
-        found = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        found.setblocking(False)
+        """Bind the port and start. If the port is taken, the proxy runs without neighbours."""
+        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        sock.setblocking(False)
         try:
-            found.bind((self._ip, self._port))
+            sock.bind((self._ip, self._port))
         except OSError as error:
-            found.close()
-            logger.warning("no neighbours: port {}: {}", self._port, error)
+            sock.close()
+            logger.warning("running without neighbours: can't bind UDP port {}: {}", self._port, error)
             return
-        self._socket = found
-        asyncio.get_running_loop().add_reader(found, self._readable)
+        self._socket = sock
+        asyncio.get_running_loop().add_reader(sock, self._readable)
         try:
             self._server = await listen(self, self._ip, self._port)
-        except OSError as error:  # another process of this machine has it: nobody can fetch from us
-            logger.warning("no fetches: port {}: {}", self._port, error)
+        except OSError as error:  # another process of this machine has the port: neighbours can't fetch from this proxy
+            logger.warning("not serving fetches: can't listen on TCP port {}: {}", self._port, error)
         self._timer = asyncio.get_running_loop().call_later(TICK_S, self._beat)
 
     def stop(self) -> None:
-        """End it."""
+        """Stop gossiping and close all sockets."""
         if self._timer is not None:
             self._timer.cancel()
         if self._fetch is not None:
@@ -153,25 +153,25 @@
             self._socket = None
 
     def read(self, backend: str, part: str, tokens: int) -> None:
-        """A backend has read a prompt up to and with this shared part for us."""
+        """Queue the report that a backend has read a prompt of this proxy up to and including this shared part."""
         self.outbox.note(CachedPrefix(backend, part, tokens))
 
     def changes(self, records: Iterable[Backend]) -> None:
-        """Records came that are not merged yet."""
+        """Queue changed phases of records that were received and are not merged yet."""
         self.outbox.changes(records, self._plane.records())
 
-    def reading_begun(self, told: PrefillBegun) -> None:
-        """Tell every proxy that a controller named, and the neighbours: at once, since a queue is soon another."""
+    def reading_begun(self, prefill: PrefillBegun) -> None:
+        """Report a started prefill to the named proxies and the neighbours at once: backends' queues change quickly."""
         now = asyncio.get_running_loop().time()
-        if self._readings.at(now) >= READINGS_MOST:
+        if self._prefill_report_rate.at(now) >= MAX_PREFILL_REPORTS_PER_S:
             self._count("readings_untold")
             return
-        self._readings.add(now)
-        frame = encode(told)
-        for ip in {*self._welcomed, *self.views.neighbours} - {self._ip}:
+        self._prefill_report_rate.add(now)
+        frame = encode(prefill)
+        for ip in {*self._last_named, *self.views.neighbours} - {self._ip}:
             self._send(ip, frame)
 
-    # Out.
+    # Sending.
 
     def _beat(self) -> None:
         loop = asyncio.get_running_loop()
@@ -179,13 +179,13 @@
         self.tick(loop.time())
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
-        named = self._named()
-        if named != self._welcomed:
-            self._welcomed = named
-            self._do(now, Welcomed(named))
+        """Send the shuffles and the gossip that are due, and expire old loads."""
+        named = self._named_proxies()
+        if named != self._last_named:
+            self._last_named = named
+            self._handle(now, ProxiesNamed(named))
             self._plane.prefill_reporters(len({*named} - {self._ip}))
-        self._do(now, Tick(self._plane.revision))
+        self._handle(now, Tick(self._plane.revision))
         self._plane.set_neighbour_loads(self.loads.expire(now))
         gossip = self.outbox.next(now, self._plane.revision, self.digest, self._plane.out())
         if gossip is not None:
@@ -195,13 +195,13 @@
 
     @property
     def digest(self) -> int:
-        """Of the configuration in force."""
+        """CRC-32 of the configuration in force."""
         document = self._plane.document
         if document is not self._digest[0]:
             self._digest = (document, crc32(document))
         return self._digest[1]
 
-    def _do(self, now: float, event: Event) -> None:
+    def _handle(self, now: float, event: Event) -> None:
         for action in self.views.handle(now, event):
             match action:
                 case SendShuffle(ip, view, is_reply, exchange):
@@ -210,13 +210,13 @@
                     self._fetch = background.start(self._fetch_from(ip))
 
     def _send(self, ip: str, frame: bytes) -> None:
-        if len(frame) > LARGEST:
+        if len(frame) > MAX_DATAGRAM_BYTES:
             raise invariant_error("a datagram fits into one packet", f"{len(frame)} bytes")
         if self._socket is None:
             return
         try:
             self._socket.sendto(frame, (ip, self._port))
-        except OSError:  # a full buffer, or no way there: the next one mends it
+        except OSError:  # buffer full or no route: the next datagram makes up for it
             self._count("unsent")
         else:
             self._count("sent")
@@ -224,15 +224,15 @@
     def _count(self, name: str) -> None:
         self.counters[name] = self.counters.get(name, 0) + 1
 
-    # In.
+    # Receiving.
 
     def _readable(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_DATAGRAMS_PER_TURN):
             if self._socket is None:
                 return
             try:
                 data, (ip, port) = self._socket.recvfrom(2048)
-            except OSError:  # nothing more, BlockingIOError, is one
+            except OSError:  # includes BlockingIOError: nothing more to read
                 return
             if port == self._port:
                 self.datagram(asyncio.get_running_loop().time(), ip, data)
@@ -240,7 +240,7 @@
                 self._count("damaged")
 
     def datagram(self, now: float, ip: str, data: bytes) -> None:
-        """A datagram came; a damaged one is dropped and counted."""
+        """Process a received datagram; a damaged one is dropped and counted."""
         try:
             message = decode_datagram(data)
         except BadFrame:
@@ -248,15 +248,15 @@
             return
         match message:
             case Shuffle(view, revision, digest, is_reply, exchange):
-                self._shown(now, ip, revision, digest)
-                self._do(now, Heard(ip, view, is_reply, exchange))
-            case Gossip(number, revision, digest, loads, notes, news):
-                self._shown(now, ip, revision, digest)
+                self._on_revision(now, ip, revision, digest)
+                self._handle(now, ShuffleReceived(ip, view, is_reply, exchange))
+            case Gossip(number, revision, digest, loads, cached_prefixes, changed_backends):
+                self._on_revision(now, ip, revision, digest)
                 self._plane.set_neighbour_loads(self.loads.merge(now, ip, number, loads))
-                for note in notes:
-                    self._plane.record_cached_prefix(note)
-                if news:
-                    self._learn(news)
+                for prefix in cached_prefixes:
+                    self._plane.record_cached_prefix(prefix)
+                if changed_backends:
+                    self._learn(changed_backends)
             case PrefillBegun():
                 self._plane.reading_begun(message)
             case _:
@@ -265,16 +265,16 @@
         self._count("heard")
 
     def _learn(self, records: Iterable[Backend]) -> None:
-        """Take a neighbour's records. What it holds for lost may be heard by controllers of ours."""
+        """Merge a neighbour's records, except known backends it holds for lost: our controllers may receive them."""
         known = self._plane.records()
         self._plane.learn([record for record in records if record.phase != "lost" or record.id not in known])
 
-    def _shown(self, now: float, ip: str, revision: int, digest: int) -> None:
+    def _on_revision(self, now: float, ip: str, revision: int, digest: int) -> None:
         if revision and revision == self._plane.revision and digest != self.digest:
             self._count("digests_differ")
             if self.counters["digests_differ"] == 1:
-                logger.error("{} has another configuration of revision {}", ip, revision)
-        self._do(now, Shown(ip, revision))
+                logger.error("neighbour {} has a different configuration of the same revision {}", ip, revision)
+        self._handle(now, RevisionShown(ip, revision))
 
     # Fetching.
 
@@ -285,30 +285,30 @@
         try:
             link = await dial(self, self._ip, ip, self._port)
             link.send(Fetch(self._plane.revision))
-            async with asyncio.timeout(FETCH_S):
+            async with asyncio.timeout(FETCH_TIMEOUT_S):
                 await self._fetched.wait()
             self._count("fetched")
         except OSError as error:  # TimeoutError is one
             self._count("not_fetched")
-            logger.info("configuration of {}: {!r}", ip, error)
+            logger.info("fetching the configuration from neighbour {} failed: {!r}", ip, error)
         finally:
             if link is not None:
                 link.close()
-        self._do(loop.time(), FetchEnded())
+        self._handle(loop.time(), FetchEnded())
 
     def link_up(self, link: Link) -> None:
-        """A neighbour fetches, or we do."""
+        """Register a link of an incoming or outgoing fetch; too many incoming ones are refused."""
         self._links.add(link)
         link.make_heartbeat = lambda: LinkHeartbeat(self._plane.revision)
-        if not link.dialled and len(self._links) > LINKS:
+        if not link.dialled and len(self._links) > MAX_FETCH_LINKS:
             link.close()
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Fetch, or its answer: evacuated zones, the configuration if ours is newer, then the backends."""
+        """Answer a Fetch with the evacuated zones, the configuration if newer, and the backends; or take an answer."""
         match message:
             case Fetch(revision) if not link.dialled:
                 number, zones = self._plane.evacuations()
-                if number:  # ahead of all that lets the asker send
+                if number:  # ahead of all that lets the fetching proxy send calls
                     link.send(Evacuations(number, zones))
                 if self._plane.revision > revision:
                     link.send(ConfigPush(self._plane.revision, self._plane.document))
@@ -323,9 +323,9 @@
             case LinkHeartbeat():
                 pass
             case _:
-                logger.warning("from {}: {} is not for a neighbour", link.peer, type(message).__name__)
+                logger.warning("link to {}: unexpected message for a neighbour: {}", link.peer, type(message).__name__)
                 link.close()
 
     def link_down(self, link: Link) -> None:
-        """It is over."""
+        """Forget the link."""
         self._links.discard(link)
--- a/cranebank/membership/partial_view.py
+++ b/cranebank/membership/partial_view.py
@@ -1,10 +1,10 @@
-"""A proxy's partial view of the other proxies, shuffled between neighbours (after Cyclon): no clock, no sockets.
+"""A proxy's partial view of the other proxies, shuffled between neighbours as in Cyclon. No I/O, no clock.
 
-``handle(now, event)`` returns what to send. The view holds at most ``MOST`` neighbours, each with an age: rounds since
-somebody heard from it. Each round a part of the view goes to the oldest neighbour, which answers with a part of its
-own; what came takes free places first, then the places of what was sent. A neighbour that does not answer is asked once
-more and then dropped. An age only grows on its way, and nothing older than ``OLDEST`` is kept: the dead vanish
-everywhere.
+``handle(now, event)`` returns the actions to take. The view has at most ``MAX_NEIGHBOURS`` entries, each with an age:
+the rounds since any proxy last heard from that neighbour. In each round a sample of the view is sent to the oldest
+neighbour, which replies with a sample of its own; received entries fill free places first, and then replace entries
+that were sent. A neighbour that doesn't reply is asked once more and then dropped. Ages never decrease in transit and
+entries older than ``MAX_AGE_ROUNDS`` are dropped, so that dead proxies disappear from all views.
 """
 
 from __future__ import annotations
@@ -18,93 +18,93 @@
 
 from cranebank.invariants import invariant_error
 
-MOST = 12  # neighbours
-PART = 6  # of the view that goes into one shuffle, the sender included
+MAX_NEIGHBOURS = 12
+SHUFFLE_SIZE = 6  # entries of one shuffle, the sender included
 SHUFFLE_INTERVAL_S = 1.0
-SHUFFLE_REPLY_TIMEOUT_S = 0.3  # an answer that takes longer is lost
-OLDEST = 30  # rounds
-EXCHANGE_BITS = 32  # of the number drawn for each shuffle: no later one, of this life or the next, has it again
-FETCH_DELAY_S = 0.5  # controllers have so long to bring a newer configuration before a neighbour is asked for it
+SHUFFLE_REPLY_TIMEOUT_S = 0.3  # a reply that takes longer counts as lost
+MAX_AGE_ROUNDS = 30
+EXCHANGE_BITS = 32  # of a shuffle's random number, so that late replies aren't mistaken, even after a restart
+FETCH_DELAY_S = 0.5  # time for controllers to push a newer configuration before it is fetched from a neighbour
 
 
-class Asking(Enum):
-    """Of the one shuffle that may be open."""
+class ShuffleState(Enum):
+    """State of the shuffle that awaits a reply; there is at most one."""
 
     NONE = auto()
-    ONCE = auto()
-    AGAIN = auto()
+    SENT = auto()
+    RESENT = auto()
 
 
-NEXT_ASKING = {
-    Asking.NONE: {Asking.ONCE},
-    Asking.ONCE: {Asking.AGAIN, Asking.NONE},
-    Asking.AGAIN: {Asking.NONE},
+SHUFFLE_TRANSITIONS = {
+    ShuffleState.NONE: {ShuffleState.SENT},
+    ShuffleState.SENT: {ShuffleState.RESENT, ShuffleState.NONE},
+    ShuffleState.RESENT: {ShuffleState.NONE},
 }
 
 
-class Standing(Enum):
-    """Of our configuration, against what neighbours show."""
+class ConfigState(Enum):
+    """State of this proxy's configuration, compared with the revisions that neighbours show."""
 
     CURRENT = auto()
     BEHIND = auto()
     FETCHING = auto()
 
 
-NEXT_STANDING = {
-    Standing.CURRENT: {Standing.BEHIND},
-    Standing.BEHIND: {Standing.FETCHING, Standing.CURRENT},
-    Standing.FETCHING: {Standing.CURRENT},
+CONFIG_TRANSITIONS = {
+    ConfigState.CURRENT: {ConfigState.BEHIND},
+    ConfigState.BEHIND: {ConfigState.FETCHING, ConfigState.CURRENT},
+    ConfigState.FETCHING: {ConfigState.CURRENT},
 }
 
-Part = tuple[tuple[str, int], ...]
+ViewPart = tuple[tuple[str, int], ...]
 
 
-class Welcomed(msgspec.Struct, frozen=True):
-    """A controller named some proxies."""
+class ProxiesNamed(msgspec.Struct, frozen=True):
+    """A controller named other proxies in its Welcome."""
 
     ips: tuple[str, ...]
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time passes; ``revision`` of our configuration."""
+    """Time has passed; ``revision`` is that of this proxy's configuration."""
 
     revision: int
 
 
-class Heard(msgspec.Struct, frozen=True):
-    """A shuffle came; ``exchange`` is the number that its first sender drew."""
+class ShuffleReceived(msgspec.Struct, frozen=True):
+    """A shuffle was received; ``exchange`` is the random number that its initiator drew."""
 
     ip: str
-    view: Part
+    view: ViewPart
     is_reply: bool
     exchange: int = 0
 
 
-class Shown(msgspec.Struct, frozen=True):
-    """A neighbour showed the revision of its configuration."""
+class RevisionShown(msgspec.Struct, frozen=True):
+    """A neighbour sent the revision of its configuration."""
 
     ip: str
     revision: int
 
 
 class FetchEnded(msgspec.Struct, frozen=True):
-    """A fetch is over, with or without what was wanted."""
+    """A fetch has ended, successfully or not."""
 
 
-Event = Welcomed | Tick | Heard | Shown | FetchEnded
+Event = ProxiesNamed | Tick | ShuffleReceived | RevisionShown | FetchEnded
 
 
 class SendShuffle(msgspec.Struct, frozen=True):
-    """Send this part of the view; a reply repeats the number of what it answers."""
+    """Send this part of the view; a reply has the ``exchange`` of its request."""
 
     ip: str
-    view: Part
+    view: ViewPart
     is_reply: bool
     exchange: int
 
 
 class FetchFrom(msgspec.Struct, frozen=True):
-    """Fetch the configuration from this neighbour, and tell when that is over."""
+    """Fetch the configuration from this neighbour; FetchEnded must follow."""
 
     ip: str
 
@@ -113,7 +113,7 @@
 
 
 def is_address(ip: str) -> bool:
-    """Whether this is an IPv4 address in the usual form: nothing else may ever be looked up or sent to."""
+    """Whether this is an IPv4 address in canonical form; nothing else may be resolved or sent to."""
     try:
         return str(IPv4Address(ip)) == ip
     except AddressValueError:
@@ -121,170 +121,170 @@
 
 
 class PartialView:
-    """The view of one proxy."""
+    """The partial view of one proxy."""
 
     def __init__(self, ip: str, random: Random) -> None:
         self._ip, self._random = ip, random
         self._ages: dict[str, int] = {}
-        self._named: tuple[str, ...] = ()  # by the last Welcome: who is asked again when nobody is left
+        self._named_proxies: tuple[str, ...] = ()  # in the last Welcome: used again when the view is empty
         self._next_round = 0.0
-        self._asking, self._asked, self._answer_by = Asking.NONE, "", 0.0
-        self._sent: Part = ()
-        self._exchange = 0  # of the shuffle that is open
-        self._standing, self._newer, self._newer_ip, self._behind_since = Standing.CURRENT, 0, "", 0.0
+        self._shuffle_state, self._shuffle_peer, self._reply_deadline = ShuffleState.NONE, "", 0.0
+        self._sent_part: ViewPart = ()
+        self._exchange = 0  # of the shuffle that awaits a reply
+        self._config_state, self._newest_revision, self._newest_ip, self._behind_since = ConfigState.CURRENT, 0, "", 0.0
         self._revision = 0
 
     @property
     def neighbours(self) -> tuple[str, ...]:
-        """IPs of the view."""
+        """IPs in the view."""
         return tuple(self._ages)
 
     @property
     def ages(self) -> dict[str, int]:
-        """The view."""
+        """The view: ages in rounds, by IP."""
         return dict(self._ages)
 
     @property
-    def standing(self) -> Standing:
-        """Of our configuration."""
-        return self._standing
+    def config_state(self) -> ConfigState:
+        """State of this proxy's configuration."""
+        return self._config_state
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event; return what to do, in order."""
+        """Process one event; return the actions to take, in order."""
         actions: list[Action] = []
         match event:
             case Tick(revision):
                 self._revision = revision
-                self._look_at_answer(now, actions)
+                self._check_reply(now, actions)
                 if now >= self._next_round:
                     self._next_round = now + SHUFFLE_INTERVAL_S * self._random.uniform(0.9, 1.1)
                     self._begin_round(now, actions)
-                self._look_at_revision(now, actions)
-            case Heard():
-                self._heard(event, actions)
-            case Shown(ip, revision):
-                if revision > max(self._newer, self._revision):
-                    self._newer, self._newer_ip = revision, ip
-                elif revision == self._newer and self._standing is not Standing.FETCHING:
-                    self._newer_ip = ip  # whoever showed it last is the likeliest to answer
-            case Welcomed(ips):
-                self._named = tuple(ip for ip in ips[:MOST] if ip != self._ip and is_address(ip))
-                self._take(((ip, 0) for ip in self._named), [])
+                self._check_revision(now, actions)
+            case ShuffleReceived():
+                self._on_shuffle(event, actions)
+            case RevisionShown(ip, revision):
+                if revision > max(self._newest_revision, self._revision):
+                    self._newest_revision, self._newest_ip = revision, ip
+                elif revision == self._newest_revision and self._config_state is not ConfigState.FETCHING:
+                    self._newest_ip = ip  # the neighbour that showed it last is the likeliest to answer
+            case ProxiesNamed(ips):
+                self._named_proxies = tuple(ip for ip in ips[:MAX_NEIGHBOURS] if ip != self._ip and is_address(ip))
+                self._merge(((ip, 0) for ip in self._named_proxies), [])
             case FetchEnded():
-                if self._standing is not Standing.FETCHING:
+                if self._config_state is not ConfigState.FETCHING:
                     raise invariant_error("a fetch that ends was begun")
-                self._newer = 0  # who has it still shows it within a second: no tries at one that is gone
-                self._stand(Standing.CURRENT)
+                self._newest_revision = 0  # shown again within a second by those that have it; don't retry a lost one
+                self._set_config_state(ConfigState.CURRENT)
         self._check()
         return actions
 
     # Shuffles.
 
     def _begin_round(self, now: float, actions: list[Action]) -> None:
-        self._ages = {ip: age + 1 for ip, age in self._ages.items() if age < OLDEST}
-        if self._asked and self._asked not in self._ages:
-            self._ask_no_more()
+        self._ages = {ip: age + 1 for ip, age in self._ages.items() if age < MAX_AGE_ROUNDS}
+        if self._shuffle_peer and self._shuffle_peer not in self._ages:
+            self._end_shuffle()
         if not self._ages:
-            self._take(((ip, 0) for ip in self._named), [])
-        if self._ages and self._asking is Asking.NONE:
+            self._merge(((ip, 0) for ip in self._named_proxies), [])
+        if self._ages and self._shuffle_state is ShuffleState.NONE:
             oldest = max(self._ages.values())
-            self._asked = self._random.choice([ip for ip, age in self._ages.items() if age == oldest])
-            self._sent = self._draw(PART - 1, self._asked)
+            self._shuffle_peer = self._random.choice([ip for ip, age in self._ages.items() if age == oldest])
+            self._sent_part = self._sample(SHUFFLE_SIZE - 1, self._shuffle_peer)
             self._exchange = self._random.getrandbits(EXCHANGE_BITS)
-            self._change(Asking.ONCE)
-            self._ask(now, actions)
+            self._set_shuffle_state(ShuffleState.SENT)
+            self._send_shuffle(now, actions)
 
-    def _ask(self, now: float, actions: list[Action]) -> None:
-        self._answer_by = now + SHUFFLE_REPLY_TIMEOUT_S
-        actions.append(SendShuffle(self._asked, ((self._ip, 0), *self._sent), False, self._exchange))
+    def _send_shuffle(self, now: float, actions: list[Action]) -> None:
+        self._reply_deadline = now + SHUFFLE_REPLY_TIMEOUT_S
+        actions.append(SendShuffle(self._shuffle_peer, ((self._ip, 0), *self._sent_part), False, self._exchange))
 
-    def _look_at_answer(self, now: float, actions: list[Action]) -> None:
-        if self._asking is Asking.NONE or now < self._answer_by:
+    def _check_reply(self, now: float, actions: list[Action]) -> None:
+        if self._shuffle_state is ShuffleState.NONE or now < self._reply_deadline:
             return
-        if self._asking is Asking.ONCE:
-            self._change(Asking.AGAIN)
-            self._ask(now, actions)
+        if self._shuffle_state is ShuffleState.SENT:
+            self._set_shuffle_state(ShuffleState.RESENT)
+            self._send_shuffle(now, actions)
             return
-        self._ages.pop(self._asked, None)
-        self._ask_no_more()
+        self._ages.pop(self._shuffle_peer, None)
+        self._end_shuffle()
 
-    def _ask_no_more(self) -> None:
-        self._asked, self._sent = "", ()
-        self._change(Asking.NONE)
+    def _end_shuffle(self) -> None:
+        self._shuffle_peer, self._sent_part = "", ()
+        self._set_shuffle_state(ShuffleState.NONE)
 
-    def _heard(self, heard: Heard, actions: list[Action]) -> None:
-        ip, view = heard.ip, heard.view
+    def _on_shuffle(self, received: ShuffleReceived, actions: list[Action]) -> None:
+        ip, view = received.ip, received.view
         if ip == self._ip or not is_address(ip):
             return
-        if heard.is_reply:
-            if ip != self._asked or heard.exchange != self._exchange:
-                return  # late: it was given up, and what was sent to it has its places still
-            spare = [ip, *(sent for sent, _ in self._sent)]
+        if received.is_reply:
+            if ip != self._shuffle_peer or received.exchange != self._exchange:
+                return  # late: the shuffle was given up, and the entries sent in it were kept
+            replaceable = [ip, *(sent for sent, _ in self._sent_part)]
             self._ages[ip] = 0
-            self._ask_no_more()
+            self._end_shuffle()
         else:
-            part = self._draw(PART, ip)
-            actions.append(SendShuffle(ip, part, True, heard.exchange))
-            spare = [sent for sent, _ in part]
+            part = self._sample(SHUFFLE_SIZE, ip)
+            actions.append(SendShuffle(ip, part, True, received.exchange))
+            replaceable = [sent for sent, _ in part]
             view = ((ip, 0), *(entry for entry in view if entry[0] != ip))
-        self._take(view[:PART], spare)
+        self._merge(view[:SHUFFLE_SIZE], replaceable)
 
-    def _draw(self, count: int, without: str) -> Part:
-        others = [entry for entry in self._ages.items() if entry[0] != without]
+    def _sample(self, count: int, excluded: str) -> ViewPart:
+        others = [entry for entry in self._ages.items() if entry[0] != excluded]
         return tuple(self._random.sample(others, min(count, len(others))))
 
-    def _take(self, entries: Iterable[tuple[str, int]], spare: list[str]) -> None:
-        """Take neighbours into free places, then into those of ``spare``, in order."""
+    def _merge(self, entries: Iterable[tuple[str, int]], replaceable: list[str]) -> None:
+        """Merge entries into free places, then into those of ``replaceable``, in order."""
         for ip, age in entries:
-            if ip == self._ip or not 0 <= age <= OLDEST or not is_address(ip):
+            if ip == self._ip or not 0 <= age <= MAX_AGE_ROUNDS or not is_address(ip):
                 continue
             if ip in self._ages:
                 self._ages[ip] = min(self._ages[ip], age)
-                if ip in spare:
-                    spare.remove(ip)
+                if ip in replaceable:
+                    replaceable.remove(ip)
                 continue
-            while len(self._ages) >= MOST and spare:
-                place = spare.pop(0)
-                if place != self._asked:
-                    self._ages.pop(place, None)
-            if len(self._ages) < MOST:
+            while len(self._ages) >= MAX_NEIGHBOURS and replaceable:
+                replaced = replaceable.pop(0)
+                if replaced != self._shuffle_peer:
+                    self._ages.pop(replaced, None)
+            if len(self._ages) < MAX_NEIGHBOURS:
                 self._ages[ip] = age
 
-    # The configuration.
+    # Configuration.
 
-    def _look_at_revision(self, now: float, actions: list[Action]) -> None:
-        if self._standing is Standing.FETCHING:
+    def _check_revision(self, now: float, actions: list[Action]) -> None:
+        if self._config_state is ConfigState.FETCHING:
             return
-        if self._newer <= self._revision:
-            if self._standing is Standing.BEHIND:
-                self._stand(Standing.CURRENT)
-        elif self._standing is Standing.CURRENT:
+        if self._newest_revision <= self._revision:
+            if self._config_state is ConfigState.BEHIND:
+                self._set_config_state(ConfigState.CURRENT)
+        elif self._config_state is ConfigState.CURRENT:
             self._behind_since = now
-            self._stand(Standing.BEHIND)
+            self._set_config_state(ConfigState.BEHIND)
         elif now - self._behind_since >= FETCH_DELAY_S:
-            self._stand(Standing.FETCHING)
-            actions.append(FetchFrom(self._newer_ip))
+            self._set_config_state(ConfigState.FETCHING)
+            actions.append(FetchFrom(self._newest_ip))
 
-    # Changes of state.
+    # State transitions.
 
-    def _change(self, asking: Asking) -> None:
-        if asking not in NEXT_ASKING[self._asking]:
-            raise invariant_error("states of asking follow one another", f"{self._asking} to {asking}")
-        self._asking = asking
+    def _set_shuffle_state(self, state: ShuffleState) -> None:
+        if state not in SHUFFLE_TRANSITIONS[self._shuffle_state]:
+            raise invariant_error("states of asking follow one another", f"{self._shuffle_state} to {state}")
+        self._shuffle_state = state
 
-    def _stand(self, standing: Standing) -> None:
-        if standing not in NEXT_STANDING[self._standing]:
-            raise invariant_error("states of standing follow one another", f"{self._standing} to {standing}")
-        self._standing = standing
+    def _set_config_state(self, config_state: ConfigState) -> None:
+        if config_state not in CONFIG_TRANSITIONS[self._config_state]:
+            raise invariant_error("states of standing follow one another", f"{self._config_state} to {config_state}")
+        self._config_state = config_state
 
     def _check(self) -> None:
-        if len(self._ages) > MOST:
+        if len(self._ages) > MAX_NEIGHBOURS:
             raise invariant_error("the view is bounded", f"{len(self._ages)} neighbours")
         if self._ip in self._ages:
             raise invariant_error("no proxy is its own neighbour")
-        if not all(0 <= age <= OLDEST for age in self._ages.values()):
+        if not all(0 <= age <= MAX_AGE_ROUNDS for age in self._ages.values()):
             raise invariant_error("no neighbour is too old")
-        if (self._asking is Asking.NONE) != (not self._asked):
+        if (self._shuffle_state is ShuffleState.NONE) != (not self._shuffle_peer):
             raise invariant_error("whoever asks knows whom")
-        if self._asked and self._asked not in self._ages:
+        if self._shuffle_peer and self._shuffle_peer not in self._ages:
             raise invariant_error("only neighbours are asked")
--- a/cranebank/transport/messages.py
+++ b/cranebank/transport/messages.py
@@ -232,8 +232,8 @@
     revision: int
     digest: int
     loads: tuple[Load, ...] = ()
-    notes: tuple[CachedPrefix, ...] = ()
-    news: tuple[Backend, ...] = ()
+    cached_prefixes: tuple[CachedPrefix, ...] = ()
+    changed_backends: tuple[Backend, ...] = ()
 
 
 class TallyAdd(msgspec.Struct, frozen=True, array_like=True, gc=False):
--- a/tests/test_cold_backends_wire.py
+++ b/tests/test_cold_backends_wire.py
@@ -1,4 +1,4 @@
-"""A controller and proxies over loopback: what a heartbeat says of a cold backend, and the permits behind it."""
+"""A controller and a proxy over loopback: heartbeats of a cold backend, and the permits that follow them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 LEASE_S = 1.0
 LIMIT_S = 20.0
-SHARE = int(23 * PERMIT_REUSE_INTERVAL_S) // 3  # of one controller, where three count at least
+SHARE = int(23 * PERMIT_REUSE_INTERVAL_S) // 3  # of one controller; at least three are assumed
 SERVICE = {"name": "s", "engine": {"capacity": 12}, "cold_s": 3.0, "warmup_per_s": 23.0}
 
 
@@ -32,7 +32,7 @@
 
 
 async def calls_allowed(folder: Path) -> list[int]:
-    """How many calls may go to the one backend: while it is warm (many), told cold, and under permits."""
+    """Return the calls allowed to the one backend while it is warm (many), cold without permits, and with permits."""
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
     settings = controller_settings(ONE, ports)
@@ -52,7 +52,7 @@
             await heartbeat(client, 1, 0)
             await asyncio.sleep(0.2)
             allowed.append(calls(proxy))
-            await heartbeat(client, 2, 200)  # told by the controller in its quiet time: no permits
+            await heartbeat(client, 2, 200)  # within the controller's quiet period after its start: no permits
             await asyncio.sleep(0.1)
             allowed.append(calls(proxy))
             await asyncio.sleep(LEASE_S + PERMIT_RELEASE_DELAY_S + 0.5)
@@ -66,7 +66,7 @@
 
 
 def calls(proxy: Proxy) -> int:
-    """Calls that may begin at this moment, a hundred at most."""
+    """Start as many calls as are allowed now, up to a hundred, and return their number."""
     candidates, now = proxy.shared.candidates, asyncio.get_running_loop().time()
     count = 0
     while count < 100 and (listed := candidates.ready(now, "s", "decode")):
@@ -78,7 +78,7 @@
 def test_a_heartbeat_under_a_known_id_makes_a_backend_cold_and_brings_permits(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With a short lease, since a controller that starts waits for one."""
+    """Uses a short lease, because a starting controller waits for the length of one."""
     monkeypatch.setattr("cranebank.control.warm_up.MAX_PERMIT_LEASE_S", LEASE_S)
 
     async def limited() -> list[int]:
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -1,4 +1,4 @@
-"""A proxy's links to controllers: what it answers, and to whom; over real loopback sockets."""
+"""A proxy's links to controllers over loopback sockets: acknowledgements, relaying, confirmation, redialling."""
 
 from __future__ import annotations
 
@@ -34,76 +34,76 @@
 PROXY, CONTROLLERS = "127.0.12.9", ("127.0.12.1", "127.0.12.2", "127.0.12.3")
 
 
-class Plane:
-    """A data plane that takes everything."""
+class FakeDataPlane:
+    """A data plane that accepts everything."""
 
     revision = 0
 
     def configure(self, document: bytes) -> bool:
-        """Take it."""
+        """Put it in force."""
         self.revision = int(document)
         return True
 
     def learn(self, backends: Iterable[Backend]) -> None:
-        """Nothing is kept."""
+        """Ignore the records."""
 
     def known(self) -> tuple[Backend, ...]:
-        """Nothing."""
+        """Return no records."""
         return ()
 
     def set_proxy_count(self, count: int) -> None:
-        """Not wanted."""
+        """Ignore the count."""
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
-        """Not wanted."""
+        """Accept the evacuations."""
         return number
 
     def clock_ms(self) -> int:
-        """Its steady clock, or 0."""
+        """Request no permits."""
         return 0
 
     def permit(self, permits: WarmUpPermits) -> None:
-        """Not wanted."""
+        """Ignore the permits."""
 
     def hold_off(self, backend: str, seconds: float) -> None:
-        """Not wanted."""
+        """Ignore the hold-off."""
 
     def loads(self) -> tuple[StageLoad, ...]:
-        """Nothing is asked of backends."""
+        """Report no load."""
         return ()
 
 
 class Controllers:
-    """The other end of all links."""
+    """Owner of the controllers' ends of all links."""
 
     def __init__(self) -> None:
         self.heard: list[tuple[Link, Message]] = []
 
     def link_up(self, link: Link) -> None:
-        """A connection stands."""
+        """Nothing to do."""
 
     def link_message(self, link: Link, message: Message) -> None:
-        """A message came."""
+        """Record the message."""
         self.heard.append((link, message))
 
     def link_down(self, link: Link) -> None:
-        """It is over."""
+        """Nothing to do either."""
 
     def of(self, kind: type[Message]) -> list[tuple[Link, Message]]:
-        """Who heard such a message, and it."""
+        """Return the received messages of a kind, with their links."""
         return [(link, message) for link, message in self.heard if isinstance(message, kind)]
 
 
 async def until(controllers: Controllers, kind: type[Message], count: int) -> None:
-    """So many came."""
+    """Wait until ``count`` messages of a kind have been received."""
     async with asyncio.timeout(5):
         while len(controllers.of(kind)) < count:
             await asyncio.sleep(0.01)
 
 
 async def scene() -> None:
-    """Three controllers; one pushes backends, another a configuration."""
-    port, owner, plane = free_port(), Controllers(), Plane()
+    """Three controllers: one pushes backends, another a configuration."""
+    port, owner, plane = free_port(), Controllers(), FakeDataPlane()
     servers = [await listen(owner, ip, port) for ip in CONTROLLERS]
     links = FleetLinks(plane, lambda: Hello("p", "proxy", PROXY, "z", 1), PROXY, port)
     links.name(CONTROLLERS)
@@ -125,20 +125,20 @@
 
 
 def test_who_pushed_gets_the_acknowledgement_and_the_others_see_the_revision_in_pulses() -> None:
-    """So nobody sends the whole document again."""
+    """The heartbeats keep other controllers from sending the whole document again."""
     uvloop.run(scene())
 
 
 async def relaying() -> None:
-    """Two controllers and one that is down; one has news for both others."""
+    """Two controllers are up and one is down; one of them sends a message to both others."""
     port, owner = free_port(), Controllers()
     servers = [await listen(owner, ip, port) for ip in CONTROLLERS[:2]]
-    links = FleetLinks(Plane(), lambda: Hello("p", "proxy", PROXY, "z", 1), PROXY, port)
+    links = FleetLinks(FakeDataPlane(), lambda: Hello("p", "proxy", PROXY, "z", 1), PROXY, port)
     links.name(CONTROLLERS)
     sync = RegistrySync((Backend("i", "s", "10.0.0.9:80", "z", "", 1, "ready", 4),), (("i", 4, 100),))
     try:
         await until(owner, Hello, 2)
-        await asyncio.sleep(2 * REDIAL_BACKOFF_S[0])  # both dialers hold their links
+        await asyncio.sleep(2 * REDIAL_BACKOFF_S[0])  # both dialers have their links
         first, second = (end for end, _ in owner.of(Hello))
         for destination in (CONTROLLERS[2], "127.0.12.77", local_ip(second)):
             first.send(RelayTo(destination, sync))
@@ -153,7 +153,7 @@
 
 
 def local_ip(link: Link) -> str:
-    """The controller's address at its end of a link."""
+    """Return the controller's address at its end of a link."""
     assert link._transport is not None
     return str(link._transport.get_extra_info("sockname")[0])
 
@@ -163,16 +163,16 @@
 
 
 async def confirming() -> None:
-    """A controller's heartbeats, one after another; which of them confirm the revision that is in force."""
-    plane = Plane()
+    """Check which of a controller's heartbeats confirm the revision in force."""
+    plane = FakeDataPlane()
     plane.revision = 7
     links = FleetLinks(plane, lambda: Hello("p", "proxy", PROXY, "z", 1), PROXY, free_port())
     link = Link(Controllers(), True)
     for pulse, confirms in (
         (LinkHeartbeat(7, is_current=False, epoch=4), False),
-        (LinkHeartbeat(8, is_current=True, epoch=4), False),  # we are behind
-        (LinkHeartbeat(0, is_current=True, epoch=4), False),  # it knows of none yet
-        (LinkHeartbeat(7, is_current=True, epoch=3), False),  # of an older epoch than was seen
+        (LinkHeartbeat(8, is_current=True, epoch=4), False),  # the proxy's revision is older
+        (LinkHeartbeat(0, is_current=True, epoch=4), False),  # the controller has no configuration yet
+        (LinkHeartbeat(7, is_current=True, epoch=3), False),  # an older epoch than the newest received
         (LinkHeartbeat(7, is_current=True, epoch=4), True),
         (LinkHeartbeat(6, is_current=True, epoch=5), True),
         (LinkHeartbeat(7, is_current=True, epoch=4), False),
@@ -186,20 +186,20 @@
     uvloop.run(confirming())
 
 
-class Counted(Plane):
-    """A data plane that keeps the told counts."""
+class CountingDataPlane(FakeDataPlane):
+    """A data plane that records the numbers of proxies."""
 
     def __init__(self) -> None:
-        self.told: list[int] = []
+        self.proxy_counts: list[int] = []
 
     def set_proxy_count(self, count: int) -> None:
-        """Keep it."""
-        self.told.append(count)
+        """Record the count."""
+        self.proxy_counts.append(count)
 
 
 async def restarted() -> None:
-    """One controller knows of 40 proxies, goes, and comes back knowing of one."""
-    port, owner, plane = free_port(), Controllers(), Counted()
+    """A controller knows of 40 proxies, restarts, and then knows of one."""
+    port, owner, plane = free_port(), Controllers(), CountingDataPlane()
     server = await listen(owner, CONTROLLERS[0], port)
     links = FleetLinks(plane, lambda: Hello("p", "proxy", PROXY, "z", 1), PROXY, port)
     links.name(CONTROLLERS[:1])
@@ -207,41 +207,41 @@
         await until(owner, Hello, 1)
         owner.of(Hello)[0][0].send(Welcome("c", (), 40))
         async with asyncio.timeout(5):
-            while not plane.told:
+            while not plane.proxy_counts:
                 await asyncio.sleep(0.01)
         owner.of(Hello)[0][0].close()
         await until(owner, Hello, 2)
         owner.of(Hello)[1][0].send(Welcome("c", (), 1))
         async with asyncio.timeout(5):
-            while len(plane.told) < 2:
+            while len(plane.proxy_counts) < 2:
                 await asyncio.sleep(0.01)
-        assert plane.told == [40, 40]
+        assert plane.proxy_counts == [40, 40]
     finally:
         links.stop()
         server.close()
 
 
 def test_controllers_that_come_back_and_know_of_few_proxies_make_no_part_of_the_budget_larger() -> None:
-    """Found by a review (BUDGET): after all controllers restarted each proxy was told that it was alone."""
+    """Restarted controllers report too few proxies, and each proxy would spend the whole retry budget (BUDGET)."""
     uvloop.run(restarted())
 
 
 class Reset(asyncio.Transport):
-    """A connection whose peer reset it before the loop came to it: it has no peer name any more."""
+    """A connection that its peer reset before the event loop handled it: it has no peer name."""
 
     aborted = False
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Nothing is known."""
+        """Return the default."""
         return default
 
     def abort(self) -> None:
-        """Note it."""
+        """Record the abort."""
         self.aborted = True
 
 
 def test_a_link_that_was_reset_at_once_is_down_and_so_dialled_again() -> None:
-    """Found by a review: it stood for good, unread and without a beat, and its dialer waited for its end."""
+    """Otherwise the link stays up forever without reads or heartbeats, and its dialer waits for its end."""
     transport, link = Reset(), Link(Controllers(), True)
     link.connection_made(transport)
     assert transport.aborted and not link.up and not link.send(LinkHeartbeat(1))
@@ -249,8 +249,8 @@
 
 
 async def returned(names_it: bool) -> bool:
-    """Whether a controller that was down for long is dialled when it is back; one that is linked names it or not."""
-    port, owner, plane = free_port(), Controllers(), Counted()
+    """Return whether a controller that was down for long is redialled; ``names_it``: a linked one still names it."""
+    port, owner, plane = free_port(), Controllers(), CountingDataPlane()
     servers = [await listen(owner, CONTROLLERS[0], port)]
     links = FleetLinks(plane, lambda: Hello("p", "proxy", PROXY, "z", 1), PROXY, port)
     links.name(CONTROLLERS[:2])
@@ -258,7 +258,7 @@
         await until(owner, Hello, 1)
         owner.of(Hello)[0][0].send(Welcome("c", CONTROLLERS[:2] if names_it else CONTROLLERS[:1], 1))
         async with asyncio.timeout(5):
-            while not plane.told:
+            while not plane.proxy_counts:
                 await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
         links.prune()
@@ -275,18 +275,18 @@
 
 
 def test_a_controller_that_is_still_named_is_dialled_however_long_it_was_down(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: names come when they change only, and one that was down for long was forgotten for good."""
-    monkeypatch.setattr(fleet, "FORGET_S", 0.02)
+    """Names are sent only when they change, so a controller that was down for long could be forgotten for good."""
+    monkeypatch.setattr(fleet, "UNNAMED_CONTROLLER_TTL_S", 0.02)
     assert uvloop.run(returned(True))
 
 
 def test_a_controller_that_nobody_names_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fleet, "FORGET_S", 0.02)
+    monkeypatch.setattr(fleet, "UNNAMED_CONTROLLER_TTL_S", 0.02)
     assert not uvloop.run(returned(False))
 
 
 async def untold() -> None:
-    """A proxy that started again has its configuration from a neighbour, and no controller has told it anything."""
+    """A restarted proxy has its configuration from a neighbour, but nothing from a controller yet."""
     settings = NodeSettings(
         "p", PROXY, "z", (free_port(), 65000), (f"{CONTROLLERS[0]}:8000",), bounds=Bounds(retry_slack=58)
     )
@@ -302,5 +302,5 @@
 
 
 def test_a_proxy_that_nobody_has_told_how_many_there_are_has_no_slack_to_spend() -> None:
-    """Found by a review (BUDGET): it took itself to be alone."""
+    """Otherwise it assumes to be the only proxy, and spends the whole retry budget (BUDGET)."""
     uvloop.run(untold())
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Neighbours' figures: sums that follow what was told, and what is told and how often."""
+"""Loads gossiped between neighbours: the sums of received loads, and the contents and rate of sent datagrams."""
 
 from __future__ import annotations
 
@@ -6,8 +6,14 @@
 
 import pytest
 
-from cranebank.membership.neighbour_loads import BACKENDS, KEPT_S, PROXIES, LoadSums, NeighbourLoads
-from cranebank.membership.outbox import HELD, NOTE_BYTES, GossipOutbox
+from cranebank.membership.neighbour_loads import (
+    MAX_AGE_S,
+    MAX_BACKENDS_PER_PROXY,
+    MAX_PROXIES,
+    LoadSums,
+    NeighbourLoads,
+)
+from cranebank.membership.outbox import MAX_PREFIX_BYTES, MAX_QUEUED_PREFIXES, GossipOutbox
 from cranebank.transport.frames import encode
 from cranebank.transport.messages import Backend, CachedPrefix, Gossip, Load
 
@@ -17,41 +23,41 @@
     assert loads.merge(0.0, "a", 1, [Load("x", 2, 100), Load("y", 1, 0)]) == {"x": (2, 100), "y": (1, 0)}
     assert loads.merge(0.1, "b", 7, [Load("x", 1, 50)]) == {"x": (3, 150)}
     assert loads.merge(0.2, "a", 2, [Load("x", 0, 0)]) == {"x": (1, 50)}
-    assert loads.merge(0.3, "a", 1, [Load("x", 9, 9)]) == {}, "overtaken on its way"
-    assert loads.merge(0.3, "b", 8, [Load("x", 1, 50)]) == {}, "the same again"
-    assert loads.expire(0.0 + KEPT_S + 0.01) == {"y": (0, 0)}
+    assert loads.merge(0.3, "a", 1, [Load("x", 9, 9)]) == {}, "reordered datagram"
+    assert loads.merge(0.3, "b", 8, [Load("x", 1, 50)]) == {}, "unchanged"
+    assert loads.expire(0.0 + MAX_AGE_S + 0.01) == {"y": (0, 0)}
     assert loads.sums() == {"x": (1, 50)}
     assert loads.expire(5.0) == {"x": (0, 0)} and loads.sums() == {}
-    assert loads.merge(6.0, "b", 1, [Load("x", 4, 4)]) == {"x": (4, 4)}, "it has begun anew"
+    assert loads.merge(6.0, "b", 1, [Load("x", 4, 4)]) == {"x": (4, 4)}, "the proxy has restarted"
 
 
 def test_figures_are_bounded_and_senseless_ones_are_left_out() -> None:
     loads = NeighbourLoads()
     assert loads.merge(0.0, "a", 1, [Load("x", -1, 5), Load("y", 1, 1 << 60)]) == {}
-    for number in range(PROXIES + 10):
+    for number in range(MAX_PROXIES + 10):
         loads.merge(0.0, f"p{number}", 1, [Load("x", 1, 0)])
-    assert loads.sums()["x"][0] < PROXIES + 1
-    loads.merge(0.1, "a", 2, [Load(f"z{number}", 1, 0) for number in range(2 * BACKENDS)])
-    assert len(loads.sums()) <= BACKENDS + 1
+    assert loads.sums()["x"][0] < MAX_PROXIES + 1
+    loads.merge(0.1, "a", 2, [Load(f"z{number}", 1, 0) for number in range(2 * MAX_BACKENDS_PER_PROXY)])
+    assert len(loads.sums()) <= MAX_BACKENDS_PER_PROXY + 1
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_changes_lead_to_the_sums_and_these_are_what_a_plain_count_gives(seed: int) -> None:
-    """Random load: the changes that were returned, laid over one another, are always the sums."""
+    """Random loads: the returned changes, applied in order, always equal the sums."""
     random, loads, now = Random(seed), NeighbourLoads(), 0.0
     followed: LoadSums = {}
     plain: dict[tuple[str, str], tuple[int, int, float]] = {}
     for number in range(600):
         now += random.uniform(0.0, 0.2)
         proxy = random.choice("abcd")
-        told = [
+        sent = [
             Load(backend, random.randrange(3), random.choice([0, 10, 1000]))
             for backend in random.sample("uvwxyz", random.randrange(4))
         ]
         followed |= loads.expire(now)
-        plain = {key: value for key, value in plain.items() if now - value[2] <= KEPT_S}
-        followed |= loads.merge(now, proxy, number, told)
-        plain |= {(proxy, load.backend): (load.calls, load.tokens, now) for load in told}
+        plain = {key: value for key, value in plain.items() if now - value[2] <= MAX_AGE_S}
+        followed |= loads.merge(now, proxy, number, sent)
+        plain |= {(proxy, load.backend): (load.calls, load.tokens, now) for load in sent}
         counted: LoadSums = {}
         for (_, backend), (calls, tokens, _at) in plain.items():
             old = counted.get(backend, (0, 0))
@@ -61,7 +67,7 @@
 
 
 def play(outbox: GossipOutbox, steps: int, out: list[tuple[str, int, int]], start: float = 0.0) -> list[Gossip]:
-    """The datagrams of so many tenths of a second."""
+    """Return the datagrams of ``steps`` tenths of a second."""
     made = [outbox.next(start + step * 0.1, 3, 9, out) for step in range(steps)]
     return [gossip for gossip in made if gossip is not None]
 
@@ -85,33 +91,35 @@
         outbox.note(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
     known = {f"b{number}": _backend(f"b{number}", "ready", 1) for number in range(9)}
     outbox.changes([_backend(key, "draining", 2) for key in known], known)
-    told = play(outbox, 12, out)
-    assert max(len(encode(gossip)) for gossip in told) <= 1200
-    assert {load.backend for gossip in told for load in gossip.loads} == {backend for backend, _, _ in out}
-    assert {note.part for gossip in told for note in gossip.notes} == {f"{number:08x}" for number in range(20)}
-    assert all(len(gossip.notes) <= 2 for gossip in told)
-    assert sum(len(gossip.news) for gossip in told) == 9
+    sent = play(outbox, 12, out)
+    assert max(len(encode(gossip)) for gossip in sent) <= 1200
+    assert {load.backend for gossip in sent for load in gossip.loads} == {backend for backend, _, _ in out}
+    assert {note.part for gossip in sent for note in gossip.cached_prefixes} == {
+        f"{number:08x}" for number in range(20)
+    }
+    assert all(len(gossip.cached_prefixes) <= 2 for gossip in sent)
+    assert sum(len(gossip.changed_backends) for gossip in sent) == 9
 
 
 def test_notes_are_bounded_in_number_and_bytes() -> None:
     outbox = GossipOutbox()
-    for number in range(HELD + 5):
+    for number in range(MAX_QUEUED_PREFIXES + 5):
         outbox.note(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
-    outbox.note(CachedPrefix("i-7f3a91c2", "0" * NOTE_BYTES, 13_300))
+    outbox.note(CachedPrefix("i-7f3a91c2", "0" * MAX_PREFIX_BYTES, 13_300))
     assert outbox.left_out == 6
-    assert sum(len(gossip.notes) for gossip in play(outbox, 30, [])) == HELD
+    assert sum(len(gossip.cached_prefixes) for gossip in play(outbox, 30, [])) == MAX_QUEUED_PREFIXES
 
 
 def test_a_change_of_phase_is_told_once_and_what_is_no_change_never() -> None:
     outbox, old = GossipOutbox(), _backend("b", "ready", 5)
     outbox.changes([_backend("b", "ready", 6), _backend("new", "ready", 1)], {"b": old})
     outbox.changes([_backend("b", "lost", 4)], {"b": old})
-    outbox.changes([_backend("b", "lost", 9)], {"b": old})  # what a controller does not hear is no news for others
-    assert not any(gossip.news for gossip in play(outbox, 20, []))
+    outbox.changes([_backend("b", "lost", 9)], {"b": old})  # losses are not forwarded
+    assert not any(gossip.changed_backends for gossip in play(outbox, 20, []))
     draining = _backend("b", "draining", 6)
     outbox.changes([draining], {"b": old})
     outbox.changes([draining], {"b": draining})
-    assert [gossip.news for gossip in play(outbox, 20, [], 5.0) if gossip.news] == [(draining,)]
+    assert [gossip.changed_backends for gossip in play(outbox, 20, [], 5.0) if gossip.changed_backends] == [(draining,)]
 
 
 def _backend(key: str, phase: str, call_seq: int) -> Backend:
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Two ends on addresses of this machine: what one learns reaches the other. Waits are for events, never for time."""
+"""Gossip between two proxies on loopback addresses. Tests wait for events, never for a fixed time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cranebank.dataplane.cache_view import CacheView
 from cranebank.dataplane.candidates import Candidates
 from cranebank.membership.neighbour_loads import LoadSums
-from cranebank.membership.neighbours import READINGS_MOST, Neighbours
+from cranebank.membership.neighbours import MAX_PREFILL_REPORTS_PER_S, Neighbours
 from cranebank.programs.edge import Edge
 from cranebank.programs.settings import NodeSettings
 from cranebank.transport import links
@@ -22,16 +22,16 @@
 A, B = "127.0.0.11", "127.0.0.12"
 
 
-class Plane:
-    """A data plane of records; its candidates are the real ones."""
+class FakeDataPlane:
+    """A data plane that records updates; its candidates are real."""
 
     def __init__(self) -> None:
         self.candidates, self.revision, self.document = Candidates(), 0, b""
         self.end: Neighbours | None = None
         self.load: list[tuple[str, int, int]] = []
-        self.notes: list[CachedPrefix] = []
-        self.readings: list[PrefillBegun] = []
-        self.tellers = 0
+        self.cached_prefixes: list[CachedPrefix] = []
+        self.prefills: list[PrefillBegun] = []
+        self.reporters = 0
         self.evacuated: tuple[int, tuple[str, ...]] = (0, ())
         self.changed = asyncio.Event()
 
@@ -72,15 +72,15 @@
             self.changed.set()
 
     def record_cached_prefix(self, note: CachedPrefix) -> None:
-        self.notes.append(note)
+        self.cached_prefixes.append(note)
         self.changed.set()
 
-    def reading_begun(self, told: PrefillBegun) -> None:
-        self.readings.append(told)
+    def reading_begun(self, prefill: PrefillBegun) -> None:
+        self.prefills.append(prefill)
         self.changed.set()
 
     def prefill_reporters(self, proxies: int) -> None:
-        self.tellers = proxies
+        self.reporters = proxies
         self.changed.set()
 
     async def until(self, condition: Callable[[], bool]) -> None:
@@ -100,11 +100,13 @@
         return int(one.getsockname()[1])
 
 
-def play(story: Callable[[Plane, Plane, Neighbours, Neighbours], Coroutine[None, None, None]]) -> None:
-    """Two planes and their ends; only the first was told of the other."""
+def play(
+    scenario: Callable[[FakeDataPlane, FakeDataPlane, Neighbours, Neighbours], Coroutine[None, None, None]],
+) -> None:
+    """Run a scenario with two proxies; only the first knows of the other."""
 
     async def run() -> None:
-        port, planes = _port(), (Plane(), Plane())
+        port, planes = _port(), (FakeDataPlane(), FakeDataPlane())
         first = Neighbours(planes[0], lambda: (A, B), A, port, Random(1))
         second = Neighbours(planes[1], lambda: (), B, port, Random(2))
         planes[0].end, planes[1].end = first, second
@@ -113,7 +115,7 @@
         await first.start()
         await second.start()
         try:
-            await story(*planes, first, second)
+            await scenario(*planes, first, second)
         finally:
             first.stop()
             second.stop()
@@ -122,62 +124,62 @@
 
 
 def test_news_loads_and_notes_reach_the_neighbour() -> None:
-    async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
+    async def scenario(a: FakeDataPlane, b: FakeDataPlane, first: Neighbours, second: Neighbours) -> None:
         a.load = [("i-1", 3, 700)]
         first.read("i-1", "5c1e07a2", 13_300)
-        await b.until(lambda: b.candidates.views["i-1"].others_tokens == 700 and bool(b.notes))
+        await b.until(lambda: b.candidates.views["i-1"].others_tokens == 700 and bool(b.cached_prefixes))
         assert b.candidates.views["i-1"].others_calls == 3
-        assert b.notes == [CachedPrefix("i-1", "5c1e07a2", 13_300)]
+        assert b.cached_prefixes == [CachedPrefix("i-1", "5c1e07a2", 13_300)]
         a.load = []
         await b.until(lambda: b.candidates.views["i-1"].others_calls == 0)
-        assert second.views.neighbours == (A,), "by the shuffle"
+        assert second.views.neighbours == (A,), "learned by the shuffle"
         b.learn([_backend("draining", 2)])
         await a.until(lambda: not a.candidates.may_take("i-1"))
         assert a.candidates.views["i-1"].others_calls == 0
 
-    play(story)
+    play(scenario)
 
 
 def test_who_is_behind_fetches_configuration_and_backends() -> None:
-    async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
+    async def scenario(a: FakeDataPlane, b: FakeDataPlane, first: Neighbours, second: Neighbours) -> None:
         b.configure(b"4 routes")
         b.learn([_backend("ready", 9), _backend("lost", 3, "i-2"), _backend("lost", 3, "i-3")])
         a.learn([_backend("ready", 2, "i-3")])
         await a.until(lambda: a.revision == 4 and a.candidates.records["i-1"].call_seq == 9)
         assert a.document == b"4 routes"
         phases = {name: record.phase for name, record in a.candidates.records.items()}
-        assert phases == {"i-1": "ready", "i-2": "lost", "i-3": "ready"}, "what it holds for lost is no news of ours"
+        assert phases == {"i-1": "ready", "i-2": "lost", "i-3": "ready"}, "a neighbour's loss must not be merged"
         assert second.counters.get("fetched", 0) == 0
 
-    play(story)
+    play(scenario)
 
 
 def test_who_fetches_a_configuration_learns_of_evacuated_zones_before_it() -> None:
-    async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
+    async def scenario(a: FakeDataPlane, b: FakeDataPlane, first: Neighbours, second: Neighbours) -> None:
         b.evacuated = (3, ("z",))
         b.configure(b"4 routes")
         await a.until(lambda: bool(a.evacuated[0] or a.revision))
-        assert a.evacuated == (3, ("z",)), "a proxy that has just started could send there"
+        assert a.evacuated == (3, ("z",)), "otherwise a proxy that has just started could send there"
 
-    play(story)
+    play(scenario)
 
 
 def test_a_reading_is_told_at_once_to_all_that_are_named_and_no_more_than_so_many_a_second() -> None:
-    async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
-        await a.until(lambda: a.tellers == 1)
-        assert b.tellers == 0
+    async def scenario(a: FakeDataPlane, b: FakeDataPlane, first: Neighbours, second: Neighbours) -> None:
+        await a.until(lambda: a.reporters == 1)
+        assert b.reporters == 0
         first.reading_begun(PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25))
-        await b.until(lambda: bool(b.readings))
-        assert b.readings == [PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25)] and not a.readings
+        await b.until(lambda: bool(b.prefills))
+        assert b.prefills == [PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25)] and not a.prefills
         for _ in range(200):
             first.reading_begun(PrefillBegun("i-1", 1))
-        assert 200 - READINGS_MOST - 5 <= first.counters["readings_untold"] <= 200
+        assert 200 - MAX_PREFILL_REPORTS_PER_S - 5 <= first.counters["readings_untold"] <= 200
 
-    play(story)
+    play(scenario)
 
 
 def test_damaged_datagrams_are_dropped_and_counted() -> None:
-    async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
+    async def scenario(a: FakeDataPlane, b: FakeDataPlane, first: Neighbours, second: Neighbours) -> None:
         random = Random(3)
         whole = encode(Gossip(1, 0, 0, (Load("i-1", 1, 1),), (CachedPrefix("i-1", "x", 1),), (_backend("gone", 5),)))
         bad = [b"", b"x", whole[:-1], whole + b"x", whole + whole, encode(Push(1, ())), encode(Fetch(1))]
@@ -189,25 +191,25 @@
         assert first.counters == {"damaged": len(bad)}
         assert a.candidates.may_take("i-1")
 
-    play(story)
+    play(scenario)
 
 
 def test_two_configurations_of_one_revision_are_counted() -> None:
-    async def story(a: Plane, b: Plane, first: Neighbours, second: Neighbours) -> None:
+    async def scenario(a: FakeDataPlane, b: FakeDataPlane, first: Neighbours, second: Neighbours) -> None:
         a.configure(b"4 routes")
         first.datagram(1.0, B, encode(Shuffle((), 4, first.digest, True)))
         assert "digests_differ" not in first.counters
         first.datagram(1.0, B, encode(Shuffle((), 4, first.digest ^ 1, True)))
         assert first.counters["digests_differ"] == 1
 
-    play(story)
+    play(scenario)
 
 
 def test_without_the_port_a_proxy_goes_on_alone() -> None:
     async def run() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind((A, 0))
-            end = Neighbours(Plane(), lambda: (B,), A, taken.getsockname()[1], Random(1))
+            end = Neighbours(FakeDataPlane(), lambda: (B,), A, taken.getsockname()[1], Random(1))
             await end.start()
             end.tick(1.0)
             end.stop()
@@ -219,7 +221,7 @@
     monkeypatch.setattr(links, "DIAL_TIMEOUT_S", 0.2)
 
     async def run() -> None:
-        plane = Plane()
+        plane = FakeDataPlane()
         end = Neighbours(plane, lambda: (), A, _port(), Random(1))
         for now in (0.0, 0.1, 0.7):
             end.datagram(now, B, encode(Gossip(1, 7, 0)))
@@ -250,10 +252,10 @@
         cache.record_prefix("i-1", f"p{number}", 1000, 100_000)
         if number < 980:
             cache.touch("i-1", (("a", 800),), 100_000)
-    assert cache.cached_tokens("i-1", parts) == 800, "used not long ago"
+    assert cache.cached_tokens("i-1", parts) == 800, "recently used"
     for number in range(1000):
         cache.record_prefix("i-1", f"p{number}", 1000, 100_000)
-    assert cache.cached_tokens("i-1", parts) == 0, "the longest unused gives way, whoever told of it"
+    assert cache.cached_tokens("i-1", parts) == 0, "the least recently used is evicted, whichever proxy reported it"
     assert sum(cache.cached_tokens("i-1", ((f"p{number}", 1000),)) for number in range(1000)) <= 80_000
     cache.forget("i-1")
     assert cache.cached_tokens("i-1", (("p999", 1000),)) == 0
--- a/tests/test_warm_up.py
+++ b/tests/test_warm_up.py
@@ -1,4 +1,4 @@
-"""Permits for requests to a cold backend: what all controllers lease, and all proxies send, in any second."""
+"""Permits for requests to a cold backend: the requests that all controllers and proxies allow in any second."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     MAX_PERMIT_LEASE_S,
     PERMIT_RELEASE_DELAY_S,
     PERMIT_REUSE_INTERVAL_S,
-    SECOND_S,
+    RATE_WINDOW_S,
     WarmUpLimit,
     read_limits,
 )
@@ -47,7 +47,7 @@
 def test_the_shares_of_all_controllers_stay_within_the_bound(
     count: int, per_s: float, over: float, slack: float
 ) -> None:
-    """And nothing that may be sent is left over where all of them are there."""
+    """With at least three controllers the shares add up to the bound exactly."""
     known, limit = set(ips(count)), WarmUpLimit(per_s, 3.0)
     shares = [PermitIssuer(0.0, Random(1), ip, 1, RateBound(over, slack)).share(limit, known) for ip in known]
     most = int(min(per_s * PERMIT_REUSE_INTERVAL_S, per_s * over + slack))
@@ -59,11 +59,11 @@
 
 
 def test_permits_are_not_leased_twice_within_a_lease() -> None:
-    """Nor right after it: a request under the earlier lease may have been sent a moment ago."""
+    """Nor right after it: a request under the previous lease may have been sent a moment before."""
     made = issuer()
     made.report_clock(QUIET_S, "link", 100.0)
-    ((_, told),) = made.hand_out(QUIET_S, cold(QUIET_S + 3), set(ips(5)))
-    lease_s = told.valid_until - 100.0
+    ((_, message),) = made.hand_out(QUIET_S, cold(QUIET_S + 3), set(ips(5)))
+    lease_s = message.valid_until - 100.0
     for later in (0.1, lease_s, lease_s + PERMIT_RELEASE_DELAY_S - 0.01):
         made.report_clock(QUIET_S + later, "link", 100.0 + later)
         assert not made.hand_out(QUIET_S + later, cold(QUIET_S + 30), set(ips(5)))
@@ -72,7 +72,7 @@
 
 
 def test_a_controller_that_has_just_started_leases_nothing() -> None:
-    """Its earlier life may have leased its share a moment ago."""
+    """Before its restart it may have leased its share a moment ago."""
     made = issuer(now=50.0)
     for now in (50.0, 50.0 + QUIET_S - 0.01):
         made.report_clock(now, "link", 1.0)
@@ -95,7 +95,7 @@
 
 
 def test_limits_are_read_from_a_configuration() -> None:
-    """Only of services that name one."""
+    """Services without a limit are left out."""
     document = (
         b'{"services":[{"name":"a","warmup_per_s":23.0,"cold_s":3},'
         b'{"name":"b","cold_s":3},{"name":"c","warmup_per_s":0}]}'
@@ -105,16 +105,16 @@
 
 @dataclass
 class SimulatedProxy:
-    """It sends whenever it may, and writes a moment later."""
+    """Sends whenever permits allow it; each call is written after a random dial time."""
 
     clock_offset: float
     cold: ColdBackends
     frozen_until: float = 0.0
-    inbox: list[WarmUpPermits | float] = field(default_factory=list)  # permits, and when the backend is cold until
-    dials: list[tuple[float, float]] = field(default_factory=list)  # when a dial is up, until when it may write
+    inbox: list[WarmUpPermits | float] = field(default_factory=list)  # permits, or the remaining cold time
+    dials: list[tuple[float, float]] = field(default_factory=list)  # when a dial succeeds, and until when it may write
 
     def step(self, now: float, random: Random) -> int:
-        """How many requests it writes at this time."""
+        """Return the number of requests written at this time."""
         if now < self.frozen_until:
             return 0
         clock = now + self.clock_offset
@@ -146,7 +146,7 @@
 
 
 class Fleet:
-    """Controllers and proxies with cuts, freezes, restarts, and a backend that turns cold again and again."""
+    """Controllers and proxies with cuts, freezes and restarts, and a backend that turns cold repeatedly."""
 
     def __init__(self, seed: int, controllers: int, proxies: int) -> None:
         self.random = Random(seed)
@@ -207,7 +207,7 @@
 
     def busiest_second(self) -> int:
         times = sorted(self.written)
-        return max((bisect_left(times, at + SECOND_S - 1e-9) - index for index, at in enumerate(times)), default=0)
+        return max((bisect_left(times, at + RATE_WINDOW_S - 1e-9) - index for index, at in enumerate(times)), default=0)
 
 
 @settings(deadline=None, max_examples=12)
@@ -215,17 +215,17 @@
 def test_no_second_brings_a_cold_backend_more_than_it_bears_whatever_fails(
     seed: int, controllers: int, proxies: int
 ) -> None:
-    """Cuts, freezes, restarts of proxies and controllers, and cold periods that begin again."""
+    """Under cuts, freezes, restarts of proxies and controllers, and cold periods that start over."""
     fleet = Fleet(seed, controllers, proxies)
     fleet.run(RUN_S)
     most = max_permits(LIMIT, BOUND)
     assert fleet.busiest_second() <= most <= LIMIT.per_s * BOUND.over + BOUND.slack
-    assert len(fleet.written) <= LIMIT.per_s * RUN_S + most, "what a backend bears, over the whole time"
+    assert len(fleet.written) <= LIMIT.per_s * RUN_S + most, "a backend's limit, over the whole time"
 
 
 @pytest.mark.parametrize("proxies", [1, 40, 400])
 def test_what_may_be_sent_to_a_cold_backend_is_used(proxies: int) -> None:
-    """In calm, three quarters of the permits of five controllers, four each at least, in every 1.35 s."""
+    """Without faults at least three quarters of the permits of five controllers, four each, are used every 1.35 s."""
     fleet = Fleet(1, 5, proxies)
     fleet.disturb = lambda now: None  # type: ignore[method-assign]
     fleet.cold_until, fleet.knows_until = 20.0, dict.fromkeys(fleet.ips, 20.0)
