--- a/cranebank/transport/__init__.py
+++ b/cranebank/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Frames and held connections between the system's own processes."""
+"""Framing, messages and long-lived connections between the system's own processes."""
--- a/cranebank/transport/frames.py
+++ b/cranebank/transport/frames.py
@@ -1,7 +1,7 @@
-"""Frames on the held connections between the system's own processes: a `construct` header, a msgpack body.
+"""Framing for the connections between the system's own processes: a `construct` header and a msgpack body.
 
-A frame is: magic, kind of body (1), length of the body in bytes, its CRC-32; then the body. Whatever is damaged, too
-long or unknown ends the connection with a typed error; the other side dials again and starts afresh.
+A frame is: magic, kind of body (1), length of the body in bytes, its CRC-32; then the body. A damaged, oversized or
+unknown frame raises a typed error that ends the connection; the peer reconnects with fresh state.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cranebank.transport.messages import Message
 
 MAGIC = 0x6372
-MOST = 9 << 20  # bytes of a body: a configuration of 4 MiB, as a document within a message, and room
+MAX_BODY_BYTES = 9 << 20  # a configuration of 4 MiB, as a document within a message, and headroom
 HEADER = construct.Struct(
     "magic" / construct.Const(MAGIC, construct.Int16ub),
     "kind" / construct.Int16ub,
@@ -28,7 +28,7 @@
 
 
 class BadFrame(Exception):
-    """Bytes that are no frame of ours; ``code`` names what was wrong: magic, length, checksum or body."""
+    """Raised for bytes that are not a valid frame; ``code`` is the invalid part: magic, length, checksum or body."""
 
     def __init__(self, code: str, detail: str = "") -> None:
         super().__init__(f"{code}: {detail}" if detail else code)
@@ -36,63 +36,66 @@
 
 
 def encode_items(items: tuple[msgspec.Struct, ...]) -> msgspec.Raw:
-    """A list within a message, encoded once for many messages."""
+    """Encode a list of items once, for use in many messages."""
     return msgspec.Raw(_encoder.encode(items))
 
 
 def encode(message: object) -> bytes:
-    """The frame that carries a message of ``messages.py``."""
+    """Return the frame that carries a message of ``messages.py``."""
     body = _encoder.encode(message)
-    head: bytes = HEADER.build({"kind": 1, "length": len(body), "checksum": crc32(body)})
-    return head + body
+    header: bytes = HEADER.build({"kind": 1, "length": len(body), "checksum": crc32(body)})
+    return header + body
 
 
 class Decoder:
-    """Bytes in, messages out; holds at most one unfinished frame."""
+    """Incremental frame decoder; buffers at most one incomplete frame."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self._wanted = 0  # length of the body whose header was read; 0: none was
+        self._buffer = bytearray()
+        self._body_length = 0  # of the frame whose header has been read; 0: no header yet
         self._checksum = 0
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that these bytes complete. Raises BadFrame."""
-        self._held += data
-        found: list[Message] = []
+        """Return the messages that these bytes complete. Raises BadFrame."""
+        self._buffer += data
+        messages: list[Message] = []
         while True:
-            if not self._wanted:
-                if len(self._held) < HEADER_BYTES:
-                    return found
+            if not self._body_length:
+                if len(self._buffer) < HEADER_BYTES:
+                    return messages
                 try:
-                    head = HEADER.parse(bytes(self._held[:HEADER_BYTES]))
+                    header = HEADER.parse(bytes(self._buffer[:HEADER_BYTES]))
                 except construct.ConstructError as error:
                     raise BadFrame("magic", type(error).__name__) from None
-                if head.kind != 1 or not 0 < head.length <= MOST:
-                    raise BadFrame("length", f"expected up to {MOST} bytes of kind 1, got {head.length} of {head.kind}")
-                self._wanted, self._checksum = head.length, head.checksum
-                del self._held[:HEADER_BYTES]
-            if len(self._held) < self._wanted:
-                return found
-            body = bytes(self._held[: self._wanted])
-            del self._held[: self._wanted]
-            self._wanted = 0
+                if header.kind != 1 or not 0 < header.length <= MAX_BODY_BYTES:
+                    raise BadFrame(
+                        "length",
+                        f"expected up to {MAX_BODY_BYTES} bytes of kind 1, got {header.length} of {header.kind}",
+                    )
+                self._body_length, self._checksum = header.length, header.checksum
+                del self._buffer[:HEADER_BYTES]
+            if len(self._buffer) < self._body_length:
+                return messages
+            body = bytes(self._buffer[: self._body_length])
+            del self._buffer[: self._body_length]
+            self._body_length = 0
             if crc32(body) != self._checksum:
                 raise BadFrame("checksum")
             try:
-                found.append(_decoder.decode(body))
+                messages.append(_decoder.decode(body))
             except msgspec.MsgspecError as error:
                 raise BadFrame("body", str(error)) from None
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing unfinished is held."""
-        return not self._held and not self._wanted
+        """Whether no incomplete frame is buffered."""
+        return not self._buffer and not self._body_length
 
 
 def decode_datagram(data: bytes) -> Message:
-    """The message of a datagram, which is one whole frame and nothing else. Raises BadFrame."""
+    """Return the message of a datagram, which must be exactly one complete frame. Raises BadFrame."""
     decoder = Decoder()
-    found = decoder.feed(data)
-    if len(found) != 1 or not decoder.is_empty:
+    messages = decoder.feed(data)
+    if len(messages) != 1 or not decoder.is_empty:
         raise BadFrame("length", f"expected one frame in a datagram of {len(data)} bytes")
-    return found[0]
+    return messages[0]
--- a/cranebank/transport/http_client.py
+++ b/cranebank/transport/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client: one connection, one request at a time, and everything seen on it."""
+"""A small HTTP/1.1 client: one request at a time per connection, with timings of what was received."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 
 UNBOUNDED = 1 << 62
 NO_LINGER = struct.pack("ii", 0, 0)
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # linger for no time: what was not delivered yet is dropped
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: close sends a reset and drops undelivered bytes
 
 
 class Answer(msgspec.Struct):
-    """What came back for one request."""
+    """The response to one request. ``whole``: it is complete; ``is_http``: it parsed as HTTP."""
 
     status: int = 0
     headers: dict[str, str] = {}
     body: bytes = b""
     whole: bool = False
     is_http: bool = True
-    pieces: list[tuple[float, int]] = []  # when, and how long the body was then
+    pieces: list[tuple[float, int]] = []  # time of each body chunk, and the body's length then
     ended: float = 0.0
 
 
 class HttpLink(asyncio.Protocol):
-    """A client's connection. ``stray`` hears of bytes that come while nothing is asked; an answer of more than
-    ``max_bytes`` is not whole."""
+    """A client connection. ``on_unsolicited`` is called with bytes that arrive while no request is pending. A response
+    body larger than ``max_bytes`` ends the connection, and the response stays incomplete."""
 
-    def __init__(self, stray: Callable[[bytes], None] | None = None, max_bytes: int = UNBOUNDED) -> None:
-        self._stray, self._most_bytes = stray, max_bytes
+    def __init__(self, on_unsolicited: Callable[[bytes], None] | None = None, max_bytes: int = UNBOUNDED) -> None:
+        self._on_unsolicited, self._max_bytes = on_unsolicited, max_bytes
         self._transport: asyncio.Transport | None = None
         self._answer: Answer | None = None
         self._done: asyncio.Future[None] | None = None
-        self.keep = True
+        self.keep_alive = True
 
     @property
     def is_open(self) -> bool:
-        """Whether another request may be sent."""
-        return self._transport is not None and not self._transport.is_closing() and self.keep
+        """Whether another request may be sent on this connection."""
+        return self._transport is not None and not self._transport.is_closing() and self.keep_alive
 
     async def ask(self, request: bytes, seconds: float, answer: Answer | None = None) -> Answer:
-        """Send a request and wait for all of its answer, no longer than this; the connection ends in doubt."""
+        """Send a request and wait up to ``seconds`` for its response; an incomplete response closes the connection."""
         loop = asyncio.get_running_loop()
         self._answer = answer = answer or Answer()
         answer.pieces = []
@@ -63,39 +63,39 @@
                 await self._done
         except TimeoutError:
             self.close()
-        finally:  # also where the caller was cancelled
+        finally:  # also when the caller was cancelled
             answer.body, answer.ended = b"".join(self._body), loop.time()
             self._answer = self._done = None
             if not answer.whole:
                 self.close()
         return answer
 
-    def reset_on_close(self, is_wanted: bool) -> None:
-        """Whether its end drops bytes that were not delivered yet: without, they may reach the other side later."""
+    def reset_on_close(self, is_enabled: bool) -> None:
+        """Set whether closing resets the connection and drops undelivered bytes, which may otherwise still arrive."""
         connection = self._transport.get_extra_info("socket") if self._transport is not None else None
         if connection is not None:
-            linger = RESET_ON_CLOSE if is_wanted else NO_LINGER
+            linger = RESET_ON_CLOSE if is_enabled else NO_LINGER
             with contextlib.suppress(OSError):
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
     def close(self) -> None:
-        """End it now."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
-        self.keep = False
+        self.keep_alive = False
 
-    # What asyncio calls.
+    # asyncio.Protocol callbacks.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of an answer, or of none."""
+        """Feed the pending response; unsolicited bytes close the connection."""
         answer = self._answer
         if answer is None or answer.whole:
-            if self._stray is not None:
-                self._stray(data)
+            if self._on_unsolicited is not None:
+                self._on_unsolicited(data)
             self.close()
             return
         try:
@@ -106,64 +106,64 @@
             self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
-        self._transport, self.keep = None, False
+        """End the pending request."""
+        self._transport, self.keep_alive = None, False
         self._end()
 
     def _end(self) -> None:
         if self._done is not None and not self._done.done():
             self._done.set_result(None)
 
-    # What the parser calls.
+    # httptools callbacks.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field of the head."""
+        """Collect a header field."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """The head is there."""
+        """Store status and headers of a final response; 1xx responses are skipped."""
         if self._answer is not None and self._parser.get_status_code() >= 200:
             self._answer.status, self._answer.headers = self._parser.get_status_code(), self._headers
 
     def on_body(self, body: bytes) -> None:
-        """Part of the body."""
+        """Collect a body chunk; raises ValueError beyond the size limit, which the parser turns into an error."""
         self._size += len(body)
-        if self._size > self._most_bytes:
-            raise ValueError("an answer that is too large")
+        if self._size > self._max_bytes:
+            raise ValueError("response body exceeds the size limit")
         self._body.append(body)
         if self._answer is not None:
             self._answer.pieces.append((asyncio.get_running_loop().time(), self._size))
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
+        """Mark a final response as complete."""
         if self._answer is not None and self._answer.status:
             self._answer.whole = True
-            self.keep = self.keep and bool(self._parser.should_keep_alive())
+            self.keep_alive = self.keep_alive and bool(self._parser.should_keep_alive())
             self._end()
 
 
 async def connect(
     address: str,
     seconds: float = 1.0,
-    stray: Callable[[bytes], None] | None = None,
+    on_unsolicited: Callable[[bytes], None] | None = None,
     max_bytes: int = UNBOUNDED,
     local_ip: str = "",
 ) -> HttpLink | None:
-    """A connection, or none if it isn't up in time or the address can't be read. ``local_ip``: what it comes from; else
-    the system chooses."""
+    """Return a connection, or None if it isn't established in time or the address is invalid. ``local_ip`` is the
+    source address; by default the system chooses."""
     host, _, port = address.rpartition(":")
-    link = HttpLink(stray, max_bytes)
+    link = HttpLink(on_unsolicited, max_bytes)
     local = (local_ip, 0) if local_ip else None
     try:
         async with asyncio.timeout(seconds):
             await asyncio.get_running_loop().create_connection(lambda: link, host, int(port), local_addr=local)
-    except (OSError, ValueError):  # TimeoutError is an OSError; an address that can't be read is a ValueError
+    except (OSError, ValueError):  # TimeoutError is an OSError; an invalid port is a ValueError
         return None
     return link
 
 
 def request_bytes(method: str, path: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """A request as it goes on the wire."""
+    """Return the encoded request."""
     lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
     if body or method == "POST":
         lines.append(f"Content-Length: {len(body)}")
@@ -179,15 +179,15 @@
     headers: dict[str, str] | None = None,
     local_ip: str = "",
 ) -> Answer:
-    """One request over a connection of its own."""
+    """Send one request over its own connection; an empty ``Answer`` if the connection failed."""
     link = await connect(address, seconds, local_ip=local_ip)
     if link is None:
         return Answer()
     try:
-        told = {"Host": address, **(headers or {})}
+        all_headers = {"Host": address, **(headers or {})}
         if body:
-            told["Content-Type"] = "application/json"
-        return await link.ask(request_bytes(method, path, told, body), seconds)
+            all_headers["Content-Type"] = "application/json"
+        return await link.ask(request_bytes(method, path, all_headers, body), seconds)
     finally:
         with contextlib.suppress(RuntimeError):
             link.close()
--- a/cranebank/transport/links.py
+++ b/cranebank/transport/links.py
@@ -1,11 +1,10 @@
-"""Held connections: thin asyncio ends that carry messages and notice silence.
+"""Long-lived connections between processes: asyncio protocols that carry messages and detect dead peers.
 
-What belongs to one connection is known by its ``Link``: an owner keys its state by that object, and hears nothing of a
-link that is over, so nothing of an older connection can pass for the newer one's. A peer's next life says another
-``Hello.life``.
+Owners key the state of a connection by its ``Link`` object and get no callback for a link after its end, so a message
+of an older connection can't be taken for one of a newer connection. A restarted peer sends another ``Hello.life``.
 
-A link is given up when nothing came for ``LINK_TIMEOUT_S``, when its frames are damaged, or when its peer does not read
-and more than ``BACKLOG`` bytes wait for it: whoever dialled it dials again and gets a fresh state instead.
+A link is closed when nothing was received for ``LINK_TIMEOUT_S``, when a frame is damaged, or when its peer does not
+read and more than ``MAX_SEND_BUFFER_BYTES`` are queued for it. The side that dialled then reconnects with fresh state.
 """
 
 from __future__ import annotations
@@ -21,24 +20,24 @@
 from cranebank.transport.frames import BadFrame, Decoder, encode
 from cranebank.transport.messages import LinkHeartbeat, Message
 
-BACKLOG = 12 << 20  # bytes that wait for a peer: one configuration of the largest size, and room
+MAX_SEND_BUFFER_BYTES = 12 << 20  # one configuration of the largest size, and headroom
 LINK_HEARTBEAT_INTERVAL_S = 0.4
-LINK_TIMEOUT_S = 1.3  # three pulses: a link is noticed dead well within the time that a drain has to bind
-DIAL_TIMEOUT_S = 0.35  # a machine without power says nothing: one that comes back is not waited on for long
-REDIAL_BACKOFF_S = (0.05, 0.2)  # first pause and longest
+LINK_TIMEOUT_S = 1.3  # three heartbeats: a dead link is detected well within the time that a drain has to take effect
+DIAL_TIMEOUT_S = 0.35  # a machine without power never answers; a short time-out reconnects soon after it returns
+REDIAL_BACKOFF_S = (0.05, 0.2)  # initial and longest pause
 
 
 class Owner(Protocol):
-    """Who hears of links."""
+    """Receives the callbacks of links."""
 
     def link_up(self, link: Link) -> None:
-        """A connection stands."""
+        """Called when a connection is established."""
 
     def link_message(self, link: Link, message: Message) -> None:
-        """A message came."""
+        """Called for each message received."""
 
     def link_down(self, link: Link) -> None:
-        """It is over; no more messages come."""
+        """Called when a connection has ended; no more messages follow."""
 
 
 class Link(asyncio.Protocol):
@@ -51,14 +50,14 @@
         self.peer, self.up = "", False
         self.last_received_at = 0.0  # steady clock, seconds
         self._timer: asyncio.TimerHandle | None = None
-        self.ended = asyncio.Event()  # set once the connection is over, also one that was over before it was up
+        self.ended = asyncio.Event()  # set when the connection has ended, even if it was never up
         self.make_heartbeat: Callable[[], LinkHeartbeat] = LinkHeartbeat  # makes the heartbeats
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by inheritance
+        """Start the heartbeats and notify the owner."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         address = transport.get_extra_info("peername")
-        if address is None:  # it was reset before we came to look at it: nobody hears of it
+        if address is None:  # reset before this callback ran: the owner is not notified
             transport.abort()
             return
         self._transport = transport
@@ -68,11 +67,11 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(LINK_TIMEOUT_S * 1000))
         loop = asyncio.get_running_loop()
         self.last_received_at = loop.time()
-        self._timer = loop.call_later(LINK_HEARTBEAT_INTERVAL_S, self._beat)
+        self._timer = loop.call_later(LINK_HEARTBEAT_INTERVAL_S, self._send_heartbeat)
         self._owner.link_up(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of frames."""
+        """Decode frames and pass their messages to the owner."""
         if not self.up:
             return
         self.last_received_at = asyncio.get_running_loop().time()
@@ -88,7 +87,7 @@
             self._owner.link_message(self, message)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Notify the owner if it knows of the link, and set ``ended``."""
         if self._timer is not None:
             self._timer.cancel()
         if self.up or self._transport is not None:
@@ -98,50 +97,50 @@
         self.ended.set()
 
     def send(self, message: Message) -> bool:
-        """Whether it was taken; a link that is over takes nothing."""
+        """Queue a message; return False if the link is down."""
         return self.send_frame(encode(message))
 
     def send_frame(self, frame: bytes) -> bool:
-        """Send an encoded frame, the same for many links."""
+        """Queue an encoded frame, which may be shared by many links; return False if the link is down."""
         if not self.up or self._transport is None:
             return False
-        if self._transport.get_write_buffer_size() > BACKLOG:
-            logger.warning("link to {}: it does not read", self.peer)
+        if self._transport.get_write_buffer_size() > MAX_SEND_BUFFER_BYTES:
+            logger.warning("link to {}: send buffer full, closing: the peer does not read", self.peer)
             self.close()
             return False
         self._transport.write(frame)
         return True
 
     def abandon(self) -> None:
-        """The dial was given up. Where the connection came up in the same turn of the loop, the loop closes it and
-        tells nobody: whoever heard that it is up must hear that it is over."""
+        """End a link whose dial has failed. If the connection came up in the same turn of the event loop, the loop
+        closes it without calling ``connection_lost``; an owner that was told of the link must be told of its end."""
         self.close()
         self.connection_lost(None)
 
     def close(self) -> None:
-        """End it now. Whoever waits for its end hears of it in the next turn, also where the event loop has closed the
-        connection already and told nobody."""
+        """Abort the connection. ``connection_lost`` runs in the next turn of the event loop, even if the loop has
+        closed the connection already without calling it."""
         self.up = False
         if self._transport is not None:
             self._transport.abort()
             asyncio.get_running_loop().call_soon(self.connection_lost, None)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         loop = asyncio.get_running_loop()
         if loop.time() - self.last_received_at > LINK_TIMEOUT_S:
             self.close()
             return
         self.send(self.make_heartbeat())
-        self._timer = loop.call_later(LINK_HEARTBEAT_INTERVAL_S, self._beat)
+        self._timer = loop.call_later(LINK_HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
 
 class Dialer:
-    """Keeps one held connection to an address, dialling again for as long as it is wanted.
+    """Keeps one connection to an address open and redials it until stopped.
 
-    It sleeps while its link stands: the end of the link wakes it, and one timer brings the next attempt. After a link
-    that was lost this is the first pause of ``REDIAL_BACKOFF_S``; a link that did not even last that long is paid for
-    with the rest of it, so that a peer that accepts and closes at once is not dialled without end. After attempts that
-    came to nothing the pauses double, up to the longest.
+    It sleeps while its link is up; the end of the link wakes it, and a single timer starts the next attempt. After a
+    lost link the pause is the initial one of ``REDIAL_BACKOFF_S``, plus the rest of that time if the link lasted less,
+    so that a peer that accepts and closes at once is not redialled in a tight loop. After failed attempts the pause
+    doubles up to the longest.
     """
 
     def __init__(self, owner: Owner, local_ip: str, ip: str, port: int) -> None:
@@ -151,7 +150,7 @@
         self._task = background.start(self._run())
 
     def stop(self) -> None:
-        """End the connection, and dial no more."""
+        """Close the connection and stop dialling."""
         self._task.cancel()
         if self.link is not None:
             self.link.close()
@@ -166,30 +165,30 @@
                 pause = min(2 * pause, longest)
                 continue
             pause = shortest
-            lasted = await self._hold(link)
+            lasted = await self._wait_until_down(link)
             await asyncio.sleep(pause + max(0.0, shortest - lasted))
 
     async def _dial(self) -> Link | None:
-        """One attempt; None when it was refused or nothing answered in time."""
+        """Make one attempt; return None if it was refused or timed out."""
         try:
             return await dial(self._owner, self._local, self.ip, self._port)
         except OSError:  # TimeoutError is one
             return None
-        except Exception as error:  # whatever it is, this peer is dialled on
+        except Exception as error:  # an unexpected error must not end the redialling
             background.report_unhandled(f"dial of {self.ip}", error)
             return None
 
-    async def _hold(self, link: Link) -> float:
-        """Wait until the link is over; for how long it stood."""
-        begun = self._loop.time()
+    async def _wait_until_down(self, link: Link) -> float:
+        """Wait until the link is down; return how long it was up, in seconds."""
+        started_at = self._loop.time()
         self.link = link
         await link.ended.wait()
         self.link = None
-        return self._loop.time() - begun
+        return self._loop.time() - started_at
 
 
 async def dial(owner: Owner, local_ip: str, ip: str, port: int) -> Link:
-    """A link that stands. Raises OSError where it doesn't in time."""
+    """Return an established link. Raises OSError if the dial fails or times out."""
     link = Link(owner, True)
     is_connected = False
     try:
@@ -203,6 +202,6 @@
 
 
 async def listen(owner: Owner, ip: str, port: int) -> asyncio.Server:
-    """Accept links."""
+    """Return a server that accepts links."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: Link(owner, False), ip, port, reuse_address=True, backlog=512)
--- a/cranebank/transport/messages.py
+++ b/cranebank/transport/messages.py
@@ -1,16 +1,16 @@
-"""What the system's own processes say to one another, as typed records; `frames.py` carries them.
-
-A proxy dials every controller and says Hello; the controller answers Welcome and from then on pushes: numbered lists of
-changed backends (Push, acknowledged by number) and configurations (ConfigPush, acknowledged by ConfigAck). Between
-controllers the same link carries the custody's messages, wrapped in Custodial, and the registry's (RegistrySync, and
-RegistryAck for those that have a number). Controllers without a connection to each other send the registry's by way of
-proxies (RelayTo, which goes on as Relayed). The primary tells proxies of backends that change their stage (HoldOff);
-every controller tells them the zones that are evacuated (Evacuations, acknowledged by EvacuationsAck), and leases them
-permits to send to cold backends (WarmUpPermits).
-Controllers send one another adds to tallies (TallyAdds), what they hold of them (TallyVector, which is also the
-acknowledgement), and what is folded to one that lacks it (TallyBase).
-Between proxies Shuffle and Gossip go as datagrams; Fetch, and its answer by ConfigPush and Push, over a connection.
-Everybody sends Pulse when there is nothing else, so that silence means trouble.
+"""Typed messages between the system's own processes; `frames.py` encodes them.
+
+A proxy dials every controller and sends Hello. The controller replies with Welcome and from then on pushes numbered
+lists of changed backends (Push, acknowledged by number) and configurations (ConfigPush, acknowledged by ConfigAck).
+Between controllers the same link carries the consensus messages, wrapped in ConsensusEnvelope, and the registry's
+messages (RegistrySync, and RegistryAck for those that have a number). Controllers without a connection to each other
+relay registry messages through proxies (RelayTo, forwarded as Relayed). The primary announces backends that change
+their stage to proxies (HoldOff); every controller sends them the evacuated zones (Evacuations, acknowledged by
+EvacuationsAck) and leases them permits to send to cold backends (WarmUpPermits).
+Controllers exchange adds to tallies (TallyAdds), the vectors of the adds that they hold (TallyVector, which is also the
+acknowledgement), and the folded sums for a peer that lacks them (TallyBase).
+Between proxies Shuffle, Gossip and PrefillBegun are datagrams; Fetch, answered by ConfigPush and Push, uses a
+connection. Both ends of a connection send LinkHeartbeat at a fixed interval, so that a silent peer is known to be dead.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 
 class Backend(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One incarnation of a backend, as its own newest heartbeat told. ``phase``: ready, draining, gone (it left,
-    never to come back) or lost (its heartbeats ceased; a later one lifts this)."""
+    """One incarnation of a backend, as reported by its newest heartbeat. ``phase``: ready, draining, gone (it has left
+    for good) or lost (its heartbeats have stopped; a later heartbeat revokes this)."""
 
     id: str
     target: str  # the service
@@ -35,61 +35,61 @@
 
 
 class Hello(msgspec.Struct, frozen=True, tag=1, array_like=True):
-    """First message of whoever dials. ``life`` is drawn at each start of a process."""
+    """First message of the dialling side. ``life`` is a random number drawn at each start of a process."""
 
     name: str
     role: str  # proxy or controller
     ip: str
     zone: str
     life: int
-    revision: int = 0  # of the configuration that it has; 0: none
-    backends: tuple[Backend, ...] = ()  # all that it knows: what a controller lost is rebuilt from these
+    revision: int = 0  # of the sender's configuration; 0: none
+    backends: tuple[Backend, ...] = ()  # all that the sender knows: a controller rebuilds a lost registry from them
 
 
 class Welcome(msgspec.Struct, frozen=True, tag=2, array_like=True):
-    """The answer to Hello, and again whenever it changes: all controllers' IPs, and how many proxies there are."""
+    """Reply to Hello, sent again whenever it changes: the IPs of all controllers, and the number of proxies."""
 
     name: str
     controllers: tuple[str, ...]
     proxies: int
-    neighbours: tuple[str, ...] = ()  # IPs of some proxies, drawn by lot, for the shuffled views
+    neighbours: tuple[str, ...] = ()  # IPs of randomly chosen proxies, to bootstrap the partial views
 
 
 class Push(msgspec.Struct, frozen=True, tag=3, array_like=True):
-    """Backends that changed; ``number`` rises by one within a connection."""
+    """Changed backends; ``number`` increases by one within a connection."""
 
     number: int
     backends: tuple[Backend, ...]
 
 
 class EncodedPush(msgspec.Struct, frozen=True, tag=3, array_like=True):
-    """A Push whose backends are encoded already, once for many links. Read as Push."""
+    """A Push whose backends are already encoded, once for many links. Decoded as Push."""
 
     number: int
     backends: msgspec.Raw
 
 
 class PushAck(msgspec.Struct, frozen=True, tag=4, array_like=True):
-    """All pushes up to ``number`` bind from now on."""
+    """All pushes up to ``number`` have taken effect at the sender."""
 
     number: int
 
 
 class ConfigPush(msgspec.Struct, frozen=True, tag=5, array_like=True):
-    """A committed configuration; ``document`` is JSON as the operator's page describes."""
+    """A committed configuration; ``document`` is JSON as in the operator's API."""
 
     revision: int
     document: bytes
 
 
 class ConfigAck(msgspec.Struct, frozen=True, tag=6, array_like=True):
-    """This revision, or a later one, is in force here."""
+    """This revision, or a later one, is in force at the sender."""
 
     revision: int
 
 
 class StageLoad(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What is asked of the stages of a service, in erlangs: so many backends are kept busy by it."""
+    """The load offered to the stages of a service, in erlangs: the number of backends that it keeps busy."""
 
     service: str
     prefill: float
@@ -97,9 +97,10 @@
 
 
 class LinkHeartbeat(msgspec.Struct, frozen=True, tag=7, array_like=True):
-    """A heartbeat; ``revision`` of the configuration in force at the sender. From a controller also whether it
-    knows, by contact with a majority within a lease's length, that this is the newest one, and the newest epoch. From
-    a proxy what it asks of backends, by service, and its steady clock (0: no permits are wanted)."""
+    """A heartbeat. ``revision`` is that of the configuration in force at the sender. A controller adds ``epoch``, the
+    newest it knows, and ``is_current``: by contact with a majority within the length of a lease it knows that no
+    configuration is newer. A proxy adds the load that it offers to each service, and its steady clock (0: it needs no
+    permits)."""
 
     revision: int = 0
     is_current: bool = False
@@ -109,30 +110,31 @@
 
 
 class HoldOff(msgspec.Struct, frozen=True, tag=16, array_like=True):
-    """From the primary to proxies: this backend is about to change its stage and runs nothing new meanwhile. Nothing is
-    sent there for so long, or until its new stage is told; 0 takes it back."""
+    """From the primary to proxies: this backend is about to change its stage and accepts no new calls meanwhile.
+    Proxies send it nothing for ``seconds``, or until its new stage is announced; 0 revokes this."""
 
     backend: str
     seconds: float
 
 
 class Evacuations(msgspec.Struct, frozen=True, tag=21, array_like=True):
-    """To proxies, before the backends: the zones to whose backends nothing more is sent. A higher ``number`` is newer;
-    answered by EvacuationsAck. Between proxies it comes ahead of a fetched configuration, unanswered."""
+    """To proxies, sent ahead of the backends: the evacuated zones, whose backends get no more calls. A higher
+    ``number`` is newer; acknowledged by EvacuationsAck. Between proxies it precedes a fetched configuration and is not
+    acknowledged."""
 
     number: int
     zones: tuple[str, ...]
 
 
 class EvacuationsAck(msgspec.Struct, frozen=True, tag=22, array_like=True):
-    """The evacuations of this number, or of a later one, bind from now on."""
+    """The evacuations of this number, or of a later one, have taken effect at the sender."""
 
     number: int
 
 
 class WarmUpPermits(msgspec.Struct, frozen=True, tag=23, array_like=True):
-    """From a controller to a proxy, behind the push that tells that this backend is cold: so many permits to send to
-    it, until ``valid_until`` of the proxy's own clock."""
+    """From a controller to a proxy, after the push that marks this backend as cold: a lease of ``permits`` permits to
+    send to it, until ``valid_until`` of the proxy's own clock."""
 
     backend: str
     permits: int
@@ -140,15 +142,15 @@
 
 
 class ConsensusEnvelope(msgspec.Struct, frozen=True, tag=8, array_like=True):
-    """A message of the custody's core, as msgpack."""
+    """A consensus message between controllers, as msgpack."""
 
     body: bytes
 
 
 class RegistrySync(msgspec.Struct, frozen=True, tag=9, array_like=True):
-    """Between controllers: backends that changed, and who was heard lately: id, call_seq, age of it in ms. A
-    ``number`` other than 0 asks for a RegistryAck; it covers everything sent before on the same connection.
-    ``requested_ids`` are ids of backends whose records are to be sent back: they were heard, and the sender holds them
+    """Between controllers: changed backends, and recent heartbeats as (id, call_seq, age in ms). A ``number`` other
+    than 0 requests a RegistryAck, which covers everything sent before on the same connection. ``requested_ids`` name
+    backends whose records the receiver is to send back: the sender has learned of their heartbeats, but holds them
     for lost or has no record of them."""
 
     backends: tuple[Backend, ...] = ()
@@ -158,30 +160,30 @@
 
 
 class RegistryAck(msgspec.Struct, frozen=True, tag=13, array_like=True):
-    """Between controllers: the records of the RegistrySync of this number, and of all before it on this connection,
-    are taken, and pushed to the sender's proxies."""
+    """Between controllers: the records of the RegistrySync of this number, and of all earlier ones on this connection,
+    have been merged and pushed to the acknowledging controller's proxies."""
 
     number: int
 
 
 class RelayTo(msgspec.Struct, frozen=True, tag=14, array_like=True):
-    """From a controller to a proxy: pass this on to a controller that the sender has no connection to."""
+    """From a controller to a proxy: forward this to a controller that the sender has no connection to."""
 
     destination: str  # IP
     sync: RegistrySync
 
 
 class Relayed(msgspec.Struct, frozen=True, tag=15, array_like=True):
-    """From a proxy to a controller: what another controller has sent by way of this proxy."""
+    """From a proxy to a controller: a message that another controller sent through this proxy."""
 
     source: str  # IP
     sync: RegistrySync
 
 
 class Shuffle(msgspec.Struct, frozen=True, tag=10, array_like=True):
-    """Between proxies: part of the sender's view as (IP, age in rounds), and which configuration it has. Whoever
-    gets one that is no reply sends one back with the same ``exchange``, which was drawn for it and names it alone.
-    Who is behind asks with Fetch."""
+    """Between proxies: part of the sender's view as (IP, age in rounds), and the revision of its configuration. The
+    receiver replies to a request with the same ``exchange``, a random number that identifies it. A proxy with an
+    older configuration sends Fetch."""
 
     view: tuple[tuple[str, int], ...]
     revision: int
@@ -191,13 +193,13 @@
 
 
 class Fetch(msgspec.Struct, frozen=True, tag=11, array_like=True):
-    """Send your configuration (ConfigPush) if it is newer than this revision."""
+    """Requests the receiver's configuration (ConfigPush) if it is newer than this revision."""
 
     revision: int
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What the sender itself has out at a backend: calls, and tokens to be read."""
+    """What the sender itself has outstanding at a backend: calls, and prompt tokens not read yet."""
 
     backend: str
     calls: int
@@ -205,7 +207,7 @@
 
 
 class CachedPrefix(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A backend has just read a prompt up to and with this shared part: so many tokens, all of which it keeps."""
+    """A backend has just read, and now caches, a prompt up to and including this shared part: ``tokens`` in all."""
 
     backend: str
     part: str
@@ -213,9 +215,10 @@
 
 
 class PrefillBegun(msgspec.Struct, frozen=True, tag=17, array_like=True):
-    """Between proxies: the sender has just asked a prefill backend to read so many tokens. ``part``: the deepest of the
-    prompt's shared parts where these are long, else nothing; ``shared``: tokens up to and with it. ``slowness``: how
-    many times the estimate a reading there took that the sender has observed since it told last; 0: none."""
+    """Between proxies: the sender has just asked a prefill backend to read ``tokens`` tokens. ``part`` is the deepest
+    of the prompt's shared parts if these are long, else empty; ``shared`` counts the tokens up to and including it.
+    ``slowness`` is the ratio of actual to estimated reading time there that the sender has observed since its last
+    report; 0: none observed."""
 
     backend: str
     tokens: int
@@ -225,8 +228,8 @@
 
 
 class Gossip(msgspec.Struct, frozen=True, tag=12, array_like=True):
-    """Between proxies, to every neighbour: which configuration the sender has, its own loads, notes of prompts that
-    were read, and backends whose phase changed. ``number`` rises with each; it orders the loads."""
+    """Between proxies, to every neighbour: the sender's configuration revision, its own loads, newly cached prefixes,
+    and backends whose phase changed. ``number`` increases with each datagram and orders the loads."""
 
     number: int
     revision: int
@@ -237,8 +240,8 @@
 
 
 class TallyAdd(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One add to a tally. ``origin`` is one life of the controller that took it, and ``number`` rises by one within
-    it, from 1; ``id`` is the caller's, and counts once."""
+    """One add to a tally. ``origin`` is one life of the controller that accepted it; ``number`` increases by one within
+    it, from 1. ``id`` is the caller's idempotency key: adds with the same id count once."""
 
     origin: str
     number: int
@@ -248,18 +251,17 @@
 
 
 class TallyAdds(msgspec.Struct, frozen=True, tag=18, array_like=True):
-    """Between controllers: adds that the receiver lacks, in order within each origin. ``replica``: the sender's life,
-    which names its origin too."""
+    """Between controllers: adds that the receiver lacks, in order within each origin. ``replica`` identifies the
+    sender's life, and is the origin of its own adds."""
 
     replica: str
     adds: tuple[TallyAdd, ...]
 
 
 class TallyVector(msgspec.Struct, frozen=True, tag=19, array_like=True):
-    """Between controllers: the highest number of each origin that the sender holds, all below it included:
-    ``applied`` in memory, ``durable`` on its disk, ``folded`` of which it holds only the sums. ``needs_resend``: adds
-    came out of order and were dropped; what was sent before doesn't count as sent. ``is_partial``: of the origins that
-    it doesn't name nothing is told."""
+    """Between controllers: the highest number of each origin up to which the sender has all adds: ``applied`` in
+    memory, ``durable`` on disk, ``folded`` as sums only. ``needs_resend``: adds arrived out of order and were dropped,
+    so that unconfirmed adds must be sent again. ``is_partial``: origins that are not listed are unchanged."""
 
     replica: str
     domain: str  # the sender's failure domain
@@ -271,8 +273,8 @@
 
 
 class TallyBase(msgspec.Struct, frozen=True, tag=20, array_like=True):
-    """Between controllers, to one that lacks adds of which the sender holds only the sums. A total is a decimal number
-    as text: it may be longer than 64 bits."""
+    """Between controllers: the folded sums, for a receiver that lacks adds which the sender has folded. A total is a
+    decimal number as text, as it may exceed 64 bits."""
 
     replica: str
     folded: dict[str, int]
--- a/tests/test_dialer.py
+++ b/tests/test_dialer.py
@@ -1,4 +1,4 @@
-"""The dialer of held connections, on the simulated loop and network: when it dials, and that it sleeps in between."""
+"""Timing of the dialer on the simulated loop and network: when it dials, and that it sleeps in between."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 HERE, THERE, SILENT, REFUSING = "10.0.0.1", "10.0.0.2", "10.0.0.3", "10.0.0.4"
 PORT = 7000
-NETWORK_S = 0.01  # more than a connection takes to be made or refused, and less than any pause
+NETWORK_S = 0.01  # longer than a connection takes to be established or refused, shorter than any pause
 SHORTEST_S, LONGEST_S = REDIAL_BACKOFF_S
 
 
 class Owner:
-    """Keeps the links that stand."""
+    """Keeps the links that are up."""
 
     def __init__(self) -> None:
         self.up: list[Link] = []
         self.closes_at_once = False
 
     def link_up(self, link: Link) -> None:
-        """A connection stands."""
+        """Add the link, and close it if configured."""
         self.up.append(link)
         if self.closes_at_once:
             link.close()
 
     def link_message(self, link: Link, message: Message) -> None:
-        """Nothing is done with it."""
+        """Ignore the message."""
 
     def link_down(self, link: Link) -> None:
-        """It is over."""
+        """Remove the link."""
         self.up.remove(link)
 
 
 class CountingNetwork(Network):
-    """Notes when each address is dialled."""
+    """Records when each address is dialled."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         super().__init__(scheduler, 1)
@@ -53,26 +53,26 @@
     async def connect(
         self, loop: ProcessLoop, factory: Callable[[], Any], local: str, remote: str, port: int
     ) -> tuple[Transport, Any]:
-        """Note the time, and dial."""
+        """Record the time, and dial."""
         self.dialled[remote].append(self.scheduler.now)
         return await super().connect(loop, factory, local, remote, port)
 
 
 class CountingLoop(ProcessLoop):
-    """Counts its timers: each is a wake-up of the process."""
+    """Counts its timers; each wakes the process once."""
 
     timers = 0
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """Count it."""
+        """Count the timer."""
         self.timers += 1
         return super().call_at(when, callback, *args, context=context)
 
 
 class Scene:
-    """One process that dials, and one that accepts."""
+    """A dialling process and an accepting one."""
 
     def __init__(self) -> None:
         self.scheduler = Scheduler()
@@ -85,30 +85,30 @@
         self.network.without_power.add(SILENT)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         self.scheduler.run_until(self.scheduler.now + seconds)
         assert self.loop.errors == [] == self.other_loop.errors
 
     def dial(self, *ips: str) -> list[Dialer]:
-        """Keep links to these addresses."""
+        """Start dialers for these addresses."""
         dialers: list[Dialer] = []
         self.loop.call_soon(lambda: dialers.extend(Dialer(self.owner, HERE, ip, PORT) for ip in ips))
         self.run(NETWORK_S)
         return dialers
 
     def call(self, what: Callable[[], object]) -> None:
-        """Do something within the process that dials."""
+        """Call something within the dialling process."""
         self.loop.call_soon(what)
         self.run(0.0)
 
     def pauses(self, ip: str) -> list[float]:
-        """Times between the attempts at an address."""
+        """Return the times between the attempts at an address."""
         dialled = self.network.dialled[ip]
         return [later - earlier for earlier, later in pairwise(dialled)]
 
 
 def test_a_dialer_whose_link_stands_wakes_nobody() -> None:
-    """Only the link's own heartbeats have timers, however many links there are."""
+    """Only the heartbeats of the link itself use timers."""
     scene = Scene()
     (dialer,) = scene.dial(THERE)
     assert dialer.link is not None and scene.owner.up == [dialer.link]
@@ -203,7 +203,7 @@
 
 
 def test_a_link_that_was_reset_before_anybody_looked_at_it_is_dialled_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its transport has no peer name any more: the owner never hears of it, and the dialer must not wait for it."""
+    """Such a transport has no peer name: the owner isn't notified of it, and the dialer must not wait for its end."""
     scene = Scene()
     original = Transport.get_extra_info
     nameless = iter([True])
@@ -238,7 +238,7 @@
 def test_a_dial_that_is_given_up_in_the_instant_in_which_it_succeeds_leaves_no_link(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whether a link that came too late was up for a moment or not, one remains."""
+    """Exactly one link remains, whether or not the one that came too late was up for a moment."""
     for tenths_of_ms in range(1, 40):
         monkeypatch.setattr(links, "DIAL_TIMEOUT_S", tenths_of_ms / 10_000)
         scene = Scene()
--- a/tests/test_link_faults.py
+++ b/tests/test_link_faults.py
@@ -1,4 +1,4 @@
-"""Links between own processes: resets, ends, damage and silence at every byte, and what an older connection leaves."""
+"""Faults of links between processes: resets, ends, damage and silence at every byte, and leftovers of old links."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def whole_within(count: int) -> tuple[Message, ...]:
-    """The messages that are whole within so many bytes."""
+    """Return the messages that are complete within the first ``count`` bytes."""
     return SENT[: sum(end <= count for end in ENDS)]
 
 
 class Owner:
-    """Keeps all that links tell, by link."""
+    """Records all callbacks, by link."""
 
     def __init__(self) -> None:
         self.up: list[Link] = []
@@ -41,35 +41,35 @@
         self.closes_at: type[Message] | None = None
 
     def link_up(self, link: Link) -> None:
-        """A connection stands."""
+        """Record the link."""
         self.up.append(link)
         self.heard[link] = []
 
     def link_message(self, link: Link, message: Message) -> None:
-        """A message came."""
-        assert link not in self.down, "a message behind the end of its link"
+        """Record the message; close the link if configured."""
+        assert link not in self.down, "a message after the end of its link"
         if not isinstance(message, LinkHeartbeat):
             self.heard[link].append(message)
         if self.closes_at is not None and isinstance(message, self.closes_at):
             link.close()
 
     def link_down(self, link: Link) -> None:
-        """It is over."""
+        """Record the end."""
         self.down.append(link)
 
 
-Story = Callable[[Owner, tuple[str, int]], Awaitable[None]]
+Scenario = Callable[[Owner, tuple[str, int]], Awaitable[None]]
 
 
-def play(story: Story) -> Owner:
-    """A listener for links, and somebody who dials it."""
+def play(scenario: Scenario) -> Owner:
+    """Run a scenario against a listener for links."""
     owner = Owner()
 
     async def run() -> None:
         server = await listen(owner, HERE, 0)
         try:
             async with asyncio.timeout(20):
-                await story(owner, server.sockets[0].getsockname())
+                await scenario(owner, server.sockets[0].getsockname())
         finally:
             server.close()
 
@@ -90,17 +90,17 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for it."""
+    """Wait until the condition holds."""
     while not condition():
         await asyncio.sleep(0.001)
 
 
 @pytest.mark.parametrize("is_reset", [False, True], ids=["end", "reset"])
 def test_a_stream_of_frames_that_ends_at_any_byte(is_reset: bool) -> None:
-    """Only whole messages are heard, in order; the next connection begins afresh and is another link."""
+    """Only complete messages are delivered, in order; the next connection starts fresh and is a new link."""
     reached: Counter[int] = Counter()
 
-    async def story(owner: Owner, address: tuple[str, int]) -> None:
+    async def scenario(owner: Owner, address: tuple[str, int]) -> None:
         for count in range(len(STREAM) + 1):
             begun = len(owner.down)
             await send(address, STREAM[:count], is_reset)
@@ -115,7 +115,7 @@
             owner.up.clear()
             owner.down.clear()
 
-    play(story)
+    play(scenario)
     assert all(reached[count] for count in range(len(SENT)))
 
 
@@ -138,16 +138,16 @@
 
 
 def test_frames_behind_the_end_of_a_link_are_not_heard() -> None:
-    """Three messages in one segment; the owner ends the link at the second."""
+    """Three messages in one segment; the owner closes the link at the second."""
 
-    async def story(owner: Owner, address: tuple[str, int]) -> None:
+    async def scenario(owner: Owner, address: tuple[str, int]) -> None:
         owner.closes_at = PushAck
         await send(address, STREAM, False)
         await until(lambda: bool(owner.down))
         (heard,) = owner.heard.values()
         assert tuple(heard) == SENT[:2]
 
-    play(story)
+    play(scenario)
 
 
 def test_a_silent_peer_is_given_up_at_any_byte_and_what_it_says_later_is_not_heard(
@@ -157,7 +157,7 @@
     monkeypatch.setattr(links, "LINK_TIMEOUT_S", 0.02)
     heard: Counter[int] = Counter()
 
-    async def story(owner: Owner, address: tuple[str, int]) -> None:
+    async def scenario(owner: Owner, address: tuple[str, int]) -> None:
         async def trial(count: int) -> None:
             reader, writer = await asyncio.open_connection(*address)
             writer.write(STREAM[:count])
@@ -174,12 +174,12 @@
             assert tuple(owner.heard[link]) == SENT[: len(owner.heard[link])]
             heard[len(owner.heard[link])] += 1
 
-    play(story)
+    play(scenario)
     assert heard == Counter(len(whole_within(count)) for count in range(len(STREAM)))
 
 
 def test_whoever_dialled_dials_again_after_a_reset_at_any_byte() -> None:
-    """A controller that resets its link in the middle of a push: the proxy's next link is another one, from zero."""
+    """A controller resets its link in the middle of a push: the proxy's next link is a new one that starts fresh."""
     pushes = b"".join(encode(Push(number, ())) for number in (1, 2))
 
     async def run() -> None:
@@ -213,7 +213,7 @@
 
 
 def test_an_acknowledgement_of_an_older_connection_does_not_count_for_the_newer() -> None:
-    """The same proxy dials again; pushes are numbered from one on each connection, so their numbers collide."""
+    """A proxy redials; pushes are numbered from one on each connection, so their numbers collide."""
     delivery = Delivery("c", Random(1), lambda now, revision: True)
     older, newer = object(), object()
     assert delivery.join(0.0, older, "p", HERE, True, 0, ()) is None
@@ -230,7 +230,7 @@
 
 
 class SlowOwner(Owner):
-    """Takes longer over its first dialled link than a dial may last, so that the dial is given up in the same turn."""
+    """Blocks at its first dialled link for longer than a dial may last, so that the dial times out in the same turn."""
 
     def link_up(self, link: Link) -> None:
         super().link_up(link)
@@ -245,8 +245,8 @@
 
 @pytest.mark.parametrize("stops", [False, True], ids=["goes on", "is stopped"])
 def test_a_dial_that_is_given_up_as_the_connection_comes_up(stops: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by the soak: the loop closes such a connection without a word, its owner took the link for one that is up,
-    and whatever was sent to all links broke off at it with an error."""
+    """The event loop closes such a connection without a callback. Its owner then took the link for one that is up, and
+    sending to all links failed at it with an error."""
     monkeypatch.setattr(links, "DIAL_TIMEOUT_S", SHORT_DIAL_S)
     owner = SlowOwner()
 
@@ -273,13 +273,13 @@
 
 
 def test_a_link_that_the_loop_has_closed_in_silence_ends_when_it_is_closed() -> None:
-    """Neither the owner nor the dialer may wait for an end that the event loop never tells."""
+    """Neither the owner nor the dialer may wait for an end that the event loop never reports."""
 
     class SilentTransport(asyncio.Transport):
         def abort(self) -> None:
-            """Closed already; nobody is told."""
+            """Do nothing: it is closed already, and no callback follows."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         owner = Owner()
         link = Link(owner, True)
         link._transport, link.up = SilentTransport(), True
@@ -287,4 +287,4 @@
         await asyncio.wait_for(link.ended.wait(), 1)
         assert owner.down == [link]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_registry_relay.py
+++ b/tests/test_registry_relay.py
@@ -1,4 +1,4 @@
-"""Which proxies carry registry news between controllers that have no connection to each other."""
+"""Relaying of registry messages through proxies between controllers that have no connection to each other."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 class RecordingLink(Link):
-    """A link that keeps what is sent."""
+    """A link that records the messages sent."""
 
     def __init__(self, sent: list[tuple[Link, Message]]) -> None:
         super().__init__(None, False)  # type: ignore[arg-type]
         self.up, self._sent = True, sent
 
     def send_frame(self, frame: bytes) -> bool:
-        """Keep the message."""
+        """Record the messages of the frame."""
         self._sent += [(self, message) for message in Decoder().feed(frame)]
         return True
 
 
 class Scene:
-    """A controller with many proxies and one other controller, which it may be cut off from."""
+    """A controller with many proxies and another controller; messages to a third controller are relayed."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[Link, Message]] = []
@@ -44,7 +44,7 @@
         self.delivery.pop_messages()
 
     def ways(self) -> list[Link]:
-        """The links that a message to the other controller goes by."""
+        """Send a message to the unconnected controller and return the links it was sent on."""
         self.sent.clear()
         self.relay.send(OTHER, SYNC)
         return [link for link, _ in self.sent]
@@ -86,7 +86,7 @@
 
 
 def test_connections_that_are_over_are_not_kept() -> None:
-    """Controllers are replaced at other addresses: nothing is kept of those that are heard no more."""
+    """Controllers are replaced at other addresses, so the state of silent ones must be dropped."""
     scene = Scene()
     for number in range(50):
         scene.relay.received(float(number), f"10.0.2.{number}", scene.proxies[0])
