--- a/cranebank/membership/neighbours.py
+++ b/cranebank/membership/neighbours.py
@@ -111,7 +111,7 @@
         self.counters: dict[str, int] = {}
         self._last_named: tuple[str, ...] = ()
         self._digest = (b"", 0)
-        self._prefill_report_rate = DecayedRate(1.0)  # reported in the last second
+        self._prefill_report_rate = DecayedRate(1.0)  # per second
         self._socket: socket.socket | None = None
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -135,7 +135,7 @@
             self._server = await listen(self, self._ip, self._port)
         except OSError as error:  # another process of this machine has the port: neighbours can't fetch from this proxy
             logger.warning("not serving fetches: can't listen on TCP port {}: {}", self._port, error)
-        self._timer = asyncio.get_running_loop().call_later(TICK_S, self._beat)
+        self._timer = asyncio.get_running_loop().call_later(TICK_S, self._on_timer)
 
     def stop(self) -> None:
         """Stop gossiping and close all sockets."""
@@ -154,7 +154,7 @@
 
     def read(self, backend: str, part: str, tokens: int) -> None:
         """Queue the report that a backend has read a prompt of this proxy up to and including this shared part."""
-        self.outbox.note(CachedPrefix(backend, part, tokens))
+        self.outbox.add_prefix(CachedPrefix(backend, part, tokens))
 
     def changes(self, records: Iterable[Backend]) -> None:
         """Queue changed phases of records that were received and are not merged yet."""
@@ -173,9 +173,9 @@
 
     # Sending.
 
-    def _beat(self) -> None:
+    def _on_timer(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(TICK_S, self._beat)
+        self._timer = loop.call_later(TICK_S, self._on_timer)
         self.tick(loop.time())
 
     def tick(self, now: float) -> None:
--- a/cranebank/membership/outbox.py
+++ b/cranebank/membership/outbox.py
@@ -34,12 +34,12 @@
         self._rotation = 0
         self.left_out = 0  # items dropped because they were too large or too many
 
-    def note(self, note: CachedPrefix) -> None:
+    def add_prefix(self, prefix: CachedPrefix) -> None:
         """Queue a shared part that a backend has read."""
-        if len(_encoder.encode(note)) > MAX_PREFIX_BYTES:
+        if len(_encoder.encode(prefix)) > MAX_PREFIX_BYTES:
             self.left_out += 1
             return
-        self._cached_prefixes[note.backend, note.part] = note
+        self._cached_prefixes[prefix.backend, prefix.part] = prefix
         if len(self._cached_prefixes) > MAX_QUEUED_PREFIXES:
             del self._cached_prefixes[next(iter(self._cached_prefixes))]
             self.left_out += 1
--- a/cranebank/membership/partial_view.py
+++ b/cranebank/membership/partial_view.py
@@ -23,7 +23,7 @@
 SHUFFLE_INTERVAL_S = 1.0
 SHUFFLE_REPLY_TIMEOUT_S = 0.3  # a reply that takes longer counts as lost
 MAX_AGE_ROUNDS = 30
-EXCHANGE_BITS = 32  # of a shuffle's random number, so that late replies aren't mistaken, even after a restart
+EXCHANGE_BITS = 32  # of a shuffle's random number: no late reply matches another shuffle, even after a restart
 FETCH_DELAY_S = 0.5  # time for controllers to push a newer configuration before it is fetched from a neighbour
 
 
--- a/tests/mutants_storage.py
+++ b/tests/mutants_storage.py
@@ -1,4 +1,4 @@
-"""Planted faults of the disk, and of the bounds over hundreds of changes."""
+"""Planted faults of storage, and of the bounds over hundreds of changes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
-        "an open shows what a process that was killed had not synced",
+        "an open returns records that a killed process had not synced",
         "storage/store.py",
         "            self._files.sync(self._name)\n        # The same",
         "            pass\n        # The same",
@@ -39,7 +39,7 @@
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
-        "an open shows a renamed file without syncing the folder",
+        "an open returns a renamed file without syncing the folder",
         "storage/store.py",
         "self._files.sync_folder()\n        return contents",
         "return contents",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
-        "an empty rewritten file goes on with a later batch",
+        "an empty rewritten file continues with a later batch",
         "storage/store.py",
         "self._batch + 2 if values else 0",
         "self._batch + 2",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
-        "the table of calls has no bound",
+        "the call table is unbounded",
         "control/call_table.py",
         "if surplus <= 0:",
         "if True:",
--- a/tests/mutants_tallies.py
+++ b/tests/mutants_tallies.py
@@ -7,7 +7,7 @@
 TALLY_MUTANTS = (
     Mutant(
         Point.TALLIES,
-        "an id that comes at two replicas counts twice",
+        "an id received by two replicas counts twice",
         "control/tallies/state.py",
         "known = self._by_id.get(add.id)",
         "known = None",
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.TALLIES,
-        "of two amounts for an id the one that came first counts",
+        "of two amounts for an id the first one received counts",
         "control/tallies/state.py",
         "if _sort_key(add) < _sort_key(known):",
         "if False:",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.TALLIES,
-        "ids are forgotten that a member has not on its disk",
+        "ids are forgotten before all members have them on disk",
         "control/tallies/peers.py",
         "{o: min(n, confirmed.get(o, 0)) for o, n in found.items()}",
         "{o: max(n, confirmed.get(o, 0)) for o, n in found.items()}",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.TALLIES,
-        "the sums that stand for folded adds are not written with them",
+        "the sums of folded adds are not written with their removal",
         "control/tallies/segments.py",
         "folded = state.folded\n        self._is_base_dirty = True",
         "folded = state.folded",
@@ -79,7 +79,7 @@
     ),
     Mutant(
         Point.TALLIES,
-        "adds that come out of order are not asked for again",
+        "adds received out of order are not requested again",
         "control/tallies/replica.py",
         "if has_gap or not has_new:",
         "if not has_gap and not has_new:",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.TALLIES,
-        "a replica that lost its disk tells totals at once",
+        "a replica that lost its disk returns totals at once",
         "control/tallies/replica.py",
         "self._start_timeout_s = EMPTY_START_TIMEOUT_S if self._state.is_empty else START_TIMEOUT_S",
         "self._start_timeout_s = 0.0",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.TALLIES,
-        "a controller names its adds alike in all its lives",
+        "a controller uses the same origin in all its lives",
         "programs/tally_service.py",
         'f"{random.getrandbits(64):016x}"',
         '"0"',
--- a/tests/tally_world.py
+++ b/tests/tally_world.py
@@ -40,7 +40,7 @@
         self.queues: dict[tuple[str, str], deque[Message]] = {}
         self.sent: dict[str, int] = {}
         """Amounts of all adds that may count, by id."""
-        self.owed: set[str] = set()
+        self.ever_acknowledged: set[str] = set()
         for machine in self.machines.values():
             machine.start(self.now, self.others(machine.name))
         for one in names:
@@ -82,7 +82,7 @@
             if machine.replica.acknowledged_upto(self.now, placed.origin) >= placed.number:
                 del machine.waiting[call]
                 machine.acknowledged.add(call)
-                self.owed.add(call)
+                self.ever_acknowledged.add(call)
         machine.replica.check()
         self.check(machine)
 
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -88,13 +88,13 @@
     outbox = GossipOutbox()
     out = [(f"i-{number:08x}", 200, 100_000 + number) for number in range(200)]
     for number in range(20):
-        outbox.note(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
+        outbox.add_prefix(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
     known = {f"b{number}": _backend(f"b{number}", "ready", 1) for number in range(9)}
     outbox.changes([_backend(key, "draining", 2) for key in known], known)
     sent = play(outbox, 12, out)
     assert max(len(encode(gossip)) for gossip in sent) <= 1200
     assert {load.backend for gossip in sent for load in gossip.loads} == {backend for backend, _, _ in out}
-    assert {note.part for gossip in sent for note in gossip.cached_prefixes} == {
+    assert {prefix.part for gossip in sent for prefix in gossip.cached_prefixes} == {
         f"{number:08x}" for number in range(20)
     }
     assert all(len(gossip.cached_prefixes) <= 2 for gossip in sent)
@@ -104,8 +104,8 @@
 def test_notes_are_bounded_in_number_and_bytes() -> None:
     outbox = GossipOutbox()
     for number in range(MAX_QUEUED_PREFIXES + 5):
-        outbox.note(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
-    outbox.note(CachedPrefix("i-7f3a91c2", "0" * MAX_PREFIX_BYTES, 13_300))
+        outbox.add_prefix(CachedPrefix("i-7f3a91c2", f"{number:08x}", 13_300))
+    outbox.add_prefix(CachedPrefix("i-7f3a91c2", "0" * MAX_PREFIX_BYTES, 13_300))
     assert outbox.left_out == 6
     assert sum(len(gossip.cached_prefixes) for gossip in play(outbox, 30, [])) == MAX_QUEUED_PREFIXES
 
--- a/tests/test_tallies.py
+++ b/tests/test_tallies.py
@@ -67,7 +67,7 @@
     assert total is not None
     assert total <= sum(world.sent.values())
     if not wipes:
-        assert total >= sum(world.sent[call] for call in world.owed)
+        assert total >= sum(world.sent[call] for call in world.ever_acknowledged)
 
 
 @settings(max_examples=150, deadline=None)
@@ -83,7 +83,7 @@
         world.restart(name, is_wiped=name == wiped)
     world.settle()
     (total,) = world.totals()
-    assert total is not None and total >= sum(world.sent[call] for call in world.owed)
+    assert total is not None and total >= sum(world.sent[call] for call in world.ever_acknowledged)
 
 
 def _choices(world: World) -> Iterator[tuple[object, ...]]:
@@ -121,7 +121,7 @@
     assert ends > 0
 
 
-def _calm(copies: int = 1, known: tuple[str, ...] = (), is_first: bool = True) -> TallyReplica:
+def _new_replica(copies: int = 1, known: tuple[str, ...] = (), is_first: bool = True) -> TallyReplica:
     made = TallyReplica(TallyReplicaSettings("me", "z", copies, 1, is_first), {}, 0.0)
     made.set_replicas(known, known)
     return made
@@ -160,7 +160,7 @@
 
 
 def test_an_add_that_comes_out_of_order_is_asked_for_again() -> None:
-    made = _calm()
+    made = _new_replica()
     made.linked(0.0, "p")
     made.pop_messages()
     made.receive(0.0, "p", TallyAdds("p1", (TallyAdd("p1", 2, TALLY, "x", 1),)))
@@ -173,7 +173,7 @@
     for name, most in (("MAX_HELD_ADDS", 1), ("MAX_TALLIES", 1), ("MAX_HELD_BYTES", 30)):
         with monkeypatch.context() as patch:
             patch.setattr(replica_module, name, most)
-            made = _calm()
+            made = _new_replica()
             assert made.add(0.0, TALLY, "1", 1) == AddPosition("me", 1)
             assert isinstance(made.add(0.0, "other", "2", 1), LimitReached)
             assert made.add(0.0, TALLY, "1", 1) == AddPosition("me", 1)
@@ -191,7 +191,7 @@
     assert world.totals() == {4}
 
 
-def _age(world: World) -> None:
+def _pass_retention(world: World) -> None:
     """Let all adds reach the age at which they are folded."""
     for _ in range(int(ID_RETENTION_S / FOLD_INTERVAL_S) + 3):
         world.tick(FOLD_INTERVAL_S)
@@ -204,10 +204,10 @@
         world.add("ab"[number % 2], str(number), 1)
     world.cut("a", "c")
     world.cut("b", "c")
-    _age(world)
+    _pass_retention(world)
     assert world.machines["a"].replica.stats.held == 3 * SEGMENT_ADDS  # c lacks them
     world.heal()
-    _age(world)
+    _pass_retention(world)
     assert [found.replica.stats.held for found in world.machines.values()] == [0, 0, 0]
     world.restart("c", is_wiped=True)
     world.add("c", "new", 1)
@@ -226,7 +226,7 @@
     world.add("a", "1", 3)
     world.add("b", "1", 3)
     world.heal()
-    _age(world)
+    _pass_retention(world)
     assert world.totals() == {3}
     assert [found.replica.stats.held for found in world.machines.values()] == [0, 0]
 
@@ -248,7 +248,7 @@
         stored.append(made._state.total(TALLY))
 
     def script(files: SimulatedFiles, stored: list[int]) -> None:
-        made, store = _calm(), Store(files, "tallies")
+        made, store = _new_replica(), Store(files, "tallies")
         for number in range(1, 4):
             made.add(0.0, TALLY, str(number), number)
             write(made, store, stored)
@@ -281,7 +281,7 @@
 
 
 def test_right_after_a_start_known_replicas_are_waited_for() -> None:
-    made = _calm(2, ("p",))
+    made = _new_replica(2, ("p",))
     made.add(0.0, TALLY, "1", 1)
     assert made.take_writes()
     made.stored()
@@ -293,7 +293,7 @@
 
 @pytest.mark.parametrize("is_ticked", [False, True], ids=["before its first tick", "behind it"])
 def test_a_process_that_stood_still_waits_for_replicas_that_only_seem_silent(is_ticked: bool) -> None:
-    made = _calm(2, ("p",))
+    made = _new_replica(2, ("p",))
     made.linked(0.0, "p")
     made.receive(0.0, "p", TallyVector("p1", "y", {}, {}, {}))
     _run(made, 0.0, 2 * JOIN_GRACE_S)
@@ -309,7 +309,7 @@
 
 
 def test_an_add_that_a_peer_has_not_on_its_disk_is_not_acknowledged_on_its_copy() -> None:
-    made = _calm(2, ("p",))
+    made = _new_replica(2, ("p",))
     made.linked(0.0, "p")
     made.add(0.0, TALLY, "1", 1)
     assert made.take_writes()
@@ -322,7 +322,7 @@
 
 
 def test_a_peer_that_confirms_nothing_is_sent_a_window_of_adds_and_the_same_again_later() -> None:
-    made = _calm()
+    made = _new_replica()
     for number in range(2 * MAX_ADDS_IN_FLIGHT):
         made.add(0.0, TALLY, str(number), 1)
     made.linked(0.0, "p")
