--- a/cranebank/programs/command.py
+++ b/cranebank/programs/command.py
@@ -1,7 +1,7 @@
 """The commands of the system: ``cranebank system ...`` and ``python -m cranebank.programs ...``.
 
-They only read, but for ``evacuate``, ``backup``, ``restore`` and the two roles. Exit code 2: it could not be done,
-told on one line.
+All commands only read, except ``evacuate``, ``backup``, ``restore`` and the two roles. Exit code 2 means that the
+command could not be carried out; one line on standard error says why.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
     from cranebank.control.configuration import InvalidConfiguration
 
 STATUS_PATH = "/api/System.Status"
-ANSWER_S = 5.0
-EVACUATE_S = 10.0  # for which an evacuation is sent again
-AGAIN_S = 0.1  # between two tries
+ANSWER_TIMEOUT_S = 5.0
+EVACUATE_TIMEOUT_S = 10.0  # for how long an unconfirmed evacuation is retried
+RETRY_INTERVAL_S = 0.1
 PHASES = ("ready", "draining", "lost", "gone")
 PROGRAM = "python -m cranebank.programs"
 
 
 class CommandError(Exception):
-    """A command that can't be carried out; its text says on what, and what was expected. ``code`` is 'command'."""
+    """A command could not be carried out; the message names the subject and what was expected."""
 
     code = "command"
 
 
 class BackendStatus(msgspec.Struct, frozen=True):
-    """A backend as a controller tells it."""
+    """A backend as reported by a controller."""
 
     id: str
     target: str = ""
@@ -45,7 +45,7 @@
 
 
 class ProxyStatus(msgspec.Struct, frozen=True):
-    """A proxy linked to that controller: its configuration, and pushes that it has not acknowledged."""
+    """A proxy linked to the controller, with its configuration revision and the number of unacknowledged pushes."""
 
     name: str
     ip: str = ""
@@ -54,8 +54,8 @@
 
 
 class TallyStatus(msgspec.Struct, frozen=True):
-    """The tallies of a controller: adds whose ids it holds, those folded into sums, and the adds that each linked
-    controller lacks on its disk."""
+    """The tallies of a controller: adds kept with their ids, adds folded into sums, and how many adds each linked
+    controller has not stored on its disk."""
 
     names: int = 0
     held: int = 0
@@ -68,7 +68,7 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What a controller answers to System.Status."""
+    """A controller's answer to System.Status."""
 
     node: str
     is_primary: bool
@@ -86,12 +86,12 @@
 
 
 def edge(*, metrics_port: int = 0, without: str = "") -> int:
-    """Run a proxy, by the settings file that CRANEBANK_NODE_FILE names.
+    """Run a proxy with the settings file that CRANEBANK_NODE_FILE names.
 
     Example: cranebank system edge
 
-    :param metrics_port: where figures are told to scrapers, instead of what the settings file says
-    :param without: mechanisms of deciding to switch off, with commas between; cranebank system policy lists them
+    :param metrics_port: port for metrics, overriding the settings file
+    :param without: comma-separated mechanisms to switch off; cranebank system policy lists them
     """
     from cranebank.programs.serve import serve  # noqa: PLC0415
 
@@ -99,9 +99,9 @@
 
 
 def policy() -> int:
-    """List the mechanisms by which a proxy decides, and what each does.
+    """List the mechanisms that a proxy uses to choose backends, and what each does.
 
-    Each has a key of its name under ``cranebank_policy`` in the settings file (true or false; true by default).
+    Each has a key of the same name under ``cranebank_policy`` in the settings file (true or false; default true).
 
     Example: cranebank system policy
     """
@@ -114,11 +114,11 @@
 
 
 def control(*, metrics_port: int = 0) -> int:
-    """Run a controller, by the settings file that CRANEBANK_NODE_FILE names.
+    """Run a controller with the settings file that CRANEBANK_NODE_FILE names.
 
     Example: cranebank system control
 
-    :param metrics_port: where figures are told to scrapers, instead of what the settings file says
+    :param metrics_port: port for metrics, overriding the settings file
     """
     from cranebank.programs.serve import serve  # noqa: PLC0415
 
@@ -128,8 +128,8 @@
 def check_settings(file: Path) -> int:
     """Check a process's settings file.
 
-    Prints what it says of the process, fields that are not known (they are skipped), and bounds that are tighter than
-    this version keeps.
+    Prints a summary of the process, unknown fields (they are ignored), and bounds that are tighter than this version
+    can keep.
 
     Example: cranebank system check-settings boot.yaml
 
@@ -148,9 +148,9 @@
         f"{file}: good: {settings.node_name} at {settings.ip}, zone {settings.zone}, links at {settings.link_port}, "
         f"controllers at {', '.join(settings.seed_addrs)}"
     )
-    skipped = list(_unknown(yaml.safe_load(file.read_text(encoding="utf-8")), NodeSettings))
+    skipped = list(_unknown_fields(yaml.safe_load(file.read_text(encoding="utf-8")), NodeSettings))
     if skipped:
-        print(f"not known, skipped: {', '.join(skipped)}")
+        print(f"unknown fields, ignored: {', '.join(skipped)}")
     for role in ROLES:
         for tight in timing.unmet(settings.bounds, role):
             print(f"{role}: {tight}")
@@ -158,30 +158,30 @@
 
 
 def check_configuration(file: Path, *, current: Path | None = None, amend: bool = False) -> int:
-    """Check an operator's configuration as a controller would, without one.
+    """Check an operator's configuration as a controller would; no controller is needed.
 
     Example: cranebank system check-configuration next.json --current now.json
 
-    :param file: whole configuration, or amendment (JSON)
-    :param current: configuration now in force; the checked one must have a higher revision
-    :param amend: the file is an amendment of the one in force
+    :param file: complete configuration, or amendment (JSON)
+    :param current: configuration in force; the checked one must have a higher revision
+    :param amend: the file is an amendment of the configuration in force
     """
     from cranebank.control import configuration as rules  # noqa: PLC0415
 
     in_force, revision = b"", 0
     if current is not None:
-        in_force = _bytes_of(current)
+        in_force = _read_bytes(current)
         try:
             revision = rules.check(in_force, -1).revision
         except rules.InvalidConfiguration as error:
-            raise CommandError(_fault(current, error)) from None
+            raise CommandError(_describe_error(current, error)) from None
     elif amend:
         raise CommandError("--amend: expected --current with the configuration to amend")
-    body = _bytes_of(file)
+    body = _read_bytes(file)
     try:
         found = rules.amend(in_force, body) if amend else rules.check(body, revision)
     except rules.InvalidConfiguration as error:
-        raise CommandError(_fault(file, error)) from None
+        raise CommandError(_describe_error(file, error)) from None
     document = msgspec.json.decode(found.document)
     print(
         f"{file}: good: revision {found.revision}, {len(document['routes'])} routes, "
@@ -191,12 +191,12 @@
 
 
 def show(address: str, *, json: bool = False) -> int:
-    """Show the state of the system as one controller knows it.
+    """Show the state of the system as known to one controller.
 
     Example: cranebank system show 10.1.0.13:8262
 
     :param address: a controller's control address, IP:PORT
-    :param json: print its answer as JSON
+    :param json: print the controller's answer as JSON
     """
     body = _status_body(address)
     if json:
@@ -211,19 +211,20 @@
 
 
 def evacuate(zone: str, change: Literal["start", "finish"], address: str) -> int:
-    """Evacuate a zone, or take it back.
+    """Start or finish the evacuation of a zone.
 
-    From a start on nothing more is sent to the zone's backends; what is there already runs to its end. It holds until a
-    finish, whichever processes end meanwhile. Both may be repeated. See docs/evacuation.md.
+    After start no more requests are sent to the zone's backends; requests already there run to completion. The
+    evacuation stays in force until finish, also across restarts of any process. Both may be repeated. See
+    docs/evacuation.md.
 
     Example: cranebank system evacuate zone-b start 10.1.0.13:8262
 
-    :param zone: zone, as the settings or the backends name it
+    :param zone: name of the zone, as in the settings or the backends' heartbeats
     :param change: start or finish
     :param address: any controller's control address, IP:PORT
     """
     path = f"/api/Evacuation.{change.capitalize()}/{quote(zone, safe='')}"
-    until = time.monotonic() + EVACUATE_S
+    until = time.monotonic() + EVACUATE_TIMEOUT_S
     while True:
         status, location, body = _call(address, "POST", path)
         if status == 200:
@@ -234,19 +235,21 @@
         elif status < 500:
             raise CommandError(f"{address}: {zone}: {status} {body.decode(errors='replace')}")
         if time.monotonic() > until:
-            raise CommandError(f"{address}: {zone}: not confirmed, last answer {status}; it may come to be in force")
-        time.sleep(AGAIN_S)
+            raise CommandError(
+                f"{address}: {zone}: not confirmed, last status {status}; the {change} may still take effect"
+            )
+        time.sleep(RETRY_INTERVAL_S)
 
 
 def backup(folder: Path, file: Path) -> int:
-    """Copy a controller's custody file, its checksums verified.
+    """Copy a controller's custody file and verify its checksums.
 
-    The process may run meanwhile. The copy is meant for restore, and for looking into what a replica held.
+    The controller may be running. The copy serves for restore and for inspecting a replica's state.
 
     Example: cranebank system backup /var/lib/cranebank custody.copy
 
     :param folder: data folder of a controller (data_dir of its settings)
-    :param file: where the copy goes; there must be no file yet
+    :param file: path of the copy; the file must not exist yet
     """
     from cranebank.control.consensus_file import ConsensusFileError, back_up  # noqa: PLC0415
 
@@ -256,25 +259,25 @@
         raise CommandError(str(error)) from None
     print(f"{file}: replica {found.replica or '-'}, epoch {found.epoch}, committed configuration {found.committed}")
     if found.stored > found.committed:
-        print(f"its stored configuration is {found.stored}: not known to be committed, and not restored from here")
+        print(f"its stored configuration {found.stored} is not known to be committed and will not be restored")
     return 0
 
 
 def restore(file: Path, folder: Path, *, replace: bool = False) -> int:
-    """Put the committed configuration of a copy into the data folder of a stopped controller.
+    """Restore the committed configuration of a copy into the data folder of a stopped controller.
 
-    Only the configuration comes back. The copy's replica id, votes and epoch do not: an old copy has forgotten promises
-    made since, and would vote twice. The process starts as a new replica, as on an empty disk: it neither votes nor
-    counts until a majority has admitted it, takes the newest configuration from the primary, and until then hands the
-    restored one to proxies that have none or an older one. Its settings must say is_first_start: false, unless all
-    controllers begin anew. A restored machine counts as one whose disk was lost: never restore more at a time than the
-    tolerance allows. After a loss of all disks see docs/operate-system.md.
+    Only the configuration is restored. The copy's replica id, votes and epoch are not: an old copy lacks promises made
+    since, and would vote twice. The process starts as a new replica, as on an empty disk: it neither votes nor counts
+    until a majority has admitted it. It fetches the newest configuration from the primary, and until then sends the
+    restored one to proxies that have none or an older one. Its settings must have is_first_start: false, unless all
+    controllers start afresh. A restored machine counts as one that lost its disk: never restore more machines at a time
+    than the tolerance allows. After a loss of all disks see docs/operate-system.md.
 
     Example: cranebank system restore custody.copy /var/lib/cranebank
 
     :param file: copy made by backup
-    :param folder: data folder of a controller that does not run; must be empty
-    :param replace: keep the custody file that stands there under another name, and put the new one in its place
+    :param folder: data folder of a controller that is not running; must be empty
+    :param replace: rename a custody file that is already in the folder, and put the new one in its place
     """
     from cranebank.control.consensus_file import ConsensusFileError  # noqa: PLC0415
     from cranebank.control.consensus_file import restore as put_back  # noqa: PLC0415
@@ -301,12 +304,12 @@
 
 
 def main(arguments: Sequence[str], program: str = PROGRAM) -> int:
-    """Run a command; its exit code. Help and mistakes in the arguments raise SystemExit with 0 and 2."""
-    import defopt  # noqa: PLC0415 - it takes a tenth of a second to import
+    """Run a command and return its exit code. Help and invalid arguments raise SystemExit with 0 and 2."""
+    import defopt  # noqa: PLC0415 - takes 100 ms to import
 
-    said = io.StringIO()
+    parser_output = io.StringIO()
     try:
-        with contextlib.redirect_stderr(said):
+        with contextlib.redirect_stderr(parser_output):
             chosen = defopt.bind(
                 COMMANDS,
                 argv=list(arguments),
@@ -316,7 +319,9 @@
                 argparse_kwargs={"prog": program},
             )
     except SystemExit:
-        sys.stderr.writelines(said.getvalue().splitlines(keepends=True)[-1:])  # without the usage: --help tells it
+        sys.stderr.writelines(
+            parser_output.getvalue().splitlines(keepends=True)[-1:]
+        )  # without the usage text, which --help prints
         raise
     try:
         return int(chosen())
@@ -326,9 +331,9 @@
 
 
 def describe(status: Status) -> list[str]:
-    """The lines that tell a controller's state."""
+    """Return the lines that describe a controller's state."""
     lines = [
-        f"told by       {status.node}{', the primary: its lease runs' if status.is_primary else ''}",
+        f"reported by   {status.node}{', the primary with a valid lease' if status.is_primary else ''}",
         f"primary       {status.primary or '-'}",
         f"epoch         {status.epoch}",
         f"members       {', '.join(status.members) or '-'}",
@@ -363,12 +368,12 @@
     lag = ", ".join(f"{ip} lacks {count}" for ip, count in sorted(tallies.lag.items()) if count)
     return [
         f"tallies       {tallies.names} names, {tallies.held} adds held, {tallies.folded} folded, "
-        f"{tallies.waiting} calls wait, {tallies.unclear} ended unclear" + (f"; {lag}" if lag else "")
+        f"{tallies.waiting} calls waiting, {tallies.unclear} ended unclear" + (f"; {lag}" if lag else "")
     ]
 
 
 def _table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> list[str]:
-    """Text to the left, figures to the right."""
+    """Return the lines of a table, text aligned left and numbers right."""
     cells = [list(head), *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     is_figure = [index > 0 and name != "ip" for index, name in enumerate(head)]
@@ -381,11 +386,11 @@
     ]
 
 
-def _fault(path: Path, error: InvalidConfiguration) -> str:
+def _describe_error(path: Path, error: InvalidConfiguration) -> str:
     return ": ".join(filter(None, (str(path), error.code, error.key, f"expected {error.expected}")))
 
 
-def _bytes_of(path: Path) -> bytes:
+def _read_bytes(path: Path) -> bytes:
     try:
         return path.read_bytes()
     except OSError as error:
@@ -400,28 +405,28 @@
 
 
 def _call(address: str, method: str, path: str) -> tuple[int, str, bytes]:
-    """One call to a controller: status, Location where it names one, body."""
-    import http.client  # noqa: PLC0415 - the other commands need none
+    """Make one call to a controller; return status, Location header (empty if absent) and body."""
+    import http.client  # noqa: PLC0415 - not needed by the other commands
 
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise CommandError(f"{address}: expected IP:PORT")
-    connection = http.client.HTTPConnection(host, int(port), timeout=ANSWER_S)
+    connection = http.client.HTTPConnection(host, int(port), timeout=ANSWER_TIMEOUT_S)
     try:
         connection.request(method, path)
         answer = connection.getresponse()
         body = answer.read()
     except (OSError, http.client.HTTPException) as error:
-        raise CommandError(f"{address}: expected a controller that answers: {error}") from None
+        raise CommandError(f"{address}: expected an answer from a controller: {error}") from None
     finally:
         connection.close()
     return answer.status, answer.getheader("Location", ""), body
 
 
-def _unknown(found: Mapping[str, Any], kind: type[msgspec.Struct], above: str = "") -> Iterable[str]:
+def _unknown_fields(found: Mapping[str, Any], kind: type[msgspec.Struct], prefix: str = "") -> Iterable[str]:
     known = {field.name: field.type for field in msgspec.structs.fields(kind)}
     for key, value in found.items():
         if key not in known:
-            yield f"{above}{key}"
+            yield f"{prefix}{key}"
         elif isinstance(value, dict) and isinstance(known[key], type) and issubclass(known[key], msgspec.Struct):
-            yield from _unknown(value, known[key], f"{above}{key}.")
+            yield from _unknown_fields(value, known[key], f"{prefix}{key}.")
