--- a/cranebank/programs/__init__.py
+++ b/cranebank/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Thin programs, one for each role."""
+"""The programs of the system, one for each role, and its commands."""
--- a/cranebank/programs/__main__.py
+++ b/cranebank/programs/__main__.py
@@ -1,6 +1,6 @@
-"""``python -m cranebank.programs edge|control``: one process of the system, by the settings file it is given.
+"""``python -m cranebank.programs edge|control``: runs one process of the system with the settings file it is given.
 
-Anything else goes to the commands (``command.py``), which a process that serves never imports.
+Any other arguments go to the commands (``command.py``), which a serving process never imports.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run what the command line names: a role, and a port for metrics; all else is left to the commands."""
+    """Run the role that the command line names, with its options; pass everything else to the commands."""
     options = _options(arguments[1:])
     if arguments[:1] in (["edge"], ["control"]) and options is not None:
         from cranebank.programs.serve import serve  # noqa: PLC0415
@@ -22,14 +22,14 @@
 
 
 class Options(NamedTuple):
-    """Of a process that serves. ``without``: mechanisms that are off, with commas between; of a proxy only."""
+    """Options of a serving process. ``without``: comma-separated mechanisms to switch off, on a proxy only."""
 
     metrics_port: int = 0
     without: str = ""
 
 
 def _options(words: list[str]) -> Options | None:
-    """What the words name; None: these are for the commands to read or refuse."""
+    """Parse the options, or return None if the commands are to parse or reject them."""
     match words:
         case []:
             return Options()
--- a/cranebank/programs/consensus_driver.py
+++ b/cranebank/programs/consensus_driver.py
@@ -1,8 +1,8 @@
-"""Runs the consensus core: feeds it events, does the actions that it returns in their order, and awaits its results.
+"""Runs the consensus core: feeds it events, executes the actions that it returns in order, and awaits its results.
 
-A result of a write is handed on once; a write that is not answered in time counts as unknown. A core that finds its own
-state wrong, or whose actions can't be done, is fed no more, holds no lease and is in no contact: better no replica than
-one that is wrong or waits for ever.
+A write's result is returned once; a write without a result in time counts as unknown. If the core violates an invariant
+or an action fails, the core is fed no more events, holds no lease and counts as out of contact: a missing replica is
+better than one that is wrong or waits forever.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 
 
 class Listener(Protocol):
-    """Who is told what the core decided."""
+    """Receives the core's decisions."""
 
     def committed(self, revision: int, document: bytes) -> None:
-        """This configuration is in force."""
+        """Handle a configuration that is in force."""
 
     def leadership_changed(self, is_primary: bool) -> None:
-        """This controller acts as primary from now on, or does so no longer."""
+        """Handle that this controller has become primary, or is no longer primary."""
 
 
 class ConsensusDriver:
@@ -54,11 +54,11 @@
         self._links, self._listener, self._now = links, listener, now
         self._writes: dict[int, asyncio.Future[events.Result]] = {}
         self._requests = 0
-        self.results: dict[str, int] = {}  # of writes, by kind
+        self.results: dict[str, int] = {}  # number of writes by kind of result
         self.broken = asyncio.Event()
 
     def holds_lease(self) -> bool:
-        """Whether this is the primary, by a lease that still runs."""
+        """Whether this controller is the primary and its lease is still valid."""
         return not self.broken.is_set() and self._core.holds_lease(self._now())
 
     def in_contact(self, now: float) -> bool:
@@ -66,53 +66,53 @@
         return not self.broken.is_set() and self._core.in_contact(now)
 
     def is_current(self, now: float, revision: int) -> bool:
-        """Whether this revision is known to have been the newest committed one within the last lease's length."""
+        """Whether this revision is known to have been the newest committed one within the last lease period."""
         return not self.broken.is_set() and self._core.is_current(now, revision)
 
     def feed(self, event: events.Event) -> None:
-        """Tell the core an event and do what follows."""
+        """Pass an event to the core and execute the actions that it returns."""
         if self.broken.is_set():
             return
         try:
             actions = self._core.handle(self._now(), event)
-        except InvariantBroken as error:  # the process ends and comes back from its disk
-            logger.opt(exception=True).critical("consensus: {}", error)
+        except InvariantBroken as error:  # the process ends and starts again from its disk
+            logger.opt(exception=True).critical("consensus core violated an invariant: {}", error)
             self.broken.set()
             return
         try:
             for action in actions:
-                self._do(action)
-        except Exception as error:  # those behind it are not done: the core would wait for their results for ever
-            self._give_up(error)
+                self._execute(action)
+        except Exception as error:  # the actions after it are skipped: the core would wait for their results forever
+            self._stop_after_failure(error)
 
-    def _give_up(self, error: Exception) -> None:
-        """What the core asked for can't be done: the process ends and comes back from its disk."""
-        logger.opt(exception=error).critical("consensus: what the core asked for failed: {!r}", error)
+    def _stop_after_failure(self, error: Exception) -> None:
+        """Stop after a failed action: the process ends and starts again from its disk."""
+        logger.opt(exception=error).critical("an action of the consensus core failed: {!r}", error)
         self.broken.set()
 
     def receive(self, link: Link, body: bytes) -> None:
-        """A message from another controller's core."""
+        """Handle a message from another controller's core."""
         try:
             message = _decode(body)
         except msgspec.MsgspecError as error:
-            logger.warning("link to {}: {}", link.peer, error)
+            logger.warning("invalid consensus message from {}, closing the link: {}", link.peer, error)
             link.close()
             return
         self.feed(events.Received(link.peer, message))
 
     async def write(self, base: int, revision: int, document: bytes, digest: bytes) -> events.Result:
-        """Hand a write to the core and wait for its result."""
-        result = await self._ask(lambda request: events.Write(request, base, revision, document, digest))
+        """Pass a write to the core and return its result."""
+        result = await self._submit(lambda request: events.Write(request, base, revision, document, digest))
         kind = type(result).__name__
         self.results[kind] = self.results.get(kind, 0) + 1
         return result
 
     async def evacuate(self, zone: str, is_start: bool) -> events.Result:
-        """Hand a change of the evacuated zones to the core and wait for its result."""
-        return await self._ask(lambda request: events.Evacuate(request, zone, is_start))
+        """Pass a change of the evacuated zones to the core and return its result."""
+        return await self._submit(lambda request: events.Evacuate(request, zone, is_start))
 
-    async def _ask(self, event: Callable[[int], events.Event]) -> events.Result:
-        """Feed the event of a new request; its result, unknown where none comes in time."""
+    async def _submit(self, event: Callable[[int], events.Event]) -> events.Result:
+        """Feed the event of a new request and return its result, or Unknown if there is none in time."""
         self._requests += 1
         request = self._requests
         future: asyncio.Future[events.Result] = asyncio.get_running_loop().create_future()
@@ -128,7 +128,7 @@
             self._writes.pop(request, None)
         return result
 
-    def _do(self, action: events.Action) -> None:
+    def _execute(self, action: events.Action) -> None:
         match action:
             case events.Send(ip, message):
                 link = self._links.to(ip)
@@ -143,7 +143,7 @@
             case events.Committed(revision, document):
                 self._listener.committed(revision, document)
             case events.LeadershipGained(epoch):
-                logger.info("primary in epoch {}", epoch)
+                logger.info("became primary in epoch {}", epoch)
                 self._listener.leadership_changed(True)
             case events.LeadershipLost():
                 logger.info("no longer primary")
@@ -153,10 +153,10 @@
         try:
             await self._storage.put(values)
         except StorageError as error:
-            logger.warning("disk: {}", error)
+            logger.warning("write of consensus state to disk failed: {}", error)
             self.feed(events.PersistFailed(token))
             return
-        except Exception as error:  # the core would wait for the write's result for ever
-            self._give_up(error)
+        except Exception as error:  # the core would wait for the write's result forever
+            self._stop_after_failure(error)
             return
         self.feed(events.Persisted(token))
--- a/cranebank/programs/control.py
+++ b/cranebank/programs/control.py
@@ -1,7 +1,7 @@
-"""The control program: opens the disk, makes the controller and serves until it is told to stop.
+"""The control program: opens the disk, creates the controller and serves until it is stopped.
 
-It ends with 0 after SIGTERM or SIGINT, once the controller has handed over, and with 1 where the consensus core found
-its own state wrong: its disk then tells what holds. A disk in trouble at the start is tried again, without an end.
+The exit code is 0 after SIGTERM or SIGINT, once the controller has handed over, and 1 if the consensus core failed: the
+next start then recovers from the disk. An unusable disk at the start is retried indefinitely.
 """
 
 from __future__ import annotations
@@ -31,8 +31,9 @@
 DISK_RETRY_S = 0.3
 
 
-async def _open(settings: NodeSettings, name: str) -> tuple[Mapping[str, bytes], Storage, bool]:
-    """What was read from the disk, the disk, and whether it was damaged; a disk in trouble is tried again."""
+async def _open_disk(settings: NodeSettings, name: str) -> tuple[Mapping[str, bytes], Storage, bool]:
+    """Open a file on the disk, retrying while the disk fails; return its values, the storage, and whether it was
+    damaged."""
     if settings.data_dir is None:
         return {}, NoDisk(), False
     from cranebank.storage.store import AsyncStore, open_store  # noqa: PLC0415
@@ -50,23 +51,26 @@
 
 
 def is_counted_in_machines(settings: NodeSettings) -> bool:
-    """Whether only single machines may be lost, and no zones or regions."""
+    """Whether only single machines may be lost, and no whole zones or regions."""
     return not settings.tolerance.zones and not settings.tolerance.regions
 
 
 def tolerated_machine_losses(settings: NodeSettings) -> int:
-    """Machines that may be lost at once: where whole zones or regions may go, as many as a majority can do without."""
+    """Return how many machines may be lost at once; where whole zones or regions may be lost, at least 99.
+
+    99 stands for as many machines as a majority can do without.
+    """
     machines = settings.tolerance.machines
     return machines if is_counted_in_machines(settings) else max(machines, 99)
 
 
 async def make_controller(settings: NodeSettings, reload: Callable[[], NodeSettings]) -> Controller:
-    """A controller with its disk opened."""
-    stored, storage, is_damaged = await _open(settings, CONSENSUS_FILE)
-    stored_tallies, tally_storage, _ = await _open(settings, TALLY_FILE)
+    """Open the disk and create the controller."""
+    stored, storage, is_damaged = await _open_disk(settings, CONSENSUS_FILE)
+    stored_tallies, tally_storage, _ = await _open_disk(settings, TALLY_FILE)
 
     def make_consensus(now: float, random: Random) -> ConsensusCore:
-        made: ConsensusCore = ConsensusReplica(
+        core: ConsensusCore = ConsensusReplica(
             ConsensusSettings(
                 settings.ip,
                 settings.seed_ips,
@@ -79,18 +83,18 @@
             random,
             now,
         )
-        return made
+        return core
 
     published = (
         msgspec.msgpack.decode(stored[PUBLISHED_KEY], type=tuple[int, bytes]) if PUBLISHED_KEY in stored else None
     )
     tally_disk = TallyDisk(stored_tallies, tally_storage)
-    recalled = decode_registry_records(stored)
-    return Controller(settings, make_consensus, storage, SystemRandom(), reload, published, recalled, tally_disk)
+    stored_backends = decode_registry_records(stored)
+    return Controller(settings, make_consensus, storage, SystemRandom(), reload, published, stored_backends, tally_disk)
 
 
 async def run(settings: NodeSettings, ring: ring_module.LogRing | None = None) -> int:
-    """Serve control until SIGTERM; the exit code."""
+    """Run a controller until SIGTERM or SIGINT and return its exit code."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     controller = await make_controller(settings, load)
@@ -103,17 +107,17 @@
         ring.state = controller.log_state
     await controller.start()
     exporter = None
-    if settings.tells_metrics:
-        from cranebank.programs import metrics  # noqa: PLC0415 - nothing of it where it is off
+    if settings.exposes_metrics:
+        from cranebank.programs import metrics  # noqa: PLC0415 - not loaded while metrics are off
 
-        exporter = metrics.Exporter(lambda: metrics.of_control(controller))
+        exporter = metrics.Exporter(lambda: metrics.controller_metrics(controller))
         await exporter.start(settings)
     gc.collect()
     gc.freeze()
-    ends = [loop.create_task(event.wait()) for event in (stopped, controller.broken)]
-    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
-    for end in ends:
-        end.cancel()
+    waiters = [loop.create_task(event.wait()) for event in (stopped, controller.broken)]
+    await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
+    for waiter in waiters:
+        waiter.cancel()
     if exporter is not None:
         exporter.stop()
     await controller.stop()
--- a/cranebank/programs/controller_links.py
+++ b/cranebank/programs/controller_links.py
@@ -1,8 +1,8 @@
-"""A controller's connections to the other controllers, and the sending of what is to go out.
+"""A controller's connections to the other controllers, and the sending of pending messages.
 
-Of each other controller one connection is used at a time: the one dialled here where it is up, else the accepted one.
-Messages on one connection keep their order; what was under way on a connection that broke is lost, and its loss is
-reported by ``remove``.
+One connection to each other controller is used at a time: the one dialled by this controller if it is up, else the
+accepted one. Messages on one connection keep their order. Messages in transit on a connection that breaks are lost, and
+``remove`` reports the loss.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
     @property
     def accepted_ips(self) -> set[str]:
-        """Controllers that have dialled this one."""
+        """The controllers that have dialled this one."""
         return set(self._accepted)
 
     def add(self, link: Link) -> None:
-        """A connection to a controller stands."""
+        """Add a connection to a controller that has come up."""
         (self._dialled if link.dialled else self._accepted)[link.peer] = link
 
     def remove(self, link: Link) -> bool:
-        """A connection is over; whether it was one to a controller that was in use."""
+        """Remove a connection that is down; return whether it was registered here as a connection to a controller."""
         for links in (self._dialled, self._accepted):
             if links.get(link.peer) is link:
                 del links[link.peer]
@@ -43,7 +43,7 @@
         return False
 
     def to(self, ip: str) -> Link | None:
-        """The connection to use to this controller, if one is up."""
+        """Return the connection to use for this controller, or None if none is up."""
         for links in (self._dialled, self._accepted):
             link = links.get(ip)
             if link is not None and link.up:
@@ -51,25 +51,25 @@
         return None
 
     def unreached(self) -> list[str]:
-        """The known controllers to which no connection is up."""
+        """Return the known controllers to which no connection is up."""
         return [ip for ip in self._dialers if self.to(ip) is None]
 
     def broadcast(self, message: Message) -> None:
-        """Send to every controller that is linked."""
+        """Send to every linked controller."""
         for ip in {*self._dialled, *self._accepted}:
             link = self.to(ip)
             if link is not None:
                 link.send(message)
 
     def dial(self, owner: Owner, known: set[str]) -> None:
-        """Dial all known controllers but this one, and no others."""
+        """Dial all known controllers except this one, and stop dialling all others."""
         for ip in known - self._dialers.keys() - {self._ip}:
             self._dialers[ip] = Dialer(owner, self._ip, ip, self._port)
         for ip in self._dialers.keys() - known:
             self._dialers.pop(ip).stop()
 
     def stop(self) -> None:
-        """End all connections, and dial no more."""
+        """Close all connections and stop dialling."""
         for dialer in self._dialers.values():
             dialer.stop()
         for link in {*self._dialled.values(), *self._accepted.values()}:
@@ -77,7 +77,7 @@
 
 
 def send_deliveries(delivery: Delivery) -> None:
-    """Send what the delivery core has collected; what goes to many links is encoded once."""
+    """Send the messages that the delivery core has queued; a message to many links is encoded once."""
     same, frame = None, b""
     records, encoded = None, msgspec.Raw()
     for link, message in delivery.pop_messages():
--- a/cranebank/programs/controller_protocol.py
+++ b/cranebank/programs/controller_protocol.py
@@ -1,8 +1,8 @@
-"""What a controller answers on its links, to proxies and to other controllers.
+"""A controller's side of its links to proxies and other controllers.
 
-Whoever dials says Hello. A proxy is welcomed and pushed all backends; another controller is sent the whole registry,
-and its numbered changes are acknowledged once they are taken and pushed on. Heartbeats tell the revision published
-here, whether that is known to be the newest by contact with a majority, and the newest epoch that is known.
+Whoever dials sends Hello first. A proxy gets a Welcome and all backends; another controller gets the whole registry,
+and its numbered changes are acknowledged once they are applied and pushed on. Heartbeats carry the revision published
+here, whether contact with a majority shows that it is the newest, and the newest known epoch.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class ControllerProtocol:
-    """The owner of all links of a controller. ``life`` is drawn at each start of the process."""
+    """The owner of all links of a controller. ``life`` is a random number drawn at each start of the process."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         publish: Callable[[int, bytes], None],
     ) -> None:
         """``publish`` takes a committed configuration that another controller passed on."""
-        self.settings = settings  # replaced when the settings file is read again
+        self.settings = settings  # replaced on reload
         self._life, self._now = life, now
         self._consensus, self._driver, self._links = consensus, driver, links
         self._delivery, self._registry, self._publish = delivery, registry, publish
@@ -65,7 +65,7 @@
         self.loads = LoadTable()
 
     def link_up(self, link: Link) -> None:
-        """A connection stands; whoever dialled says Hello."""
+        """Handle a connection that has come up; the side that dialled sends Hello."""
         link.make_heartbeat = self._pulse
         if not link.dialled:
             return
@@ -77,7 +77,7 @@
         self._tallies.link_changed(link.peer)
 
     def link_down(self, link: Link) -> None:
-        """A connection is over."""
+        """Handle a connection that has gone down."""
         self._delivery.leave(link)
         self.loads.forget(link)
         self._registry.forget_clock(link)
@@ -88,7 +88,7 @@
             self._driver.feed(events.LinkDown(link.peer))
 
     def link_message(self, link: Link, message: Message) -> None:
-        """A message came."""
+        """Handle a message."""
         match message:
             case ConsensusEnvelope(body):
                 self._driver.receive(link, body)
@@ -119,12 +119,12 @@
         send_deliveries(self._delivery)
 
     def known_controllers(self) -> set[str]:
-        """The IPs of all controllers that are known here, this one included."""
+        """Return the IPs of all controllers known here, including this one."""
         named = {self.settings.ip, *self.settings.seed_ips}
         return named | self._consensus.known_ips() | self._links.accepted_ips
 
     def dial(self) -> None:
-        """Dial all known controllers, and name them to proxies."""
+        """Dial all known controllers, and announce them to proxies."""
         known = self.known_controllers()
         self._delivery.update_controllers(known)
         self._links.dial(self, known)
--- a/cranebank/programs/controller_status.py
+++ b/cranebank/programs/controller_status.py
@@ -1,4 +1,4 @@
-"""A controller's state for people (``/api/System.Status``) and for its metrics: a snapshot, never waited for."""
+"""A controller's state for ``/api/System.Status`` and the metrics: an immediate snapshot that waits for nothing."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     registry: Registry,
     tallies: TallyService,
 ) -> dict[str, Any]:
-    """The state as a document; ``status`` is the consensus core's."""
+    """Return the state as a document; ``status`` is the consensus core's."""
     stats, counts = tallies.stats, tallies.counts
     return {
         "node": node_name,
--- a/cranebank/programs/edge.py
+++ b/cranebank/programs/edge.py
@@ -1,4 +1,4 @@
-"""The proxy on an edge machine: data plane and links to controllers, put together."""
+"""The proxy's program: the data plane, the links to controllers and the links to neighbours."""
 
 from __future__ import annotations
 
@@ -25,28 +25,30 @@
 if TYPE_CHECKING:
     from cranebank.programs.metrics import Exporter
 
-HOUSEKEEPING_S = 1.0
-LEAVE_S = 2.4  # after SIGTERM clients are still sent for so long: the platform asks every second and forgives once
-MARGIN_S = 0.5  # of the grace
-CONTACT_LOST_S = 2.5  # without a controller that knows the newest configuration; longer than a takeover
-UNTOLD = 1000  # proxies there may be, while no controller has told: its part of what all hold in common is next to none
+HOUSEKEEPING_INTERVAL_S = 1.0
+# After SIGTERM the platform still routes clients here for a while: it probes every second and tolerates one failure.
+UNREADY_SERVING_S = 2.4
+SHUTDOWN_MARGIN_S = 0.5  # part of the grace period that shutdown leaves unused
+CONTACT_TIMEOUT_S = 2.5  # without a controller that has the newest configuration; longer than a takeover takes
+# The number of proxies until a controller reports it; so many that this proxy's share of common limits is tiny.
+ASSUMED_PROXIES = 1000
 
 
 class _Plane:
-    """The data plane as the links and the neighbours see it."""
+    """The data plane, as the links and the neighbours see it."""
 
     def __init__(self, proxy: Proxy) -> None:
         self._proxy = proxy
         self.neighbours: Neighbours | None = None
-        self.document = b""  # kept for neighbours only
+        self.document = b""  # the configuration in force; kept only to serve it to neighbours
 
     @property
     def revision(self) -> int:
-        """Of the configuration in force."""
+        """The revision of the configuration in force."""
         return self._proxy.revision
 
     def configure(self, document: bytes) -> bool:
-        """Take a configuration."""
+        """Apply a configuration; return whether it was accepted."""
         before = self._proxy.revision
         taken = self._proxy.configure(document)
         if self.neighbours is not None and self._proxy.revision > before:
@@ -54,26 +56,26 @@
         return taken
 
     def learn(self, backends: Iterable[Backend]) -> None:
-        """Take records of backends."""
+        """Apply records of backends."""
         if self.neighbours is not None:
             backends = tuple(backends)
             self.neighbours.changes(backends)
         self._proxy.learn(backends)
 
     def records(self) -> Mapping[str, Backend]:
-        """All records by id."""
+        """Return all backend records by id."""
         return self._proxy.shared.candidates.records
 
     def out(self) -> Iterable[tuple[str, int, int]]:
-        """Calls and tokens that this proxy has out at each backend."""
+        """Return the calls and tokens that this proxy has outstanding at each backend."""
         return (
             (seen.backend.id, seen.calls, seen.tokens)
             for seen in self._proxy.shared.candidates.views.values()
             if seen.calls or seen.tokens
-        )  # looked for only when loads are due
+        )  # computed only when loads are due
 
     def set_neighbour_loads(self, sums: LoadSums) -> None:
-        """Calls and tokens that neighbours have out at these backends."""
+        """Record the calls and tokens that neighbours have outstanding at these backends."""
         if not self._proxy.shared.choices.policy.told_loads:
             return
         if sums:
@@ -84,52 +86,52 @@
                 seen.others_calls, seen.others_tokens = calls, tokens
 
     def record_cached_prefix(self, note: CachedPrefix) -> None:
-        """A neighbour had a backend read a shared part."""
+        """Record that a neighbour had a backend process a shared prompt prefix."""
         self._proxy.record_cached_prefix(note.backend, note.part, note.tokens)
 
-    def reading_begun(self, told: PrefillBegun) -> None:
-        """Another proxy has asked a backend to read a prompt."""
-        self._proxy.reading_begun(told)
+    def reading_begun(self, begun: PrefillBegun) -> None:
+        """Record that another proxy has asked a backend to process a prompt."""
+        self._proxy.reading_begun(begun)
 
     def prefill_reporters(self, proxies: int) -> None:
-        """So many other proxies tell of the readings that they begin."""
+        """Set the number of other proxies that announce the prompts that they send to prefill."""
         self._proxy.shared.choices.pairs.prefill_reporters = proxies
 
     def known(self) -> tuple[Backend, ...]:
-        """All records."""
+        """Return all backend records."""
         return self._proxy.known()
 
     def permit(self, permits: WarmUpPermits) -> None:
-        """A controller leases permits to send to a cold backend."""
+        """Accept a controller's permits to send requests to a cold backend."""
         self._proxy.permit(permits)
 
     def clock_ms(self) -> int:
-        """Its steady clock, to which permits are bound; 0: it wants none."""
+        """Return the monotonic clock to which permits are bound, or 0 if the proxy wants no permits."""
         return self._proxy.clock_ms()
 
     def evacuations(self) -> tuple[int, tuple[str, ...]]:
-        """The number of the evacuations in force, 0 where none were ever, and their zones."""
+        """Return the sequence number of the evacuations in force (0 before the first) and their zones."""
         return self._proxy.evacuation_number, tuple(sorted(self._proxy.evacuated))
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
-        """Send nothing more to backends of these zones, unless newer evacuations are known; the number in force."""
+        """Stop sending to backends of these zones unless newer evacuations are known; return the number in force."""
         return self._proxy.evacuate(number, zones)
 
     def hold_off(self, backend: str, seconds: float) -> None:
-        """This backend is about to change its stage: nothing is sent there for so long."""
+        """Send nothing to this backend for ``seconds``: it is about to change its stage."""
         self._proxy.hold_off(backend, seconds)
 
     def loads(self) -> tuple[StageLoad, ...]:
-        """What this proxy asks of the stages of each service."""
+        """Return the load that this proxy offers to the stages of each service."""
         return self._proxy.loads()
 
     def set_proxy_count(self, count: int) -> None:
-        """The told number of proxies."""
+        """Set the number of proxies that a controller reports."""
         self._proxy.shared.choices.draws.proxies = max(1, count)
 
 
 class Edge:
-    """One proxy process."""
+    """A proxy process."""
 
     def __init__(self, settings: NodeSettings, with_neighbours: bool = True) -> None:
         self._settings = settings
@@ -141,7 +143,7 @@
             loop.time(),
             settings.cranebank_policy,
         )
-        self.proxy.shared.choices.draws.proxies = UNTOLD
+        self.proxy.shared.choices.draws.proxies = ASSUMED_PROXIES
         self.proxy.shared.choices.pairs.zone = settings.zone
         self._plane = _Plane(self.proxy)
         self._life = secrets.randbits(63)
@@ -157,7 +159,7 @@
         self.stopping = False
 
     def _has_lost_contact(self) -> bool:
-        return self.links.unconfirmed_s > CONTACT_LOST_S
+        return self.links.unconfirmed_s > CONTACT_TIMEOUT_S
 
     def _hello(self) -> Hello:
         settings = self._settings
@@ -172,7 +174,7 @@
         )
 
     async def run(self) -> int:
-        """Serve until SIGTERM; 0."""
+        """Serve until SIGTERM; return the exit code 0."""
         settings, loop = self._settings, asyncio.get_running_loop()
         stopped = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, stopped.set)
@@ -186,14 +188,14 @@
         )
         gc.collect()
         gc.freeze()
-        exporter = await self._export() if settings.tells_metrics else None
-        logger.info("{} serves at {}", settings.node_name, settings.binds["front"])
-        housekeeping = background.start(self._keep_house())
+        exporter = await self._start_exporter() if settings.exposes_metrics else None
+        logger.info("proxy {} is listening on {}", settings.node_name, settings.binds["front"])
+        housekeeping = background.start(self._run_housekeeping())
         await stopped.wait()
         self.stopping = True
-        until = loop.time() + settings.bounds.grace_s - MARGIN_S
+        until = loop.time() + settings.bounds.grace_s - SHUTDOWN_MARGIN_S
         self.proxy.front.closing = True
-        await asyncio.sleep(min(LEAVE_S, settings.bounds.grace_s / 3))
+        await asyncio.sleep(min(UNREADY_SERVING_S, settings.bounds.grace_s / 3))
         front.close()
         self.proxy.front.dismiss()
         while self.proxy.front.count and loop.time() < until:
@@ -208,15 +210,15 @@
             self._plane.neighbours.stop()
         return 0
 
-    async def _export(self) -> Exporter:
-        from cranebank.programs import metrics  # noqa: PLC0415 - nothing of it where it is off
+    async def _start_exporter(self) -> Exporter:
+        from cranebank.programs import metrics  # noqa: PLC0415 - not loaded while metrics are off
 
-        exporter = metrics.Exporter(lambda: metrics.of_edge(self))
+        exporter = metrics.Exporter(lambda: metrics.edge_metrics(self))
         await exporter.start(self._settings)
         return exporter
 
     def reload(self) -> None:
-        """Read the settings file again: the seeds may be others."""
+        """Read the settings file again: its seeds may have changed."""
         try:
             found = load()
         except SettingsError as error:
@@ -224,18 +226,18 @@
             return
         self.links.name(found.seed_ips)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             try:
-                self._look_after_links()
-            except Exception as error:  # the next look comes all the same
+                self._maintain_links()
+            except Exception as error:  # the loop must go on
                 background.report_unhandled("housekeeping", error)
 
-    def _look_after_links(self) -> None:
+    def _maintain_links(self) -> None:
         self.links.prune()
         if not self.links.up:
-            self.reload()  # the file may change without a signal
+            self.reload()  # the file may have changed without a signal
 
 
 async def _serve(protocol: Callable[[], asyncio.Protocol], address: str) -> asyncio.Server:
@@ -244,7 +246,7 @@
 
 
 async def run(settings: NodeSettings, ring: LogRing | None = None) -> int:
-    """Run one proxy until SIGTERM; the exit code."""
+    """Run a proxy until SIGTERM and return its exit code."""
     if ring is not None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGUSR1, ring.dump)
--- a/cranebank/programs/local_state.py
+++ b/cranebank/programs/local_state.py
@@ -1,8 +1,8 @@
-"""What a controller keeps on its own disk besides the consensus core's state: its registry and what it published.
+"""What a controller keeps on disk besides its consensus state: the registry and the published configuration.
 
-Only the ends of backends are waited for: they are confirmed once a majority of the controllers has them on its disks.
-Nothing agreed depends on the other writes, which shorten the next start. A disk in trouble is reported in the log; the
-next write is another try.
+Only writes of backends' drains and leaves are awaited: these are confirmed once they are on the disks of a majority of
+the controllers. The other writes only shorten the next start; nothing agreed on depends on them. A failed write is
+logged, and the next write retries.
 """
 
 from __future__ import annotations
@@ -20,89 +20,93 @@
 from cranebank.storage.records import StorageError
 from cranebank.transport.messages import Backend
 
-KNOWN = "known"  # key of the registry's records
-ENDED = "ended"  # key of the records of backends that drain or are gone
-KEEP_S, KEEP_FEW, KEEP_MANY_S = 0.4, 500, 5.0  # between writes of the registry: with few records, and with more
-LAST_S = 0.5  # for the last write of a process that ends
+REGISTRY_KEY = "known"  # key of the registry's records
+ENDINGS_KEY = "ended"  # key of the records of backends that are draining or gone
+# Intervals of registry writes: below FEW_RECORDS records, and from there on.
+REGISTRY_WRITE_INTERVAL_S, FEW_RECORDS, LARGE_REGISTRY_WRITE_INTERVAL_S = 0.4, 500, 5.0
+FINAL_WRITE_TIMEOUT_S = 0.5  # for the last write at shutdown
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class Storage(Protocol):
-    """Where the consensus core's state is kept."""
+    """Storage of the consensus core's state."""
 
     async def put(self, values: Mapping[str, bytes]) -> None:
-        """Keep values; they last when this returns. Raises DiskRefused."""
+        """Store values durably before returning. Raises DiskRefused."""
 
     async def close(self) -> None:
-        """No more is put."""
+        """Close the storage; ``put`` is not called afterwards."""
 
 
 class NoDisk:
-    """Where there is no disk."""
+    """Storage of a controller without a disk."""
 
     async def put(self, values: Mapping[str, bytes]) -> None:
-        """Nothing lasts."""
+        """Discard the values."""
 
     async def close(self) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
 class LocalState:
-    """Writes of the published configuration and of the registry's records, as tasks of their own."""
+    """Writes of the published configuration and the registry's records, each as a background task."""
 
     def __init__(self, storage: Storage, now: float) -> None:
         self._storage = storage
         self._writes = BackgroundTasks()
-        self._registry_kept_at = now
+        self._registry_written_at = now
         self.registry_changed = False
 
     def start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a write that nobody waits for."""
+        """Run a write in the background."""
         self._writes.start(work)
 
-    def keep_published(self, revision: int, document: bytes) -> None:
-        """Keep the configuration that was published last, for the next start."""
-        self.start_task(self._try_to_keep(PUBLISHED_KEY, _encode((revision, document))))
+    def write_published(self, revision: int, document: bytes) -> None:
+        """Store the last published configuration for the next start."""
+        self.start_task(self._put_in_background(PUBLISHED_KEY, _encode((revision, document))))
 
-    def keep_registry(self, now: float, records: Callable[[], tuple[Backend, ...]], count: int) -> None:
-        """Keep the registry for the next start, now and then: after a loss of all power proxies need not wait a beat
-        for each backend. What is older there than in life is corrected by the next heartbeat."""
-        pause = KEEP_S if count < KEEP_FEW else KEEP_MANY_S
-        if not self.registry_changed or now - self._registry_kept_at < pause:
+    def write_registry(self, now: float, records: Callable[[], tuple[Backend, ...]], count: int) -> None:
+        """Store the registry from time to time if it has changed.
+
+        After a power loss of the whole fleet proxies then get the backends without waiting a heartbeat interval for
+        each. Stale records are corrected by the next heartbeats.
+        """
+        pause = REGISTRY_WRITE_INTERVAL_S if count < FEW_RECORDS else LARGE_REGISTRY_WRITE_INTERVAL_S
+        if not self.registry_changed or now - self._registry_written_at < pause:
             return
-        self._registry_kept_at, self.registry_changed = now, False
-        self.start_task(self._try_to_keep(KNOWN, _encode(records())))
+        self._registry_written_at, self.registry_changed = now, False
+        self.start_task(self._put_in_background(REGISTRY_KEY, _encode(records())))
 
-    async def keep_endings(self, records: tuple[Backend, ...]) -> bool:
-        """Keep these ends for the next start; whether they last."""
-        return await self._keep(ENDED, _encode(records))
+    async def write_endings(self, records: tuple[Backend, ...]) -> bool:
+        """Store these drains and leaves for the next start; return whether they are durable."""
+        return await self._put(ENDINGS_KEY, _encode(records))
 
     async def close(self, records: tuple[Backend, ...]) -> None:
-        """The last write; a disk that hangs holds up no end."""
+        """Write the registry a last time; a disk that hangs does not delay shutdown beyond FINAL_WRITE_TIMEOUT_S."""
         if records:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LAST_S):
-                    await self._keep(KNOWN, _encode(records))
+                async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
+                    await self._put(REGISTRY_KEY, _encode(records))
         await self._storage.close()
 
-    async def _try_to_keep(self, key: str, value: bytes) -> None:
-        await self._keep(key, value)
+    async def _put_in_background(self, key: str, value: bytes) -> None:
+        await self._put(key, value)
 
-    async def _keep(self, key: str, value: bytes) -> bool:
+    async def _put(self, key: str, value: bytes) -> bool:
         try:
             await self._storage.put({key: value})
         except StorageError as error:
-            logger.warning("disk: {}", error)
+            logger.warning("write of the registry or published configuration to disk failed: {}", error)
             return False
         return True
 
 
 def decode_registry_records(stored: Mapping[str, bytes]) -> tuple[Backend, ...]:
-    """The registry's records of an earlier life, from what was read from the disk; the ends come last."""
+    """Return the registry's records that an earlier process has stored; drains and leaves come last."""
     return tuple(
         record
-        for key in (KNOWN, ENDED)
+        for key in (REGISTRY_KEY, ENDINGS_KEY)
         if key in stored
         for record in msgspec.msgpack.decode(stored[key], type=tuple[Backend, ...])
     )
--- a/cranebank/programs/log_ring.py
+++ b/cranebank/programs/log_ring.py
@@ -1,9 +1,10 @@
-"""Logs: a ring in memory, written out when something goes wrong, and little else.
+"""Logging: a ring buffer of recent lines, written out only when something goes wrong.
 
-A line: node, what holds there (epoch, configuration), time, level, where, text; a request is named in the text.
+A line has the node, its state (epoch, configuration), time, level, module and text; the text names the request if there
+is one.
 
-Writing costs processor time, so the ordinary path writes nothing. An error, an exception that nobody caught or SIGUSR1
-writes what is in the ring to standard error, each line once.
+Writing costs CPU time, so nothing is written in normal operation. An error, an uncaught exception or SIGUSR1 writes the
+buffered lines to standard error, each line once.
 """
 
 from __future__ import annotations
@@ -19,28 +20,28 @@
 
 from cranebank.background import report_unhandled
 
-SIZE = 2000
+MAX_LINES = 2000
 FORMAT = "{time:HH:mm:ss.SSS} {level} {name}: {message}"
-_ERROR = 40
+ERROR_LEVEL = 40
 
 
 class LogRing:
-    """A sink for loguru."""
+    """A loguru sink that buffers lines."""
 
-    def __init__(self, node: str, out: IO[str] | None = None, size: int = SIZE) -> None:
+    def __init__(self, node: str, out: IO[str] | None = None, size: int = MAX_LINES) -> None:
         self._node, self._out = node, out
         self._lines: deque[str] = deque(maxlen=size)
-        self.state: Callable[[], str] = str  # what the process holds, asked for each line that is kept
+        self.state: Callable[[], str] = str  # returns the process's state, which each buffered line carries
 
     def write(self, message: Any) -> None:
-        """Keep a line; one of level ERROR or above writes them all out."""
+        """Buffer a line; a line of level ERROR or above writes out the buffer."""
         state = self.state()
         self._lines.append(f"{state} {message}" if state else str(message))
-        if message.record["level"].no >= _ERROR:
+        if message.record["level"].no >= ERROR_LEVEL:
             self.dump()
 
     def dump(self) -> None:
-        """Write out what is held."""
+        """Write out the buffered lines and empty the buffer."""
         out = self._out or sys.stderr
         lines, text = len(self._lines), "".join(f"{self._node} {line}" for line in self._lines)
         self._lines.clear()
@@ -49,16 +50,16 @@
             out.flush()
 
     def uncaught(self, kind: type[BaseException], error: BaseException, trace: TracebackType | None) -> None:
-        """An exception that ends the program (``sys.excepthook``)."""
+        """Log an exception that ends the program (``sys.excepthook``)."""
         logger.opt(exception=(kind, error, trace)).critical("unhandled: {!r}", error)
 
     def uncaught_in_loop(self, _loop: AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An exception in a callback or a forgotten task (``loop.set_exception_handler``)."""
+        """Log an exception in a callback or an unawaited task (``loop.set_exception_handler``)."""
         report_unhandled(str(context.get("message")), context.get("exception"))
 
 
 def install(node: str) -> LogRing:
-    """Make a ring the only sink of this process."""
+    """Create the buffer and make it the only log sink of this process."""
     ring = LogRing(node)
     logger.remove()
     logger.add(ring.write, format=FORMAT, level="INFO", backtrace=False, diagnose=False)
--- a/cranebank/programs/metrics.py
+++ b/cranebank/programs/metrics.py
@@ -1,8 +1,8 @@
-"""Figures of a process for scrapers: ``GET /metrics`` in Prometheus's text format, off unless asked for.
+"""Metrics of a process for scrapers: ``GET /metrics`` in Prometheus's text format, disabled by default.
 
-Nothing is counted for this alone: plain counters and the present state are read when somebody asks. The names and the
-values of labels are bounded. Written by hand: ``prometheus_client`` takes 4 MB and 50 ms at its import (median of ten
-runs, 40 to 62 ms), in processes whose memory is priced.
+No metric has a counter of its own: existing counters and the present state are read at each scrape. Metric names and
+label values are bounded. The format is written by hand: importing ``prometheus_client`` takes 4 MB and 50 ms (median of
+ten runs, 40 to 62 ms), in processes whose memory is priced.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     from cranebank.transport.messages import Backend
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-SWEEP_S = 5.0
+SWEEP_INTERVAL_S = 5.0
 PHASES = ("ready", "draining", "lost", "gone")
 STAGES = ("prefill", "decode")
 RESULTS = {
@@ -39,45 +39,45 @@
     "busy": "Busy",
     "unknown": "Unknown",
 }
-REPLIED = "replied_"  # counters of our own answers, by status
+REPLY_PREFIX = "replied_"  # prefix of the counters of answers that the proxy made itself, by status
 
 
 class EdgeState(Protocol):
-    """What is read of the proxy's program (``programs.edge``, which imports this module)."""
+    """The part of the proxy's program that is read; ``programs.edge`` imports this module."""
 
     @property
     def proxy(self) -> Proxy:
-        """Its data plane."""
+        """The data plane."""
 
     @property
     def links(self) -> FleetLinks:
-        """Its links to controllers."""
+        """The links to controllers."""
 
 
 class ControllerState(Protocol):
-    """What is read of the controller's program (``programs.control``, which imports this module)."""
+    """The part of the controller's program that is read; ``programs.control`` imports this module."""
 
     @property
     def registry(self) -> Registry:
-        """The backends that it knows."""
+        """The registry of backends."""
 
     @property
     def writes(self) -> Mapping[str, int]:
-        """Writes by the name of their result."""
+        """Configuration writes, counted by the name of their result."""
 
     def stage_loads(self) -> Mapping[str, float]:
-        """What proxies ask of each stage of all services, in erlangs."""
+        """Return the load that proxies offer to each stage, summed over all services, in erlangs."""
 
     @property
     def tallies(self) -> TallyService:
-        """The tallies that it keeps."""
+        """The controller's tallies."""
 
     def overview(self) -> Mapping[str, Any]:
-        """What System.Status answers."""
+        """Return the answer to System.Status."""
 
 
 class Metric(msgspec.Struct, frozen=True):
-    """A named figure, or one for each value of a label."""
+    """A metric with one value, or with one value for each value of a label."""
 
     name: str
     kind: Literal["counter", "gauge"]
@@ -88,7 +88,7 @@
 
 
 def exposition(metrics: Iterable[Metric]) -> bytes:
-    """The text format."""
+    """Return the metrics in Prometheus's text format."""
     lines: list[str] = []
     for metric in metrics:
         lines += [f"# HELP {metric.name} {metric.help}", f"# TYPE {metric.name} {metric.kind}"]
@@ -99,14 +99,14 @@
     return "\n".join((*lines, "")).encode()
 
 
-def of_edge(edge: EdgeState) -> list[Metric]:
-    """A proxy's figures."""
+def edge_metrics(edge: EdgeState) -> list[Metric]:
+    """Return a proxy's metrics."""
     proxy, prefix = edge.proxy, "cranebank_edge_"
     count = proxy.counters.get
     answers = {
-        name.removeprefix(REPLIED): number
+        name.removeprefix(REPLY_PREFIX): number
         for name, number in sorted(proxy.counters.items())
-        if name.startswith(REPLIED)
+        if name.startswith(REPLY_PREFIX)
     }
 
     def counter(name: str, text: str, value: int) -> Metric:
@@ -116,95 +116,105 @@
         return Metric(f"{prefix}{name}", "gauge", text, value)
 
     return [
-        counter("requests", "Requests on a route.", count("requests", 0)),
-        counter("served", "Requests whose answer of a backend was passed on whole.", count("served", 0)),
-        counter("refused", "Requests refused that have not run (503).", count(f"{REPLIED}503", 0)),
+        counter("requests", "Requests that matched a route.", count("requests", 0)),
+        counter("served", "Requests for which a backend's complete answer was forwarded.", count("served", 0)),
+        counter("refused", "Requests refused without having run (503).", count(f"{REPLY_PREFIX}503", 0)),
         Metric(
             f"{prefix}replies_total",
             "counter",
-            "Answers of the proxy's own, by status.",
+            "Answers generated by the proxy itself, by status.",
             label="status",
             values=answers,
         ),
-        counter("repeats", "Further calls paid for by the retry budget.", count("repeats", 0)),
-        counter("budget_empty", "Further calls not made, since the retry budget was empty.", count("budget_empty", 0)),
+        counter("repeats", "Retries covered by the retry budget.", count("repeats", 0)),
+        counter("budget_empty", "Retries not made because the retry budget was empty.", count("budget_empty", 0)),
         Metric(
             f"{prefix}legs_total",
             "counter",
-            "Calls to backends, by what they were for.",
+            "Calls to backends, by purpose.",
             label="purpose",
             values={"read": count("reads", 0), "make": count("makes", 0)},
         ),
         counter(
             "without_backend",
-            "Times that no backend was ready to run a request.",
+            "Times that no backend was ready for a request.",
             count("without_backend", 0),
         ),
-        counter("cold_calls", "Calls to cold backends, under permits.", count("cold_calls", 0)),
-        counter("readings", "Prompts that a prefill backend has read.", count("readings", 0)),
-        counter("reading_milliseconds", "Time from asking for a reading to its answer.", count("reading_ms", 0)),
+        counter("cold_calls", "Calls to cold backends under a warm-up permit.", count("cold_calls", 0)),
+        counter("readings", "Prompts that a prefill backend has processed.", count("readings", 0)),
+        counter(
+            "reading_milliseconds",
+            "Time from a prefill request to its answer, in milliseconds.",
+            count("reading_ms", 0),
+        ),
         Metric(
             f"{prefix}tokens_asked_total",
             "counter",
-            "Tokens of prompts to be read, by the stage of the backend that was asked.",
+            "Prompt tokens sent to backends, by the backend's stage.",
             label="stage",
             values={stage: count(f"tokens_asked_{stage}", 0) for stage in STAGES},
         ),
         Metric(
             f"{prefix}tokens_unread",
             "gauge",
-            "Tokens that this proxy waits for to be read, by the stage of the backend.",
+            "Prompt tokens that backends have not processed yet, by the backend's stage.",
             label="stage",
-            values=_unread(proxy),
+            values=_unprocessed_tokens(proxy),
         ),
         counter("dialled", "Connections opened to backends.", count("dialled", 0)),
-        gauge("open_requests", "Requests that are open.", proxy.open),
+        gauge("open_requests", "Requests in progress.", proxy.open),
         _ready_by_stage(prefix, proxy.shared.candidates.records.values()),
-        gauge("configuration_revision", "Revision in force; 0: none.", proxy.revision),
+        gauge("configuration_revision", "Configuration revision in force; 0 if none.", proxy.revision),
         gauge(
             "configuration_unconfirmed_seconds",
-            "For how long no controller in contact with a majority has confirmed the revision.",
+            "Seconds since a controller in contact with a majority last confirmed the revision.",
             int(edge.links.unconfirmed_s),
         ),
-        gauge("evacuation_number", "Number of the evacuations in force; 0: none ever.", proxy.evacuation_number),
-        gauge("evacuated_zones", "Zones to whose backends nothing is sent.", len(proxy.evacuated)),
-        gauge("links_up", "Links to controllers that stand.", edge.links.up),
-        counter(
-            "relayed", "Messages passed on between controllers that are cut off from each other.", edge.links.relayed
+        gauge(
+            "evacuation_number",
+            "Sequence number of the evacuations in force; 0 before the first.",
+            proxy.evacuation_number,
         ),
+        gauge("evacuated_zones", "Zones whose backends are sent no requests.", len(proxy.evacuated)),
+        gauge("links_up", "Links to controllers that are up.", edge.links.up),
+        counter("relayed", "Messages relayed between controllers that cannot reach each other.", edge.links.relayed),
         _invariant_violations(prefix),
     ]
 
 
-def of_control(controller: ControllerState) -> list[Metric]:
-    """A controller's figures."""
-    told, prefix = controller.overview(), "cranebank_control_"
+def controller_metrics(controller: ControllerState) -> list[Metric]:
+    """Return a controller's metrics."""
+    state, prefix = controller.overview(), "cranebank_control_"
     phases = Counter(record.phase for record in controller.registry.all_records())
-    proxies = told["proxies"]
+    proxies = state["proxies"]
 
     def gauge(name: str, text: str, value: int) -> Metric:
         return Metric(f"{prefix}{name}", "gauge", text, value)
 
     return [
-        gauge("is_primary", "1 while this is the primary and its lease runs.", told["is_primary"]),
-        gauge("epoch", "Epoch of the newest record known.", told["epoch"]),
-        gauge("configuration_revision", "Revision handed out; 0: none.", told["revision"]),
-        gauge("evacuation_number", "Number of the newest evacuations known; 0: none ever.", told["evacuation_number"]),
-        gauge("evacuated_zones", "Zones to whose backends nothing is sent.", len(told["evacuated"])),
-        gauge("proxies", "Proxies linked here.", len(proxies)),
+        gauge("is_primary", "1 while this controller is the primary with a valid lease.", state["is_primary"]),
+        gauge("epoch", "Epoch of the newest known record.", state["epoch"]),
+        gauge("configuration_revision", "Configuration revision published to proxies; 0 if none.", state["revision"]),
+        gauge(
+            "evacuation_number",
+            "Sequence number of the newest known evacuations; 0 before the first.",
+            state["evacuation_number"],
+        ),
+        gauge("evacuated_zones", "Zones whose backends are sent no requests.", len(state["evacuated"])),
+        gauge("proxies", "Proxies linked to this controller.", len(proxies)),
         gauge(
             "proxies_unevacuated",
             "Linked proxies that have not acknowledged the newest evacuations.",
-            sum(proxy["evacuation_number"] < told["evacuation_number"] for proxy in proxies),
+            sum(proxy["evacuation_number"] < state["evacuation_number"] for proxy in proxies),
         ),
         gauge(
             "proxies_behind",
-            "Linked proxies that show an older revision.",
-            sum(proxy["revision"] < told["revision"] for proxy in proxies),
+            "Linked proxies that have an older revision.",
+            sum(proxy["revision"] < state["revision"] for proxy in proxies),
         ),
         gauge(
             "lag",
-            "Most pushes that a linked proxy has not acknowledged.",
+            "Largest number of unacknowledged pushes of any linked proxy.",
             max((proxy["lag"] for proxy in proxies), default=0),
         ),
         Metric(
@@ -218,49 +228,51 @@
         Metric(
             f"{prefix}wrong_losses_total",
             "counter",
-            "Heartbeats that another controller had heard before their backend was held for lost here.",
+            "Heartbeats that another controller had received before this one declared their backend lost.",
             controller.registry.wrong_losses,
         ),
         Metric(
             f"{prefix}stage_load_millierlangs",
             "gauge",
-            "What proxies linked here ask of backends, in thousandths of a backend's time or places, by stage.",
+            "Load that linked proxies offer to backends, in thousandths of a backend's time or of a slot, by stage.",
             label="stage",
             values={stage: round(1000 * erlangs) for stage, erlangs in controller.stage_loads().items()},
         ),
         Metric(
             f"{prefix}writes_total",
             "counter",
-            "Writes handed to the custody, by result.",
+            "Configuration writes submitted to the consensus core, by result.",
             label="result",
             values={result: controller.writes.get(kind, 0) for result, kind in RESULTS.items()},
         ),
-        *_of_tallies(prefix, controller.tallies),
+        *_tally_metrics(prefix, controller.tallies),
         _invariant_violations(prefix),
     ]
 
 
-def _of_tallies(prefix: str, tallies: TallyService) -> list[Metric]:
+def _tally_metrics(prefix: str, tallies: TallyService) -> list[Metric]:
     stats, counts = tallies.stats, tallies.counts
 
     def gauge(name: str, text: str, value: int) -> Metric:
         return Metric(f"{prefix}tally_{name}", "gauge", text, value)
 
     return [
-        gauge("names", "Tallies that were ever added to.", stats.tallies),
-        gauge("adds_held", "Adds to tallies whose ids are held.", stats.held),
-        gauge("adds_folded", "Adds to tallies that are known by their sums only.", stats.folded),
-        gauge("origins", "Lives of controllers that have taken adds to tallies.", stats.origins),
-        gauge("calls_waiting", "Adds to tallies that wait to be durable on enough controllers.", counts.waiting),
+        gauge("names", "Tallies that have ever been added to.", stats.tallies),
+        gauge("adds_held", "Adds to tallies that are kept with their ids.", stats.held),
+        gauge("adds_folded", "Adds to tallies that are kept only as sums.", stats.folded),
+        gauge("origins", "Controller processes, counting restarts, that have accepted adds to tallies.", stats.origins),
+        gauge(
+            "calls_waiting", "Adds to tallies that are waiting to become durable on enough controllers.", counts.waiting
+        ),
         gauge(
             "lag",
-            "Most adds held here that a linked controller doesn't have on its disk.",
+            "Largest number of adds held here that a linked controller has not stored on its disk.",
             max(stats.lag.values(), default=0),
         ),
         Metric(
             f"{prefix}tally_calls_total",
             "counter",
-            "Adds to tallies, by how they ended; unclear: not known to be durable in time.",
+            "Adds to tallies, by outcome; unclear: not confirmed as durable in time.",
             label="result",
             values={"acknowledged": counts.acknowledged, "refused": counts.refused, "unclear": counts.unclear},
         ),
@@ -271,13 +283,13 @@
     return Metric(
         f"{prefix}invariant_violations_total",
         "counter",
-        "Invariants found violated since the start, by name; none in a sound process.",
+        "Invariant violations detected since the start, by name; none in a correct process.",
         label="invariant",
         values={re.sub(r"\W+", "_", name): number for name, number in violations().items()},
     )
 
 
-def _unread(proxy: Proxy) -> dict[str, int]:
+def _unprocessed_tokens(proxy: Proxy) -> dict[str, int]:
     unread = dict.fromkeys(STAGES, 0)
     for seen in proxy.shared.candidates.views.values():
         if seen.backend.stage in unread:
@@ -290,36 +302,36 @@
     return Metric(
         f"{prefix}backends_ready",
         "gauge",
-        "Backends that are ready, by stage; none: they tell no stage.",
+        "Ready backends, by stage; none: the backend reports no stage.",
         label="stage",
         values={**{stage: stages[stage] for stage in STAGES}, "none": stages[""]},
     )
 
 
 class Exporter:
-    """The listening end."""
+    """An HTTP server for the metrics."""
 
     def __init__(self, metrics: Callable[[], list[Metric]]) -> None:
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
-        self._server = Server((Call("GET", "/metrics", 0, self._tell),), self._loop.time)
+        self._server = Server((Call("GET", "/metrics", 0, self._answer),), self._loop.time)
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self, settings: NodeSettings) -> None:
-        """Listen; a port that can't be had is a line in the log."""
+        """Listen; if the port is missing or in use, log a warning and go on without metrics."""
         port = settings.metrics_port
         if port is None:
-            logger.warning("no metrics: expected a second port in port_range")
+            logger.warning("metrics are off: port_range has no second port for them")
             return
         try:
             await self._server.start(settings.ip, port)
         except OSError as error:
-            logger.warning("no metrics: port {}: {}", port, error)
+            logger.warning("metrics are off: cannot listen on port {}: {}", port, error)
             return
         self._sweep()
 
     def stop(self) -> None:
-        """End it."""
+        """Stop listening and close all connections."""
         if self._timer is not None:
             self._timer.cancel()
         self._server.stop()
@@ -327,7 +339,7 @@
 
     def _sweep(self) -> None:
         self._server.sweep()
-        self._timer = self._loop.call_later(SWEEP_S, self._sweep)
+        self._timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    async def _tell(self, _request: Request) -> Response:
+    async def _answer(self, _request: Request) -> Response:
         return Response(200, exposition(self._metrics()), content_type=CONTENT_TYPE)
--- a/cranebank/programs/registry_service.py
+++ b/cranebank/programs/registry_service.py
@@ -1,11 +1,11 @@
-"""The registry of a controller on its links: publishing changes, and confirming that a backend drains or is gone.
+"""A controller's registry on its links: publishes changes, and confirms that a backend is draining or gone.
 
-An end of a backend is confirmed to its caller only when it is on the disks of a majority of the controllers, this one
-counted: so no majority that forms later lacks it, whatever was killed or lost power. The linked proxies are waited for
-as well, but not for longer than the caller's patience. Each connection to a controller begins with the whole registry.
+A drain or leave is confirmed to its caller only once it is on the disks of a majority of the controllers, this one
+included. Any later majority then has it, whichever controllers were killed or lost power. The linked proxies are
+awaited as well, but only within the caller's timeout. Each connection to a controller begins with the whole registry.
 
-Who was heard, and what changed, also goes to controllers that there is no connection to, by way of proxies: a backend
-whose heartbeats reach the other side of a partition only is alive all the same.
+Heartbeats received and changes are also sent, by way of proxies, to controllers without a direct connection: a backend
+whose heartbeats reach only the other side of a partition is still alive.
 """
 
 from __future__ import annotations
@@ -31,11 +31,12 @@
 from cranebank.transport.links import Link
 from cranebank.transport.messages import Backend, RegistryAck, RegistrySync
 
-BATCH_S = 0.05  # changes that come within this time of the last push go out together
-SYNC_S = 1.0  # between tellings to other controllers of who was heard
-MAJORITY_S = 0.45  # for a majority's acknowledgements: a caller without them has time left to go on to another
-ISOLATED_S = 1.0  # without any other controller or proxy for so long, nobody hears what this one takes
-STOOD_S = 1.5  # without a look at the registry for so long, this process stood still: it hears first
+PUSH_BATCH_S = 0.05  # changes within this time after a push are sent together
+SYNC_INTERVAL_S = 1.0  # interval at which other controllers are told which backends sent heartbeats
+MAJORITY_TIMEOUT_S = 0.45  # for a majority's acknowledgements; leaves the caller time to try another controller
+ISOLATION_TIMEOUT_S = 1.0  # without contact to a controller or proxy for so long, heartbeats received here reach nobody
+# After a longer gap between ticks the process was suspended, and reads pending heartbeats before it expires backends.
+SUSPENSION_THRESHOLD_S = 1.5
 
 
 class RegistryService:
@@ -49,7 +50,7 @@
         links: ControllerLinks,
         delivery: Delivery,
         local_state: LocalState,
-        recalled: Iterable[Backend],
+        stored_backends: Iterable[Backend],
         random: Random,
     ) -> None:
         self._ip = settings.ip
@@ -57,7 +58,7 @@
         self._delivery, self._local_state = delivery, local_state
         began = now()
         self.registry = Registry(began, settings.beat_ms / 1000)
-        self.registry.restore(began, recalled)
+        self.registry.restore(began, stored_backends)
         self._replication = RegistryReplication(settings.ip)
         self._relay = RegistryRelay(delivery, random)
         self._seed_ips = settings.seed_ips
@@ -65,25 +66,27 @@
         self._permits = PermitIssuer(
             began, random, settings.ip, settings.tolerance.machines, RateBound(bounds.cold_over, bounds.cold_slack)
         )
-        self._limits_revision = 0  # of the configuration whose limits are known
+        self._limits_revision = 0  # revision of the configuration that the limits were read from
         self._endings: dict[str, PendingAcks] = {}
-        self._published_at = began - BATCH_S
+        self._published_at = began - PUSH_BATCH_S
         self._synced_at = 0.0
-        self._looked_at = self._heard_by_others_at = began
+        self._last_tick_at = self._last_connected_at = began
 
     def publish(self, at_once: bool = True) -> None:
-        """Tell proxies and controllers what is news in the registry. What need not go at once waits for the next tick
-        where something went just before: many that come together make one push."""
+        """Send changes of the registry to proxies and controllers.
+
+        Unless ``at_once``, changes right after a push wait for the next tick, so that many changes make one push.
+        """
         now = self._now()
-        if not at_once and now - self._published_at < BATCH_S:
+        if not at_once and now - self._published_at < PUSH_BATCH_S:
             return
         self._read_limits()
-        news = self.registry.as_of(now, self.registry.changes())
-        if not news:
+        changed = self.registry.as_of(now, self.registry.changes())
+        if not changed:
             return
-        for record in news:
+        for record in changed:
             logger.info(
-                "backend {} ({} of {}, {}): {}{}",
+                "backend {} (stage {}, service {}, zone {}): {}{}",
                 record.id,
                 record.stage,
                 record.target,
@@ -92,18 +95,18 @@
                 f", cold for {record.cold_left_ms} ms" if record.cold_left_ms else "",
             )
         self._published_at, self._local_state.registry_changed = now, True
-        acks = self._delivery.push_backends(news)
-        endings = [record.id for record in news if record.phase in ENDING_PHASES]
+        acks = self._delivery.push_backends(changed)
+        endings = [record.id for record in changed if record.phase in ENDING_PHASES]
         if not acks.done:
             self._endings.update(dict.fromkeys(endings, acks))
-        self._hand_out_permits(now)
+        self._lease_permits(now)
         send_deliveries(self._delivery)
         number = self._replication.advance() if endings else 0
-        self._tell_all(RegistrySync(news, (), number))
+        self._send_to_controllers(RegistrySync(changed, (), number))
         if number:
-            self._local_state.start_task(self._keep_own(number))
+            self._local_state.start_task(self._write_own_endings(number))
 
-    def _tell_all(self, sync: RegistrySync) -> None:
+    def _send_to_controllers(self, sync: RegistrySync) -> None:
         self._links.broadcast(sync)
         self._relay_to_unreached(sync)
 
@@ -112,34 +115,35 @@
             self._relay.send(ip, sync)
 
     def merge(self, link: Link, sync: RegistrySync) -> None:
-        """Take another controller's records, push what is news, and acknowledge ends once they are on this disk."""
-        self._take(link.peer, sync)
+        """Apply another controller's records and push changes; acknowledge drains and leaves once they are on this
+        disk."""
+        self._apply_sync(link.peer, sync)
         if sync.number and self.registry.has_ended(sync.backends):
-            self._local_state.start_task(self._keep_and_acknowledge(link, sync.number))
+            self._local_state.start_task(self._write_and_acknowledge(link, sync.number))
 
-    async def _keep_and_acknowledge(self, link: Link, number: int) -> None:
-        if await self._local_state.keep_endings(self.registry.endings()):
+    async def _write_and_acknowledge(self, link: Link, number: int) -> None:
+        if await self._local_state.write_endings(self.registry.endings()):
             link.send(RegistryAck(number))
 
-    async def _keep_own(self, number: int) -> None:
-        if await self._local_state.keep_endings(self.registry.endings()):
+    async def _write_own_endings(self, number: int) -> None:
+        if await self._local_state.write_endings(self.registry.endings()):
             self._replication.acknowledge(self._ip, number, self._member_ips())
 
     def merge_relayed(self, link: Link, source: str, sync: RegistrySync) -> None:
-        """Take what a controller without a connection to this one has sent by way of the proxy on this link."""
+        """Apply a message from an unconnected controller that was relayed by the proxy on this link."""
         self._relay.received(self._now(), source, link)
-        self._take(source, sync)
+        self._apply_sync(source, sync)
 
-    def _take(self, source: str, sync: RegistrySync) -> None:
+    def _apply_sync(self, source: str, sync: RegistrySync) -> None:
         now = self._now()
         self.registry.merge(now, sync.backends)
         requested_ids = self.registry.heard(now, sync.heard)
         self.publish()
         answers = self.registry.as_of(now, self.registry.records_of(sync.requested_ids))
         if requested_ids or answers:
-            self._tell(source, RegistrySync(answers, requested_ids=requested_ids))
+            self._send_to(source, RegistrySync(answers, requested_ids=requested_ids))
 
-    def _tell(self, ip: str, sync: RegistrySync) -> None:
+    def _send_to(self, ip: str, sync: RegistrySync) -> None:
         link = self._links.to(ip)
         if link is not None:
             link.send(sync)
@@ -147,59 +151,67 @@
             self._relay.send(ip, sync)
 
     def merge_proxy_records(self, records: Iterable[Backend]) -> tuple[Backend, ...]:
-        """What a proxy that has just come knows; returns what it is to be told: all records, and which of its own
-        nobody vouches for."""
+        """Apply the records of a proxy that has just connected.
+
+        Returns what to send it: all records, and those of its own that no controller confirms.
+        """
         now = self._now()
-        stray = self.registry.merge_proxy_records(now, records, all(self._hears(now, ip) for ip in self._member_ips()))
+        unconfirmed = self.registry.merge_proxy_records(
+            now, records, all(self._is_in_contact(now, ip) for ip in self._member_ips())
+        )
         self.publish()
-        return (*self.registry.as_of(now, self.registry.all_records()), *stray)
+        return (*self.registry.as_of(now, self.registry.all_records()), *unconfirmed)
 
     def whole(self) -> RegistrySync:
-        """All records: what a connection to a controller begins with."""
+        """Return all records, as sent at the start of a connection to a controller."""
         records = self.registry.as_of(self._now(), self.registry.all_records())
         return RegistrySync(records, (), self._replication.number)
 
     def zone_returned(self, zone: str) -> None:
-        """A zone is taken back from an evacuation: its backends count as cold, and permits for them go out."""
+        """Treat a zone's backends as cold after its evacuation was finished, and issue permits for them."""
         self._read_limits()
         self.registry.zone_returned(self._now(), zone)
         self.publish()
 
     def report_clock(self, link: Hashable, clock: float) -> None:
-        """The proxy on this link told its clock; 0: it did not."""
+        """Record the clock that the proxy on this link reported; 0 means that it reported none."""
         if clock > 0:
             self._permits.report_clock(self._now(), link, clock)
 
     def forget_clock(self, link: Hashable) -> None:
-        """The link is over."""
+        """Drop the clock of a link that is down."""
         self._permits.forget(link)
 
     def _read_limits(self) -> None:
-        """Of the configuration that goes out to proxies."""
+        """Read the limits of cold backends from the configuration that is published to proxies."""
         if self._delivery.revision == self._limits_revision:
             return
         self._limits_revision = self._delivery.revision
         try:
             self.registry.limits = read_limits(self._delivery.document)
         except msgspec.MsgspecError as error:
-            logger.warning("limits of cold backends: {}", error)
+            logger.warning("cannot read the limits of cold backends from the configuration: {}", error)
 
-    def _hand_out_permits(self, now: float) -> None:
+    def _lease_permits(self, now: float) -> None:
         if not self.registry.limits:
             return
         cold = self.registry.cold(now)
         if cold:
             controllers = {self._ip, *self._seed_ips} | self._consensus.known_ips() | self._links.accepted_ips
-            leased = self._permits.hand_out(now, cold, controllers)
-            for link, permits in leased:
+            leases = self._permits.hand_out(now, cold, controllers)
+            for link, permits in leases:
                 self._delivery.tell(link, permits)
-            if leased:
-                backends = sorted({permits.backend for _, permits in leased})
-                total = sum(permits.permits for _, permits in leased)
-                logger.info("{} permits for cold backends leased: {}", total, ", ".join(backends))
+            if leases:
+                backends = sorted({permits.backend for _, permits in leases})
+                total = sum(permits.permits for _, permits in leases)
+                logger.info("leased {} warm-up permits for cold backends {}", total, ", ".join(backends))
 
     def link_lost(self, ip: str) -> Link | None:
-        """A connection to this controller is over. The one that is left, if any, is sent what may have been lost."""
+        """Handle the loss of a connection to this controller.
+
+        Whatever was in transit may be lost: the whole registry is sent on the remaining connection, if any, which is
+        returned.
+        """
         other = self._links.to(ip)
         if other is None:
             self._replication.forget(ip)
@@ -208,16 +220,19 @@
         return other
 
     def acknowledged(self, ip: str, number: int) -> None:
-        """Another controller has taken all changes up to this number."""
+        """Record that another controller has stored all changes up to this number."""
         self._replication.acknowledge(ip, number, self._member_ips())
 
     async def confirm_ending(self, backend_id: str, seconds: float) -> bool:
-        """Tell all that this backend drains or is gone. Whether a majority of the controllers has confirmed it in
-        time; the linked proxies are waited for no longer than this."""
+        """Publish that this backend is draining or gone, and wait for confirmation.
+
+        Returns whether a majority of the controllers confirms in time. The linked proxies are awaited for at most
+        ``seconds``.
+        """
         deadline = self._now() + seconds
         self.publish()
         acks = self._endings.get(backend_id)
-        if not await self._confirmed_by_majority(self._replication.number, min(seconds, MAJORITY_S)):
+        if not await self._confirmed_by_majority(self._replication.number, min(seconds, MAJORITY_TIMEOUT_S)):
             return False
         if acks is not None:
             await wait_for_acks(acks, max(0.0, deadline - self._now()))
@@ -231,53 +246,55 @@
                 async with asyncio.timeout(seconds):
                     await confirmed.wait()
             except TimeoutError:
-                logger.info("a drain or leave is not confirmed by a majority in {} s", seconds)
+                logger.info("a drain or leave was not confirmed by a majority within {} s", seconds)
             finally:
                 self._replication.cancel(confirmed.set)
         return self._replication.is_confirmed(number, self._member_ips())
 
     def tick(self, now: float) -> None:
-        """Expire the silent, and tell other controllers who was heard here."""
-        if self._is_heard_by_others(now):
-            self._heard_by_others_at = now
-        self.registry.expire(now, in_touch=self._hears_most(now) and now - self._looked_at < STOOD_S)
-        self._looked_at = now
+        """Expire silent backends, and tell other controllers which heartbeats arrived here."""
+        if self._is_connected(now):
+            self._last_connected_at = now
+        self.registry.expire(
+            now, in_touch=self._has_majority_contact(now) and now - self._last_tick_at < SUSPENSION_THRESHOLD_S
+        )
+        self._last_tick_at = now
         self._read_limits()
-        self._hand_out_permits(now)
+        self._lease_permits(now)
         send_deliveries(self._delivery)
-        if now - self._synced_at >= SYNC_S:
+        if now - self._synced_at >= SYNC_INTERVAL_S:
             self._synced_at = now
-            self.publish()  # what a heartbeat changed goes out ahead of its number: behind it, it would be old news
+            self.publish()  # a heartbeat's change goes out before its number: after it, it would be dropped as stale
             sync = RegistrySync((), self.registry.pop_heard(now))
             if sync.heard:
                 self._links.broadcast(sync)
-            self._relay_to_unreached(sync)  # also where nobody was heard: it shows that this controller runs
+            self._relay_to_unreached(sync)  # even without heartbeats: it shows that this controller is running
         self._endings = {key: acks for key, acks in self._endings.items() if not acks.done}
 
     @property
     def is_isolated(self) -> bool:
-        """Whether nobody hears of heartbeats that this controller takes, though there are others that should."""
-        return self._now() - self._heard_by_others_at > ISOLATED_S
+        """Whether heartbeats received here reach no other controller and no proxy, although other controllers exist."""
+        return self._now() - self._last_connected_at > ISOLATION_TIMEOUT_S
 
-    def _is_heard_by_others(self, now: float) -> bool:
+    def _is_connected(self, now: float) -> bool:
         others = self._member_ips() - {self._ip}
-        return not others or bool(self._delivery.proxies) or any(self._hears(now, ip) for ip in others)
+        return not others or bool(self._delivery.proxies) or any(self._is_in_contact(now, ip) for ip in others)
 
     def _member_ips(self) -> set[str]:
         return {ip_of(member) for member in self._consensus.status(self._now()).members}
 
-    def _hears_most(self, now: float) -> bool:
-        """Whether more than half of the members are heard here, over a connection or by way of proxies."""
+    def _has_majority_contact(self, now: float) -> bool:
+        """Whether this controller is in contact with a majority of the members, directly or by way of proxies."""
         members = self._member_ips()
-        heard = sum(self._hears(now, ip) for ip in members)
-        return not members or 2 * heard > len(members)
+        reached = sum(self._is_in_contact(now, ip) for ip in members)
+        return not members or 2 * reached > len(members)
 
-    def _hears(self, now: float, ip: str) -> bool:
+    def _is_in_contact(self, now: float, ip: str) -> bool:
         return ip == self._ip or self._links.to(ip) is not None or self._relay.is_heard(now, ip)
 
 
 async def wait_for_acks(acks: PendingAcks, seconds: float) -> None:
-    """Wait for these acknowledgements, no longer than this."""
+    """Wait until these acknowledgements are complete, for at most ``seconds``."""
     if acks.done:
         return
     future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -294,4 +311,4 @@
         async with asyncio.timeout(seconds):
             await future
     except TimeoutError:
-        logger.info("{} proxies have not acknowledged in {} s", acks.missing, seconds)
+        logger.info("{} proxies did not acknowledge a push within {} s", acks.missing, seconds)
--- a/cranebank/programs/serve.py
+++ b/cranebank/programs/serve.py
@@ -1,6 +1,6 @@
-"""Runs one process of the system, a proxy or a controller, by the settings file it is given.
+"""Runs one process of the system, a proxy or a controller, with the settings file it is given.
 
-Each role imports only its own modules: memory and the time of a start are priced.
+Each role imports only its own modules, as memory and start-up time are priced.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 def serve(role: Role, metrics_port: int = 0, off: str = "") -> int:
     """Run one process of the system until it is stopped.
 
-    :param role: what it is: edge carries the clients' traffic, control serves backends and operators
-    :param metrics_port: where figures are told to scrapers, instead of what the settings file says; 0: as it says
-    :param off: mechanisms of deciding to switch off, with commas between, instead of what the settings file says
+    :param role: edge serves clients, control serves backends and operators
+    :param metrics_port: port for metrics, overriding the settings file; 0 keeps the file's setting
+    :param off: comma-separated mechanisms of deciding to switch off, overriding the settings file
     """
     try:
         settings = load(role=role, metrics_port=metrics_port)
--- a/cranebank/programs/settings.py
+++ b/cranebank/programs/settings.py
@@ -1,7 +1,7 @@
 """A process's settings file (YAML), named by ``CRANEBANK_NODE_FILE``.
 
-Unknown fields are skipped at every level. A known field with an unusable value raises SettingsError. Numbers may be
-written as text, since YAML 1.1 takes ``1e3`` for text.
+Unknown fields are ignored at every level. A known field with an invalid value raises SettingsError. Numbers may be
+written as text, since YAML 1.1 reads ``1e3`` as text.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from cranebank.dataplane.policy import Policy
 
 VARIABLE = "CRANEBANK_NODE_FILE"
-METRICS = "CRANEBANK_METRICS"
-DEFAULT = "/etc/cranebank/boot.yaml"
+METRICS_VARIABLE = "CRANEBANK_METRICS"
+DEFAULT_PATH = "/etc/cranebank/boot.yaml"
 
 
 KNOWN_BINDS = frozenset({"front", "ready_addr", "control_addr"})
@@ -29,18 +29,18 @@
 NEEDED_BINDS: Mapping[Role, tuple[str, ...]] = {
     "edge": ("front", "ready_addr"),
     "control": (),
-}  # a controller has the seeds' port by default
+}  # a controller binds the seeds' port by default
 HIGHEST_PORT = 65535
 _INVALID_FIELD = re.compile(r"(?:Expected )?(?P<expected>.*) - at `(?:key` in `)?\$\.?(?P<key>.*)`")
 _MISSING_FIELD = re.compile(r"Object missing required field `(?P<key>[^`]*)`")
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
-Figure = Annotated[float, msgspec.Meta(ge=0)]
-PositiveFigure = Annotated[float, msgspec.Meta(gt=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
+Positive = Annotated[float, msgspec.Meta(gt=0)]
 
 
 class SettingsError(Exception):
-    """The file can't be used: which file, which key (empty: the whole file) and what was expected there."""
+    """The settings file is unusable: names the file, the key (empty for the whole file) and what was expected."""
 
     code = "settings"
 
@@ -52,18 +52,18 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the machine gives: cores of processor, MB of memory, descriptors, Mbit/s, MB of disk."""
+    """The machine's resources: CPU share and cores, memory in MB, file descriptors, network in Mbit/s, disk in MB."""
 
-    cpu_share: PositiveFigure = 1.0
-    cores: PositiveFigure = 1
-    memory_mb: PositiveFigure = 256
-    max_fds: PositiveFigure = 1024
-    link_mbps: Figure = 1000.0
-    disk_mb: Figure = 0
+    cpu_share: Positive = 1.0
+    cores: Positive = 1
+    memory_mb: Positive = 256
+    max_fds: Positive = 1024
+    link_mbps: NonNegative = 1000.0
+    disk_mb: NonNegative = 0
 
 
 class Tolerance(msgspec.Struct, frozen=True):
-    """What may be lost at once."""
+    """How many machines, zones or regions may be lost at once."""
 
     machines: Count = 0
     zones: Count = 0
@@ -71,36 +71,36 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """The rules' figures; unknown ones are skipped, missing ones stand at the usual value."""
-
-    seed_lag_s: Figure = 3
-    reuse_after_s: Figure = 2
-    contact_ms: Figure = 3000
-    ack_ms: Figure = 4000
-    catch_up_s: Figure = 4
-    drain_ms: Figure = 2000
-    grace_s: Figure = 8
-    loss_slack_ms: Figure = 200
-    apply_ms: Figure = 2000
-    revert_ms: Figure = 250
-    stretch_ms: Figure = 5000
-    retry_ratio: Figure = 0.2
-    retry_window_s: PositiveFigure = 10
-    retry_slack: Figure = 0
-    cold_over: Figure = 1.5
-    cold_slack: Figure = 5
-    evacuate_ms: Figure = 5000
-    recover_s: Figure = 12
-    merge_ms: Figure = 3000
-    transit_ms: Figure = 120
-    again_s: Figure = 0
+    """The time limits and ratios that the rules set; missing fields take their default."""
+
+    seed_lag_s: NonNegative = 3
+    reuse_after_s: NonNegative = 2
+    contact_ms: NonNegative = 3000
+    ack_ms: NonNegative = 4000
+    catch_up_s: NonNegative = 4
+    drain_ms: NonNegative = 2000
+    grace_s: NonNegative = 8
+    loss_slack_ms: NonNegative = 200
+    apply_ms: NonNegative = 2000
+    revert_ms: NonNegative = 250
+    stretch_ms: NonNegative = 5000
+    retry_ratio: NonNegative = 0.2
+    retry_window_s: Positive = 10
+    retry_slack: NonNegative = 0
+    cold_over: NonNegative = 1.5
+    cold_slack: NonNegative = 5
+    evacuate_ms: NonNegative = 5000
+    recover_s: NonNegative = 12
+    merge_ms: NonNegative = 3000
+    transit_ms: NonNegative = 120
+    again_s: NonNegative = 0
     checks_fence: bool = True
-    lease_ms: Figure = 3000
-    thaw_ms: Figure = 300
+    lease_ms: NonNegative = 3000
+    thaw_ms: NonNegative = 300
 
 
 class NodeSettings(msgspec.Struct, frozen=True):
-    """Everything that a process is told at its start."""
+    """The settings of one process."""
 
     node_name: str
     ip: str
@@ -119,41 +119,41 @@
     data_dir: str | None = None
     discovery: str = "registry"
     entry: str = "virtual_ip"
-    beat_ms: PositiveFigure = 1000
+    beat_ms: Positive = 1000
     in_force: tuple[str, ...] = ()
     tolerance: Tolerance = Tolerance()
     bounds: Bounds = Bounds()
-    cranebank_policy: Policy = Policy()  # our own key; operators' pages may come to use shorter ones
-    metrics: Any = False  # only ``true`` counts: a later field of this name must not end the program
-    metrics_listen_port: int = 0  # where metrics are told; 0: at the second port of port_range, and only if asked for
+    cranebank_policy: Policy = Policy()  # the prefix avoids a clash with keys that the platform may introduce
+    metrics: Any = False  # only ``true`` counts: another type under this key must not stop the program
+    metrics_listen_port: int = 0  # port for metrics; 0: the second port of port_range, if metrics are enabled
 
     @property
     def seed_ips(self) -> tuple[str, ...]:
-        """The seeds' IPs, in the file's order, each once."""
+        """The IPs of the seeds in the file's order, without duplicates."""
         return tuple(dict.fromkeys(seed.rpartition(":")[0] for seed in self.seed_addrs))
 
     @property
     def control_port(self) -> int:
-        """The port on which every controller serves control: one for all machines."""
+        """The API port, which is the same on all controllers."""
         return int(self.seed_addrs[0].rpartition(":")[2])
 
     @property
     def link_port(self) -> int:
-        """The port for held connections between our own processes."""
+        """The port for links between the system's own processes."""
         return self.port_range[0]
 
     def failure_domain(self, zone: str) -> str:
-        """The zone, or its region where whole regions may be lost: what copies and members are spread over."""
+        """Return the zone, or its region where whole regions may be lost: copies and members are spread over these."""
         return self.zones.get(zone, zone) if self.tolerance.regions else zone
 
     @property
-    def tells_metrics(self) -> bool:
-        """Whether the process shall tell its figures to scrapers."""
-        return self.metrics is True or self.metrics_listen_port > 0 or os.environ.get(METRICS) == "1"
+    def exposes_metrics(self) -> bool:
+        """Whether this process exposes metrics."""
+        return self.metrics is True or self.metrics_listen_port > 0 or os.environ.get(METRICS_VARIABLE) == "1"
 
     @property
     def metrics_port(self) -> int | None:
-        """The port for metrics, where they are on; None when the range leaves none for them."""
+        """The port for metrics if they are on, or None if port_range has no port left for them."""
         if self.metrics_listen_port > 0:
             return self.metrics_listen_port
         second = self.port_range[0] + 1
@@ -161,30 +161,30 @@
 
 
 def parse(text: str, name: str = "settings") -> NodeSettings:
-    """Read the text of a settings file; ``name`` stands for the file in errors. Raises SettingsError."""
+    """Parse the text of a settings file; ``name`` identifies the file in errors. Raises SettingsError."""
     loader: Any = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         found = yaml.load(text, Loader=loader)
-    except (yaml.YAMLError, ValueError) as error:  # ValueError: a date that there is not, such as 2026-02-30
+    except (yaml.YAMLError, ValueError) as error:  # ValueError: an impossible date such as 2026-02-30
         raise SettingsError(name, "", f"YAML: {str(error).splitlines()[0]}") from None
     if not isinstance(found, dict):
         raise SettingsError(name, "", f"a mapping of settings, got {type(found).__name__}")
     try:
         settings = msgspec.convert(_known_fields(found), NodeSettings, strict=False)
     except msgspec.ValidationError as error:
-        raise _named(error, name) from None
-    _check_figures(settings, name)
+        raise _settings_error(error, name) from None
+    _check_finite(settings, name)
     _check_addresses(settings, name)
     return settings
 
 
 def load(path: str | None = None, role: Role | None = None, metrics_port: int = 0) -> NodeSettings:
-    """Read the settings file; by default the one that the environment names.
+    """Read the settings file; by default the one named by the environment.
 
-    With a ``role``, the addresses that it binds must be there. ``metrics_port``, unless 0, goes before the file's own.
-    Raises SettingsError.
+    If ``role`` is given, the addresses that this role binds are required. ``metrics_port``, unless 0, overrides the
+    file's. Raises SettingsError.
     """
-    path = path or os.environ.get(VARIABLE, DEFAULT)
+    path = path or os.environ.get(VARIABLE, DEFAULT_PATH)
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -200,7 +200,7 @@
 
 
 def _known_fields(found: Mapping[Any, Any]) -> dict[str, Any]:
-    """Leave out what msgspec does not skip by itself: keys that aren't text, and addresses of unknown services."""
+    """Drop what msgspec does not skip by itself: keys that are not text, and binds of unknown services."""
     known = {key: _text_keys(value) if isinstance(value, dict) else value for key, value in _text_keys(found).items()}
     binds = known.get("binds")
     if isinstance(binds, dict):
@@ -212,8 +212,8 @@
     return {key: value for key, value in found.items() if isinstance(key, str)}
 
 
-def _named(error: msgspec.ValidationError, name: str) -> SettingsError:
-    """The error with its key and expectation told apart."""
+def _settings_error(error: msgspec.ValidationError, name: str) -> SettingsError:
+    """Convert a validation error to a SettingsError that names key and expectation."""
     text = str(error)
     if invalid := _INVALID_FIELD.fullmatch(text):
         return SettingsError(name, invalid["key"], invalid["expected"])
@@ -222,20 +222,20 @@
     return SettingsError(name, "", text)
 
 
-def _check_figures(settings: NodeSettings, name: str) -> None:
-    """Refuse figures without an end: YAML has ``.inf`` and ``.nan``."""
-    for key, value in _figures(settings):
+def _check_finite(settings: NodeSettings, name: str) -> None:
+    """Reject values that are not finite: YAML has ``.inf`` and ``.nan``."""
+    for key, value in _float_fields(settings):
         if not math.isfinite(value):
             raise SettingsError(name, key, f"a finite number, got {value}")
 
 
-def _figures(settings: msgspec.Struct, above: str = "") -> Iterable[tuple[str, float]]:
+def _float_fields(settings: msgspec.Struct, prefix: str = "") -> Iterable[tuple[str, float]]:
     for field in msgspec.structs.fields(settings):
         value = getattr(settings, field.name)
         if isinstance(value, msgspec.Struct):
-            yield from _figures(value, f"{above}{field.name}.")
+            yield from _float_fields(value, f"{prefix}{field.name}.")
         elif isinstance(value, float):
-            yield f"{above}{field.name}", value
+            yield f"{prefix}{field.name}", value
 
 
 def _check_addresses(settings: NodeSettings, name: str) -> None:
--- a/cranebank/programs/stage_balancer_driver.py
+++ b/cranebank/programs/stage_balancer_driver.py
@@ -1,7 +1,7 @@
-"""The asyncio end of the stage balancer: shows it how things stand, and carries its orders to backends.
+"""Runs the stage balancer of a controller: gives it the current state, and carries out its calls to backends.
 
-The lease is looked at once more right before an order is written, with nothing awaited in between. A connection whose
-order has no whole answer is reset, so that no byte of it arrives later.
+The lease is checked once more right before an order is written, with no await in between. The connection of an order
+that was not answered completely is reset, so that none of its bytes can arrive later.
 """
 
 from __future__ import annotations
@@ -39,18 +39,21 @@
 from cranebank.transport.http_client import HttpLink, connect, request_bytes
 from cranebank.transport.messages import Backend, HoldOff, StageLoad
 
-LOOK_S = 0.25
-CONNECT_S = 0.4
-ORDER_ANSWER_TIMEOUT_S = 0.6  # a backend answers an order at once; one that is slower may have taken it
-MARGIN_S = 0.2  # for clocks that run at different rates, and timers that go off late
-ANSWER_BYTES = 64 << 10
+CHECK_INTERVAL_S = 0.25
+CONNECT_TIMEOUT_S = 0.4
+ORDER_ANSWER_TIMEOUT_S = 0.6  # a backend answers an order at once; one that takes longer may still have accepted it
+CLOCK_MARGIN_S = 0.2  # for clocks that run at different rates, and timers that fire late
+MAX_ANSWER_BYTES = 64 << 10
 MS_PER_S = 1000.0
 
 
 def takeover_wait_s(settings: NodeSettings) -> float:
-    """How long a new primary leaves alone whom a former one may have ordered: the last such order has then arrived or
-    been reset for longer than the rule's lease time."""
-    return settings.bounds.lease_ms / MS_PER_S + ORDER_ANSWER_TIMEOUT_S + MARGIN_S
+    """Return how long a new primary must not order backends that a former primary may have ordered.
+
+    After that time the former primary's last order has been received or reset for longer than the lease time of the
+    rules.
+    """
+    return settings.bounds.lease_ms / MS_PER_S + ORDER_ANSWER_TIMEOUT_S + CLOCK_MARGIN_S
 
 
 class _Target(msgspec.Struct):
@@ -79,13 +82,13 @@
 
 
 def read_services(document: bytes) -> dict[str, Service]:
-    """The services of a configuration that have engines and that a route leads to."""
+    """Return the services of a configuration that have an engine and are the target of a route."""
     if not document:
         return {}
     try:
         read = _document_decoder.decode(document)
     except msgspec.MsgspecError as error:
-        logger.warning("services of the configuration: {}", error)
+        logger.warning("cannot read the services of the configuration: {}", error)
         return {}
     routed = {target.target for route in read.routes for target in (route, *route.branches)}
     return {
@@ -115,12 +118,12 @@
         hold_off: Callable[[HoldOff], None] = lambda message: None,
         record_intents: Callable[[tuple[OrderIntent, ...]], None] = lambda intents: None,
     ) -> None:
-        """``loads`` tells what proxies ask of each service's stages; ``hold_off`` sends a message to all proxies;
-        ``record_intents`` has the replicated record name these orders."""
+        """``loads`` returns the load that proxies offer to each service's stages; ``hold_off`` sends a message to all
+        proxies; ``record_intents`` stores these orders in the replicated record."""
         self._record_intents = record_intents
         self._now, self._consensus, self._holds_lease, self._registry = now, consensus, holds_lease, registry
         self._loads, self._hold_off = loads, hold_off
-        self._held: set[str] = set()  # backends that proxies were told to send nothing to
+        self._held: set[str] = set()  # backends that proxies have been asked to send nothing to
         self.balancer = StageBalancer(
             BalancerSettings(settings.node_name, takeover_wait_s(settings), settings.beat_ms / MS_PER_S)
         )
@@ -130,17 +133,17 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Look, and again and again."""
-        self._timer = asyncio.get_running_loop().call_later(LOOK_S, self.start)
-        self._look()
+        """Check the stages now and then every CHECK_INTERVAL_S."""
+        self._timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.start)
+        self._check()
 
     def stop(self) -> None:
-        """Send nothing more; orders without an answer are reset."""
+        """Stop ordering; connections of unanswered orders are reset."""
         if self._timer is not None:
             self._timer.cancel()
         self._tasks.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now, authority = self._now(), self._authority()
         if authority.holds_lease:
             self._read_configuration()
@@ -150,19 +153,19 @@
         records = self._outside_evacuated_zones(registry.records)
         self._feed(Observation(authority, self._services, records, registry.heard_at, is_current, loads))
         if authority.holds_lease:
-            self._keep_recorded(authority, self.balancer.intents(now))
+            self._record_if_changed(authority, self.balancer.intents(now))
 
     def _evacuated(self) -> frozenset[str]:
         return frozenset(self._consensus.status(self._now()).evacuated)
 
     def _outside_evacuated_zones(self, records: Mapping[str, Backend]) -> Mapping[str, Backend]:
-        """Those that may be sent anything; the balancer knows of no others."""
+        """Return the records outside evacuated zones: the balancer must send nothing to the others."""
         evacuated = self._evacuated()
         if not evacuated:
             return records
         return {name: record for name, record in records.items() if record.zone not in evacuated}
 
-    def _keep_recorded(self, authority: Authority, intents: tuple[OrderIntent, ...] | None) -> None:
+    def _record_if_changed(self, authority: Authority, intents: tuple[OrderIntent, ...] | None) -> None:
         if intents is not None and authority.recorded != {intent.backend: intent.stage for intent in intents}:
             self._record_intents(intents)
 
@@ -181,12 +184,12 @@
 
     def _feed(self, event: Event) -> None:
         actions = self.balancer.handle(self._now(), event)
-        self._tell_held()
+        self._update_hold_offs()
         for action in actions:
-            self._do(action)
+            self._execute(action)
 
-    def _tell_held(self) -> None:
-        """Proxies send nothing to a backend from the decision to order it until its new stage is known."""
+    def _update_hold_offs(self) -> None:
+        """Have proxies send nothing to a backend from the decision to order it until its new stage is known."""
         held = self.balancer.held(self._now())
         for name in held.keys() - self._held:
             self._hold_off(HoldOff(name, held[name]))
@@ -194,23 +197,23 @@
             self._hold_off(HoldOff(name, 0.0))
         self._held = set(held)
 
-    def _do(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Connect(number, backend):
-                self._tasks.start(self._order(number, backend))
+                self._tasks.start(self._send_order(number, backend))
             case AskReport(number, backend):
-                self._tasks.start(self._report(number, backend))
+                self._tasks.start(self._fetch_report(number, backend))
             case Transmit():
-                raise AssertionError("an order is written where its connection was told of")
+                raise AssertionError("Transmit is expected only as the answer to Connected")
 
-    async def _order(self, number: int, backend: Backend) -> None:
-        connection = await connect(backend.address, CONNECT_S, max_bytes=ANSWER_BYTES)
+    async def _send_order(self, number: int, backend: Backend) -> None:
+        connection = await connect(backend.address, CONNECT_TIMEOUT_S, max_bytes=MAX_ANSWER_BYTES)
         if connection is None:
             self._feed(NotConnected(number))
             return
         try:
             connection.reset_on_close(True)
-            # From the look at the zone and the lease to the writing of the order nothing is awaited.
+            # No await between the check of zone and lease and the writing of the order.
             if backend.zone in self._evacuated():
                 self._feed(NotConnected(number))
                 return
@@ -223,7 +226,7 @@
 
     async def _transmit(self, connection: HttpLink, backend: Backend, transmit: Transmit) -> None:
         answer = await connection.ask(order_request(backend, transmit.order), ORDER_ANSWER_TIMEOUT_S)
-        logger.info("order to {}: {} -> {}", backend.id, transmit.order, answer.status)
+        logger.info("order to backend {}: {}, answered {}", backend.id, transmit.order, answer.status)
         if answer.whole:
             connection.reset_on_close(False)
             self._feed(Answered(transmit.number, answer.status))
@@ -231,8 +234,8 @@
             connection.close()
             self._feed(Unanswered(transmit.number))
 
-    async def _report(self, number: int, backend: Backend) -> None:
-        connection = await connect(backend.address, CONNECT_S, max_bytes=ANSWER_BYTES)
+    async def _fetch_report(self, number: int, backend: Backend) -> None:
+        connection = await connect(backend.address, CONNECT_TIMEOUT_S, max_bytes=MAX_ANSWER_BYTES)
         if connection is None:
             self._feed(Unreported(number))
             return
@@ -250,13 +253,16 @@
         try:
             report = msgspec.json.decode(answer.body, type=_Report)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            logger.warning("report of {}: {}", backend.id, error)
+            logger.warning("backend {} sent an invalid stage report: {}", backend.id, error)
             self._feed(Unreported(number))
             return
         self._feed(Reported(number, report.stage, report.busy, report.call_seq))
 
 
 def order_request(backend: Backend, order: Order) -> bytes:
-    """An order as it goes on the wire. It names the incarnation, so that no later one at the address takes it."""
+    """Return an order as HTTP request bytes.
+
+    It names the backend's instance id, so that a later process at the same address does not accept it.
+    """
     headers = {"Host": backend.address, "Content-Type": "application/json", "X-Target-Instance": backend.id}
     return request_bytes("POST", "/api/order", headers, msgspec.json.encode(order))
--- a/cranebank/programs/tally_service.py
+++ b/cranebank/programs/tally_service.py
@@ -1,7 +1,8 @@
-"""The asyncio end of the tallies: links to other controllers, the disk, and the calls that wait for an add.
+"""The tallies of a controller on its event loop: links to other controllers, the disk, and calls waiting for an add.
 
-A call is answered once its add is durable on enough replicas (`control.tallies.replica`); what isn't within WAIT_S ends
-unclear, ahead of the caller's second. A disk in trouble is tried again, and meanwhile the copies of others count.
+A call is answered once its add is durable on enough replicas (`control.tallies.replica`). An add that is not durable
+within ACK_TIMEOUT_S is answered as unclear, before the caller's own timeout of a second. A failed write to the disk is
+retried, and until it succeeds the copies on other controllers count.
 """
 
 from __future__ import annotations
@@ -21,19 +22,19 @@
 from cranebank.control.tallies.replica import LimitReached, Message, TallyReplica, TallyReplicaSettings, TallyStats
 from cranebank.invariants import invariant_error
 from cranebank.programs.controller_links import ControllerLinks
-from cranebank.programs.local_state import LAST_S, Storage
+from cranebank.programs.local_state import FINAL_WRITE_TIMEOUT_S, Storage
 from cranebank.programs.settings import NodeSettings
 from cranebank.storage.records import StorageError
 
 FILE = "tallies"
-WAIT_S = 0.9
-MOST_WAITING = 2000
+ACK_TIMEOUT_S = 0.9
+MAX_WAITING_CALLS = 2000
 DISK_RETRY_S = 0.2
-CLOSE_LOOK_S = 0.01
+CLOSE_POLL_INTERVAL_S = 0.01
 
 
 class Counts(msgspec.Struct):
-    """Calls since the start, by how they ended, and those that wait."""
+    """Calls since the start, by outcome, and the calls that are waiting."""
 
     waiting: int = 0
     acknowledged: int = 0
@@ -42,7 +43,7 @@
 
 
 class TallyDisk(NamedTuple):
-    """The file of the tallies: what was read from it, and where to write."""
+    """The tallies' file: the values read from it, and where to write them."""
 
     stored: Mapping[str, bytes]
     storage: Storage
@@ -50,7 +51,7 @@
 
 class _Waiting(NamedTuple):
     number: int
-    order: int  # of calls for the same add
+    order: int  # breaks ties between calls for the same add
     done: asyncio.Future[None]
 
 
@@ -70,28 +71,31 @@
         self.counts = Counts()
 
     async def amend(self, tally: str, call_id: str, amount: int) -> bool | LimitReached:
-        """Add once by this id; whether that is durable in time, or the bound because of which nothing was done."""
-        if self.counts.waiting >= MOST_WAITING:
+        """Add ``amount`` once for this call id.
+
+        Returns whether the add is durable in time, or the limit because of which nothing was added.
+        """
+        if self.counts.waiting >= MAX_WAITING_CALLS:
             self.counts.refused += 1
-            return LimitReached("waiting", MOST_WAITING)
-        placed = self._replica.add(self._now(), tally, call_id, amount)
-        if isinstance(placed, LimitReached):
+            return LimitReached("waiting", MAX_WAITING_CALLS)
+        added = self._replica.add(self._now(), tally, call_id, amount)
+        if isinstance(added, LimitReached):
             self.counts.refused += 1
-            return placed
+            return added
         self._proceed()
-        is_durable = await self._wait(placed.origin, placed.number)
-        if is_durable and not self._replica.holds(placed):
-            raise invariant_error("an acknowledged add is held", f"{placed}")
+        is_durable = await self._wait(added.origin, added.number)
+        if is_durable and not self._replica.holds(added):
+            raise invariant_error("an acknowledged add is held", f"{added}")
         self.counts.acknowledged += is_durable
         self.counts.unclear += not is_durable
         return is_durable
 
     def total(self, tally: str) -> int | None:
-        """The sum of a tally; None where it can't be told yet."""
+        """Return the sum of a tally, or None while it cannot be known yet."""
         return self._replica.total(self._now(), tally)
 
     def link_changed(self, ip: str) -> None:
-        """A connection to this controller stands or is over; one may be left."""
+        """Handle a link to this controller that has come up or gone down; another link may still be up."""
         if self._links.to(ip) is None:
             self._replica.unlinked(ip)
         else:
@@ -99,39 +103,39 @@
         self._proceed()
 
     def receive(self, ip: str, message: Message) -> None:
-        """Another controller told something."""
+        """Handle a message from another controller."""
         self._replica.receive(self._now(), ip, message)
         self._proceed()
 
     def set_replicas(self, members: Collection[str], known: Collection[str]) -> None:
-        """The IPs of the other controllers that vote, and of all others."""
+        """Set the IPs of the other controllers: those that vote, and all that are known."""
         self._known = known
         self._replica.set_replicas(members, known)
 
     def tick(self) -> None:
-        """Time passes."""
+        """Handle the passing of time."""
         links = [self._links.to(ip) for ip in self._known]
         self._replica.tick(self._now(), {link.peer: link.last_received_at for link in links if link is not None})
         self._proceed()
 
     @property
     def stats(self) -> TallyStats:
-        """The state, for people and metrics."""
+        """Counts of the replica's state, for the status and the metrics."""
         return self._replica.stats
 
     async def close(self) -> None:
-        """The last write; a disk that hangs holds up no end."""
+        """Finish the last write; a disk that hangs does not delay shutdown beyond FINAL_WRITE_TIMEOUT_S."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LAST_S):
+            async with asyncio.timeout(FINAL_WRITE_TIMEOUT_S):
                 while self._is_writing:
-                    await asyncio.sleep(CLOSE_LOOK_S)
+                    await asyncio.sleep(CLOSE_POLL_INTERVAL_S)
                 self._is_closed = True
                 await self._storage.close()
         self._is_closed = True
         self._tasks.cancel()
 
     def _proceed(self) -> None:
-        """Send and write what is to be, and answer the calls whose adds are durable."""
+        """Send the replica's messages, start its writes, and answer calls whose adds are durable."""
         for ip, message in self._replica.pop_messages():
             link = self._links.to(ip)
             if link is not None:
@@ -141,35 +145,35 @@
             if values:
                 self._is_writing = True
                 self._tasks.start(self._write(values))
-        self._answer()
+        self._answer_durable()
 
     async def _write(self, values: Mapping[str, bytes]) -> None:
         try:
             await self._storage.put(values)
         except StorageError as error:
-            logger.warning("disk of the tallies: {}", error)
-            await self._write_again_later()
-        except Exception as error:  # the next write is another try, and what waits is told as unclear meanwhile
+            logger.warning("write of tallies to disk failed: {}", error)
+            await self._prepare_retry()
+        except Exception as error:  # the next write retries; waiting calls end as unclear meanwhile
             report_unhandled("write of tallies", error)
-            await self._write_again_later()
+            await self._prepare_retry()
         else:
             self._replica.stored()
         self._is_writing = False
         self._proceed()
 
-    async def _write_again_later(self) -> None:
+    async def _prepare_retry(self) -> None:
         self._replica.refused()
         await asyncio.sleep(DISK_RETRY_S)
 
     async def _wait(self, origin: str, number: int) -> bool:
-        """Wait until an add is durable; whether it is in time."""
+        """Wait until an add is durable; return whether that is in time."""
         if self._replica.acknowledged_upto(self._now(), origin) >= number:
             return True
         waiting = _Waiting(number, next(self._order), asyncio.get_running_loop().create_future())
         heapq.heappush(self._waiting.setdefault(origin, []), waiting)
         self.counts.waiting += 1
         try:
-            async with asyncio.timeout(WAIT_S):
+            async with asyncio.timeout(ACK_TIMEOUT_S):
                 await waiting.done
         except TimeoutError:
             return False
@@ -177,7 +181,7 @@
             self.counts.waiting -= 1
         return True
 
-    def _answer(self) -> None:
+    def _answer_durable(self) -> None:
         for origin, waiting in list(self._waiting.items()):
             upto = self._replica.acknowledged_upto(self._now(), origin)
             while waiting and (waiting[0].number <= upto or waiting[0].done.done()):
@@ -189,7 +193,7 @@
 
 
 def replica_settings(settings: NodeSettings, random: Random) -> TallyReplicaSettings:
-    """What a replica is to know of its deployment."""
+    """Return the deployment's settings as the replica needs them."""
     tolerance = settings.tolerance
     return TallyReplicaSettings(
         f"{random.getrandbits(64):016x}",
--- a/cranebank/programs/timing.py
+++ b/cranebank/programs/timing.py
@@ -1,7 +1,7 @@
-"""Checks that this version's time constants lie under the bounds of the settings file.
+"""Checks that the time constants of this version stay within the bounds of the settings file.
 
-The constants are set where they are used and not derived from the bounds. A deployment with tighter bounds than those
-they were chosen for is told so by ``check-settings`` and in the log, instead of breaking a promise in silence.
+The constants are defined where they are used and are not derived from the bounds. If a deployment has tighter bounds
+than the constants allow, ``check-settings`` and the log report it, rather than a guarantee being broken silently.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class TimingRequirement(NamedTuple):
-    """A time that this version takes, and the bound (a field of Bounds) that it must lie under."""
+    """A time that this version takes, and the bound (a field of Bounds) that it must not exceed."""
 
     what: str
     takes_s: float
@@ -26,7 +26,7 @@
         return self.takes_s <= seconds(bounds, self.bound)
 
     def describe(self, bounds: Bounds) -> str:
-        """Name the bound, its value and what takes longer."""
+        """Describe the bound, its value and what takes longer."""
         allowed_s = seconds(bounds, self.bound)
         return f"bounds.{self.bound}: {allowed_s:g} s is less than {self.what} may take, {self.takes_s:g} s"
 
@@ -43,7 +43,7 @@
 
 
 def requirements(role: Role) -> tuple[TimingRequirement, ...]:
-    """List what must lie under a bound. Imports only modules that the role's program imports anyway."""
+    """Return the role's requirements. Imports only modules that the role's program imports anyway."""
     return tuple(_control_requirements() if role == "control" else _proxy_requirements())
 
 
@@ -61,10 +61,15 @@
     lease_s = consensus_types.ConsensusSettings("", (), False, 0).lease_s
     takeover_s = lease_s + consensus_replica.CANDIDACY_TIMEOUT_S
     push_s = delivery.BACKUP_PUSH_DELAY_S + delivery.CONTROLLER_PUSH_DELAY_S
-    shutdown_s = controller.SUCCESSOR_S + controller.FINISH_S + local_state.LAST_S + controller.END_MARGIN_S
+    shutdown_s = (
+        controller.SUCCESSOR_TIMEOUT_S
+        + controller.OPEN_CALLS_TIMEOUT_S
+        + local_state.FINAL_WRITE_TIMEOUT_S
+        + controller.SHUTDOWN_MARGIN_S
+    )
     yield TimingRequirement("a primary's lease", lease_s, "lease_ms")
     yield TimingRequirement("a takeover after a lost primary", takeover_s, "contact_ms")
-    yield TimingRequirement("a write to the custody", consensus_replica.WRITE_TIMEOUT_S, "ack_ms")
+    yield TimingRequirement("a write to the consensus core", consensus_replica.WRITE_TIMEOUT_S, "ack_ms")
     yield TimingRequirement("the answer to a change", operator_api.WRITE_TIMEOUT_S, "ack_ms")
     yield TimingRequirement("the wait for proxies after a change", operator_api.REVISION_ACK_TIMEOUT_S, "apply_ms")
     yield TimingRequirement("the wait for proxies after a drain", operator_api.ENDING_TIMEOUT_S, "drain_ms")
@@ -75,7 +80,7 @@
         membership.STANDBY_REPLACEMENT_S + consensus_replica.JOIN_INTERVAL_S,
         "catch_up_s",
     )
-    yield TimingRequirement("a controller's wait for news of backends", registry.REJOIN_GRACE_S, "catch_up_s")
+    yield TimingRequirement("a controller's wait for the state of backends", registry.REJOIN_GRACE_S, "catch_up_s")
     yield TimingRequirement("a controller's shutdown", shutdown_s, "grace_s")
 
 
--- a/tests/mutants_control.py
+++ b/tests/mutants_control.py
@@ -49,7 +49,7 @@
         Point.CUT_OFF,
         "callers are sent on to a primary that fell silent",
         "programs/controller.py",
-        "now - link.last_received_at < PRIMARY_HEARD_S",
+        "now - link.last_received_at < PRIMARY_CONTACT_TIMEOUT_S",
         "link.up",
         "test_control_program.py",
     ),
@@ -194,10 +194,10 @@
         Point.OTHER,
         "a write that failed in an unknown way leaves the core waiting",
         "programs/consensus_driver.py",
-        """for the write's result for ever
-            self._give_up(error)
+        """for the write's result forever
+            self._stop_after_failure(error)
 """,
-        """for the write's result for ever
+        """for the write's result forever
 """,
         "test_consensus_driver.py",
     ),
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -27,14 +27,14 @@
 from cranebank.programs import __main__ as program
 from cranebank.programs.control import make_controller
 from cranebank.programs.controller import (
-    FINISH_S,
-    PRIMARY_HEARD_S,
-    REGISTRY_S,
-    SUCCESSOR_S,
+    OPEN_CALLS_TIMEOUT_S,
+    PRIMARY_CONTACT_TIMEOUT_S,
+    REGISTRY_INTERVAL_S,
+    SUCCESSOR_TIMEOUT_S,
     TICK_S,
     Controller,
 )
-from cranebank.programs.local_state import LAST_S
+from cranebank.programs.local_state import FINAL_WRITE_TIMEOUT_S
 from cranebank.programs.log_ring import LogRing, install
 from cranebank.programs.settings import NodeSettings, Tolerance
 from cranebank.storage.store import AsyncStore, open_store
@@ -532,7 +532,7 @@
                 consensus.is_in_contact = True
                 link = made._links.to(TWO)
                 assert link is not None
-                link.last_received_at -= 2 * PRIMARY_HEARD_S
+                link.last_received_at -= 2 * PRIMARY_CONTACT_TIMEOUT_S
                 assert link.up
                 for method, path in (("GET", READ), ("POST", REPLACE), ("POST", AMEND)):
                     status, headers, _ = await client.call(
@@ -602,14 +602,17 @@
             monkeypatch.setattr(made._consensus, "may_shut_down", lambda _now: may_shut_down[0])
             began = made.now()
             stopping = asyncio.create_task(made.stop())
-            while made.now() - began < 2 * SUCCESSOR_S:
+            while made.now() - began < 2 * SUCCESSOR_TIMEOUT_S:
                 assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat(1)))[0] == 200
                 await asyncio.sleep(TICK_S)
             assert not stopping.done()
             may_shut_down[0] = True
             await stopping
             assert made.now() - began < made._handover_s()
-        assert made._handover_s() + FINISH_S + LAST_S < controller_settings(ONE, ports).bounds.grace_s
+        assert (
+            made._handover_s() + OPEN_CALLS_TIMEOUT_S + FINAL_WRITE_TIMEOUT_S
+            < controller_settings(ONE, ports).bounds.grace_s
+        )
 
     play(story)
 
@@ -669,7 +672,7 @@
         async with controller(tmp_path, ports), caller(ports) as client:
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat()))[0] == 200
         store, _ = open_store(tmp_path, "custody")
-        recalled = msgspec.msgpack.decode(store.values["known"], type=tuple[Backend, ...])
+        stored_backends = msgspec.msgpack.decode(store.values["known"], type=tuple[Backend, ...])
         settings = controller_settings(ONE, ports)
         again = Controller(
             settings,
@@ -677,7 +680,7 @@
             AsyncStore(store),
             Random(1),
             lambda: settings,
-            recalled=recalled,
+            stored_backends=stored_backends,
         )
         await again.start()
         try:
@@ -871,9 +874,9 @@
         async with controller(tmp_path, ports) as made:
             made._registry_service.registry = Registry(made.now() - 5.0, 0.05)
             made.registry.heartbeat(made.now(), "i-1", beat(1))
-            await asyncio.sleep(2 * REGISTRY_S)
+            await asyncio.sleep(2 * REGISTRY_INTERVAL_S)
             time.sleep(2.0)
-            await asyncio.sleep(2 * REGISTRY_S)
+            await asyncio.sleep(2 * REGISTRY_INTERVAL_S)
             assert made.registry.records["i-1"].phase == "ready"
 
     play(story)
--- a/tests/test_control_settings.py
+++ b/tests/test_control_settings.py
@@ -74,6 +74,6 @@
 def test_seeds_that_were_exchanged_are_dialled_and_a_bad_file_changes_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, by_signal: bool
 ) -> None:
-    monkeypatch.setattr(program, "REGISTRY_S", 0.01)
-    monkeypatch.setattr(program, "ALONE_S", 1e9 if by_signal else 0.02)
+    monkeypatch.setattr(program, "REGISTRY_INTERVAL_S", 0.01)
+    monkeypatch.setattr(program, "RELOAD_WITHOUT_LINKS_S", 1e9 if by_signal else 0.02)
     asyncio.run(exchange_seeds(tmp_path, by_signal))
--- a/tests/test_durable_endings.py
+++ b/tests/test_durable_endings.py
@@ -16,7 +16,7 @@
 from cranebank.control.delivery import Delivery
 from cranebank.control.events import Status
 from cranebank.programs.controller_links import ControllerLinks
-from cranebank.programs.local_state import ENDED, KNOWN, LocalState, decode_registry_records
+from cranebank.programs.local_state import ENDINGS_KEY, REGISTRY_KEY, LocalState, decode_registry_records
 from cranebank.programs.registry_service import RegistryService
 from cranebank.programs.settings import NodeSettings
 from cranebank.storage.records import DiskRefused
@@ -142,7 +142,7 @@
         if is_durable:
             disk.is_free.set()
         assert await service.confirm_ending("i", 0.1) == is_durable
-        assert not is_durable or ENDED in disk.values
+        assert not is_durable or ENDINGS_KEY in disk.values
 
     asyncio.run(story())
 
@@ -150,8 +150,8 @@
 def test_an_end_outlasts_what_was_known_before_it() -> None:
     ready = msgspec.structs.replace(DRAINING, phase="ready", call_seq=1)
     stored = {
-        ENDED: msgspec.msgpack.encode((DRAINING,)),
-        KNOWN: msgspec.msgpack.encode((ready,)),
+        ENDINGS_KEY: msgspec.msgpack.encode((DRAINING,)),
+        REGISTRY_KEY: msgspec.msgpack.encode((ready,)),
     }
     assert decode_registry_records(stored)[-1] == DRAINING
     assert decode_registry_records({}) == ()
--- a/tests/test_edge_settings.py
+++ b/tests/test_edge_settings.py
@@ -64,12 +64,12 @@
         made.links.name(SETTINGS.seed_ips)
         other = msgspec.structs.replace(SETTINGS, seed_addrs=("127.0.31.4:9",))
         monkeypatch.setattr(program, "load", lambda: other)
-        monkeypatch.setattr(program, "HOUSEKEEPING_S", 0.001)
-        keeper = asyncio.get_running_loop().create_task(made._keep_house())
+        monkeypatch.setattr(program, "HOUSEKEEPING_INTERVAL_S", 0.001)
+        housekeeping = asyncio.get_running_loop().create_task(made._run_housekeeping())
         async with asyncio.timeout(5):
             while "127.0.31.4" not in made.links._dialers:
                 await asyncio.sleep(0)
-        keeper.cancel()
+        housekeeping.cancel()
         made.links.stop()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -18,7 +18,7 @@
 from cranebank.programs.__main__ import Options, _options
 from cranebank.programs.edge import Edge
 from cranebank.programs.log_ring import LogRing, install
-from cranebank.programs.settings import METRICS, NodeSettings, SettingsError, load, parse
+from cranebank.programs.settings import METRICS_VARIABLE, NodeSettings, SettingsError, load, parse
 
 LINE = re.compile(r'(# (HELP|TYPE) \w+ .+|\w+(\{\w+="\w+"\})? \d+)')
 TEXT = "node_name: n\nip: 127.0.0.1\nzone: z\nport_range: [7300, 7315]\nseed_addrs: ['127.0.0.1:8262']\n"
@@ -55,8 +55,8 @@
     ],
 )
 def test_off_unless_asked_for(more: str, variable: str, on: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setenv(METRICS, variable)
-    assert parse(TEXT + more).tells_metrics is on
+    monkeypatch.setenv(METRICS_VARIABLE, variable)
+    assert parse(TEXT + more).exposes_metrics is on
 
 
 def test_a_port_of_its_own_goes_before_the_range(tmp_path: Path) -> None:
@@ -83,7 +83,7 @@
         async with controller(tmp_path, ports) as made, proxy(ports), caller(ports) as client:
             assert (await client.call("POST", REPLACE, body(document(revision=7)), 0))[0] == 200
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat()))[0] == 200
-            exporter = metrics.Exporter(lambda: metrics.of_control(made))
+            exporter = metrics.Exporter(lambda: metrics.controller_metrics(made))
             port = free_port()
             await exporter.start(NodeSettings("n", ONE, "z", (port - 1, port), ("x:1",)))
             found = await scrape(ONE, port)
@@ -99,7 +99,7 @@
         port = free_port()
         edge = Edge(NodeSettings("n", "127.0.0.1", "z", (port - 1, port), ("127.0.0.1:1",)), with_neighbours=False)
         edge.proxy.counters.update(requests=9, served=5, replied_503=3, replied_504=1, reads=4, makes=7, repeats=2)
-        exporter = metrics.Exporter(lambda: metrics.of_edge(edge))
+        exporter = metrics.Exporter(lambda: metrics.edge_metrics(edge))
         await exporter.start(NodeSettings("n", "127.0.0.1", "z", (port - 1, port), ("x:1",)))
         assert await scrape("127.0.0.1", port) == snapshot
         exporter.stop()
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -15,7 +15,7 @@
 from cranebank.membership.warm_up import MAX_PERMIT_LEASE_S, PERMIT_RELEASE_DELAY_S
 from cranebank.programs.controller_links import ControllerLinks
 from cranebank.programs.local_state import LocalState, NoDisk
-from cranebank.programs.registry_service import BATCH_S, SYNC_S, RegistryService
+from cranebank.programs.registry_service import PUSH_BATCH_S, SYNC_INTERVAL_S, RegistryService
 from cranebank.programs.settings import NodeSettings
 from cranebank.transport.frames import Decoder
 from cranebank.transport.links import Link, Owner
@@ -85,10 +85,10 @@
     here, there = (service_of(ip, lambda: clock, links) for ip in IPS)
     here.registry.heartbeat(clock, "i", beat(1, stage="prefill"))
     here.publish()
-    clock = SYNC_S
+    clock = SYNC_INTERVAL_S
     here.registry.heartbeat(clock, "other", beat(1, address="10.0.0.8:80"))
     here.publish()
-    clock += BATCH_S / 2
+    clock += PUSH_BATCH_S / 2
     here.registry.heartbeat(clock, "i", beat(2, stage="decode"))
     here.publish(at_once=False)  # waits for the next tick, and the time to tell who was heard comes first
     here.tick(clock)
--- a/tests/test_stage_balancer_driver.py
+++ b/tests/test_stage_balancer_driver.py
@@ -54,31 +54,31 @@
     """Keeps what it is told."""
 
     def __init__(self) -> None:
-        self.told: list[Event] = []
+        self.events: list[Event] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        self.told.append(event)
+        self.events.append(event)
         return [Transmit(event.number, Order("decode", "n", 1, expected=1))] if isinstance(event, Connected) else []
 
     def held(self, now: float) -> dict[str, float]:
         return {}
 
 
-def duty_of(consensus: SingleNodeConsensus) -> tuple[StageBalancerDriver, RecordingBalancer]:
+def driver_of(consensus: SingleNodeConsensus) -> tuple[StageBalancerDriver, RecordingBalancer]:
     """A duty whose balancer records what it is told."""
     settings = NodeSettings("n", "10.0.0.1", "z", (7000, 7009), ())
-    duty = StageBalancerDriver(settings, lambda: 0.0, consensus, lambda: True, Registry(0.0, 1.0))
+    driver = StageBalancerDriver(settings, lambda: 0.0, consensus, lambda: True, Registry(0.0, 1.0))
     balancer = RecordingBalancer()
-    duty.balancer = balancer  # type: ignore[assignment]
-    return duty, balancer
+    driver.balancer = balancer  # type: ignore[assignment]
+    return driver, balancer
 
 
-async def told_after(action: Action) -> list[Event]:
+async def events_after(action: Action) -> list[Event]:
     """What the balancer is told once this action is done."""
-    duty, balancer = duty_of(SingleNodeConsensus("10.0.0.1", {}))
-    duty._do(action)
-    await asyncio.gather(*duty._tasks._tasks, return_exceptions=True)
-    return balancer.told
+    driver, balancer = driver_of(SingleNodeConsensus("10.0.0.1", {}))
+    driver._execute(action)
+    await asyncio.gather(*driver._tasks._tasks, return_exceptions=True)
+    return balancer.events
 
 
 @pytest.mark.parametrize(
@@ -97,7 +97,7 @@
         return Connection(body)
 
     monkeypatch.setattr(stage_balancer_driver, "connect", connect)
-    assert asyncio.run(told_after(AskReport(3, BACKEND))) == [event]
+    assert asyncio.run(events_after(AskReport(3, BACKEND))) == [event]
 
 
 @pytest.mark.parametrize(
@@ -114,30 +114,30 @@
 
     async def story() -> None:
         monkeypatch.setattr(stage_balancer_driver, "connect", connect)
-        duty, balancer = duty_of(consensus)
-        duty._do(action)
-        await asyncio.gather(*duty._tasks._tasks)
-        assert balancer.told == [event] and connection.asked == []
+        driver, balancer = driver_of(consensus)
+        driver._execute(action)
+        await asyncio.gather(*driver._tasks._tasks)
+        assert balancer.events == [event] and connection.asked == []
 
     asyncio.run(story())
 
 
 def test_the_balancer_sees_no_backend_of_an_evacuated_zone() -> None:
     consensus = SingleNodeConsensus("10.0.0.1", {})
-    duty, balancer = duty_of(consensus)
-    duty._registry.merge(0.0, [BACKEND, msgspec.structs.replace(BACKEND, id="i-2", zone="y")])
+    driver, balancer = driver_of(consensus)
+    driver._registry.merge(0.0, [BACKEND, msgspec.structs.replace(BACKEND, id="i-2", zone="y")])
     consensus.handle(0.0, events.Evacuate(1, "y", True))
     balancer.intents = lambda now: None  # type: ignore[attr-defined]
-    duty._look()
-    (look,) = balancer.told
+    driver._check()
+    (look,) = balancer.events
     assert isinstance(look, Observation) and set(look.records) == {"i-1"}
 
 
 @pytest.mark.parametrize("address", ["..:80", "10.0.0.9:\u00b2", "nowhere"])
 def test_an_address_that_is_none_cannot_be_connected_to(address: str) -> None:
     backend = Backend("i-1", "s", address, "z", "prefill", 8, "ready", 1)
-    assert asyncio.run(told_after(Connect(3, backend))) == [NotConnected(3)]
-    assert asyncio.run(told_after(AskReport(3, backend))) == [Unreported(3)]
+    assert asyncio.run(events_after(Connect(3, backend))) == [NotConnected(3)]
+    assert asyncio.run(events_after(AskReport(3, backend))) == [Unreported(3)]
 
 
 def test_an_order_names_the_incarnation_that_it_is_for() -> None:
--- a/tests/test_stage_load.py
+++ b/tests/test_stage_load.py
@@ -152,11 +152,11 @@
         )
         order = BackendOrder(1, 1.0, backend(), Stage.PREFILL, 0.5)
         duty.balancer._orders[1] = order
-        duty._tell_held()
-        duty._tell_held()
+        duty._update_hold_offs()
+        duty._update_hold_offs()
         assert told == [HoldOff("i-1", order.overdue_s)]
         del duty.balancer._orders[1]
-        duty._tell_held()
+        duty._update_hold_offs()
         return told[1:]
 
     assert asyncio.run(run()) == [HoldOff("i-1", 0.0)]
