--- a/cranebank/cli/config.py
+++ b/cranebank/cli/config.py
@@ -1,4 +1,4 @@
-"""``cranebank config``: check, show and describe what can be configured."""
+"""``cranebank config``: checks, shows and describes configuration files."""
 
 from __future__ import annotations
 
@@ -10,35 +10,39 @@
 import click
 import msgspec
 
-from cranebank.config.load import File, config_of, read_file
-from cranebank.config.own import Layered, Own, layered, read_toml, shown
+from cranebank.config.load import PlatformFile, config_of, read_file
+from cranebank.config.own import LayeredSettings, OwnSettings, describe_settings, merge_layers, read_toml
 
 KINDS = ("platform", "own", "scenario", "experiment")
 
 
 def kind_of(path: str) -> str:
-    """What kind of file it is, by what only that kind has."""
+    """Return the kind of a file, recognised by keys that only that kind has."""
     if path.endswith(".json"):
         return "platform"
-    told = read_toml(path)
-    if "grid" in told or "scenarios" in told:
+    document = read_toml(path)
+    if "grid" in document or "scenarios" in document:
         return "experiment"
-    return "scenario" if "tier" in told or "class" in told else "own"
+    return "scenario" if "tier" in document or "class" in document else "own"
 
 
 def _kind(name: str) -> Any:
     if name in ("scenario", "experiment"):
-        from cranebank.lab import scenario  # noqa: PLC0415  (the proxy's own files need no laboratory)
+        from cranebank.lab import scenario  # noqa: PLC0415  (not needed for the proxy's own files)
 
         return scenario.Scenario if name == "scenario" else scenario.Experiment
-    return File if name == "platform" else Own
+    return PlatformFile if name == "platform" else OwnSettings
 
 
 def own_settings(command: Callable[..., Any]) -> Callable[..., Any]:
-    """The options that name our own settings."""
-    file = click.option("--file", type=click.Path(), help="Our own settings, as TOML; else CRANEBANK_FILE names them.")
+    """Add the options for our own settings to a command."""
+    file = click.option(
+        "--file",
+        type=click.Path(),
+        help="TOML file with our own settings; default: the file that CRANEBANK_FILE names.",
+    )
     flags = click.option(
-        "--set", "flags", multiple=True, metavar="TABLE.KEY=VALUE", help="One setting, over file and variables."
+        "--set", "flags", multiple=True, metavar="TABLE.KEY=VALUE", help="One setting; overrides file and variables."
     )
     return file(flags(command))
 
@@ -53,38 +57,38 @@
 
 @config.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path())
-@click.option("--kind", type=click.Choice(KINDS), help="What the files are; else told by what they hold.")
+@click.option("--kind", type=click.Choice(KINDS), help="Kind of the files; default: recognised by their content.")
 def check(files: tuple[str, ...], kind: str | None) -> None:
-    """Check files; the first that can't be used is one line and exit code 2.
+    """Check files. The first unusable file is reported on one line, with exit code 2.
 
     Example: cranebank config check scenarios/calm.toml
     """
     for path in files:
-        found = kind or kind_of(path)
-        if found == "platform":
-            told = read_file(path)
-            config_of(told, path, {"GW_NAME": told.name or "unnamed"}, Layered())
-        elif found == "own":
-            layered({}, path)
-        elif found == "scenario":
-            from cranebank.lab.plan import read_scenario  # noqa: PLC0415  (the proxy needs no laboratory)
+        file_kind = kind or kind_of(path)
+        if file_kind == "platform":
+            platform_file = read_file(path)
+            config_of(platform_file, path, {"GW_NAME": platform_file.name or "unnamed"}, LayeredSettings())
+        elif file_kind == "own":
+            merge_layers({}, path)
+        elif file_kind == "scenario":
+            from cranebank.lab.plan import read_scenario  # noqa: PLC0415  (not needed for the proxy's own files)
 
             read_scenario(Path(path))
         else:
             from cranebank.lab.experiment import read  # noqa: PLC0415
 
             read(Path(path))
-        click.echo(f"{path}: {found}: good")
+        click.echo(f"{path}: {file_kind}: good")
 
 
 @config.command()
 @own_settings
 def show(file: str | None, flags: tuple[str, ...]) -> None:
-    """Print the effective settings of our own and where each came from.
+    """Print our own settings as they are in effect, and the source of each.
 
     Example: CRANEBANK_LOG_LEVEL=debug cranebank config show --set stop.linger_s=1
     """
-    for line in shown(layered(os.environ, file, flags)):
+    for line in describe_settings(merge_layers(os.environ, file, flags)):
         click.echo(line)
 
 
@@ -95,5 +99,5 @@
 
     Example: cranebank config schema scenario > scenario.schema.json
     """
-    told = msgspec.json.schema(_kind(kind))
-    click.echo(msgspec.json.format(msgspec.json.encode(told), indent=2).decode())
+    described = msgspec.json.schema(_kind(kind))
+    click.echo(msgspec.json.format(msgspec.json.encode(described), indent=2).decode())
--- a/cranebank/config/__init__.py
+++ b/cranebank/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a proxy is told: the platform's JSON and our own settings, as typed values."""
+"""The configuration of a proxy as typed values: the platform's JSON and our own settings."""
--- a/cranebank/config/load.py
+++ b/cranebank/config/load.py
@@ -1,4 +1,4 @@
-"""All that one proxy is told: GW_* variables, the JSON that GW_CONFIG names, our own settings."""
+"""The whole configuration of one proxy: GW_* variables, the JSON that GW_CONFIG names, and our own settings."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from msgspec import Meta
 
 from cranebank.config.checks import ConfigError, convert_checked
-from cranebank.config.own import RELOADABLE, Layered, layered
+from cranebank.config.own import RELOADABLE, LayeredSettings, merge_layers
 from cranebank.config.platform import PlatformSettings, to_decision_settings
 from cranebank.decisions import interface as api
 from cranebank.discovery.listing import Listing, ListReader
 
 
-class Machine(msgspec.Struct, frozen=True, kw_only=True):
+class MachineLimits(msgspec.Struct, frozen=True, kw_only=True):
     """The limits of the machine that a proxy runs on."""
 
     sockets: Annotated[int, Meta(ge=34, le=10_000_000)] = 1024
     memory_mb: Annotated[float, Meta(ge=1.0, le=1e9)] = 64.0
 
 
-class File(msgspec.Struct, frozen=True, kw_only=True):
-    """The JSON that GW_CONFIG names. Keys that are not listed here are passed over."""
+class PlatformFile(msgspec.Struct, frozen=True, kw_only=True):
+    """The JSON that GW_CONFIG names. Unknown keys are ignored."""
 
     settings: PlatformSettings
     name: str = ""
     listen: str = ""
     discovery: str = ""
     seed: str | int = 0
-    limits: Machine = Machine()
+    limits: MachineLimits = MachineLimits()
     known: Any = None
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that one proxy is told."""
+    """The whole configuration of one proxy."""
 
     name: str
     listen: tuple[str, int]
@@ -51,10 +51,10 @@
     tenants: tuple[str, ...]
     reader: ListReader
     known: Listing | None
-    layers: Layered
+    layers: LayeredSettings
 
     def needs_restart(self, other: Config) -> list[str]:
-        """The names of what ``other`` says differently and a running proxy can't take over."""
+        """Return the names of the settings that differ in ``other`` and that a running proxy cannot apply."""
         keys = ("name", "listen", "sockets", "memory", "settings", "classes", "tenants")
         own, new = self.layers.own, other.layers.own
         return [key for key in keys if getattr(self, key) != getattr(other, key)] + [
@@ -71,60 +71,60 @@
     return host, int(port)
 
 
-def _given(value: Any) -> Any:
-    """Without what is null: that stands for absent."""
+def _without_nulls(value: Any) -> Any:
+    """Return a JSON value without its null members, which stand for absent ones."""
     if isinstance(value, dict):
-        return {name: _given(item) for name, item in value.items() if item is not None}
-    return [_given(item) for item in value] if isinstance(value, list) else value
+        return {name: _without_nulls(item) for name, item in value.items() if item is not None}
+    return [_without_nulls(item) for item in value] if isinstance(value, list) else value
 
 
-def read_file(path: str) -> File:
-    """Read the platform's JSON; whatever is wrong with it is a ``ConfigError``."""
+def read_file(path: str) -> PlatformFile:
+    """Read the platform's JSON. Raises ConfigError."""
     try:
-        told = msgspec.json.decode(Path(path).read_bytes())
+        decoded = msgspec.json.decode(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(f"GW_CONFIG: {path}: {error.strerror or error}") from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"GW_CONFIG: {path}: expected JSON: {error}") from None
-    return convert_checked(_given(told), File, f"GW_CONFIG: {path}")
+    return convert_checked(_without_nulls(decoded), PlatformFile, f"GW_CONFIG: {path}")
 
 
 def load(environ: Mapping[str, str], file: str | None = None, flags: Sequence[str] = ()) -> Config:
-    """Read everything; ``file`` and ``flags`` are those of the command line, for our own settings."""
-    layers = layered(environ, file, flags)
+    """Read the whole configuration; ``file`` and ``flags`` are the command line's, for our own settings."""
+    layers = merge_layers(environ, file, flags)
     if "GW_CONFIG" not in environ:
         raise ConfigError("GW_CONFIG is not set: it names the proxy's JSON configuration (cranebank --help)")
     path = environ["GW_CONFIG"]
     return config_of(read_file(path), path, environ, layers)
 
 
-def config_of(told: File, path: str, environ: Mapping[str, str], layers: Layered) -> Config:
-    """Put file and variables together."""
+def config_of(file: PlatformFile, path: str, environ: Mapping[str, str], layers: LayeredSettings) -> Config:
+    """Combine file and variables."""
     where = f"GW_CONFIG: {path}"
-    name = environ.get("GW_NAME") or told.name
+    name = environ.get("GW_NAME") or file.name
     if not name:
         raise ConfigError(f"{where}: name: missing, expected a text, here or in GW_NAME")
-    discovery = environ.get("GW_DISCOVERY") or told.discovery
+    discovery = environ.get("GW_DISCOVERY") or file.discovery
     _address(discovery, f"{where}: discovery (or GW_DISCOVERY)")
-    reader = ListReader(told.settings.zones, told.settings.kinds)
+    reader = ListReader(file.settings.zones, file.settings.kinds)
     try:
-        known = reader.read(told.known) if told.known else None
+        known = reader.read(file.known) if file.known else None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"{where}: known: {error}") from None
     try:
-        seed = int(told.seed, 16) if isinstance(told.seed, str) else told.seed
+        seed = int(file.seed, 16) if isinstance(file.seed, str) else file.seed
     except ValueError:
-        raise ConfigError(f"{where}: seed: expected hex digits, got {told.seed!r}") from None
+        raise ConfigError(f"{where}: seed: expected hex digits, got {file.seed!r}") from None
     return Config(
         name=name,
-        listen=_address(environ.get("GW_LISTEN") or told.listen, f"{where}: listen (or GW_LISTEN)"),
+        listen=_address(environ.get("GW_LISTEN") or file.listen, f"{where}: listen (or GW_LISTEN)"),
         discovery=discovery,
         seed=seed,
-        sockets=told.limits.sockets,
-        memory=int(told.limits.memory_mb * (1 << 20)),
-        settings=to_decision_settings(told.settings),
-        classes=tuple(lane.name for lane in told.settings.lanes),
-        tenants=tuple(realm.name for realm in told.settings.realms),
+        sockets=file.limits.sockets,
+        memory=int(file.limits.memory_mb * (1 << 20)),
+        settings=to_decision_settings(file.settings),
+        classes=tuple(lane.name for lane in file.settings.lanes),
+        tenants=tuple(realm.name for realm in file.settings.realms),
         reader=reader,
         known=known,
         layers=layers,
--- a/cranebank/config/own.py
+++ b/cranebank/config/own.py
@@ -1,6 +1,7 @@
-"""Our own settings: deploy/cranebank.toml and the like, in layers, each over the one before it.
+"""Our own settings, as in deploy/cranebank.toml, merged from layers of which later ones override earlier ones.
 
-Defaults < the file that CRANEBANK_FILE (or ``--file``) names < variables CRANEBANK_TABLE_KEY < ``--set``.
+The layers are the defaults, the file that CRANEBANK_FILE (or ``--file``) names, variables CRANEBANK_TABLE_KEY, and
+``--set``.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class DoorSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Clients' connections: time for a whole request; how long an idle one is kept at least and at most."""
+    """Client connections: time limit of a whole request, and how long an idle one is kept at least and at most."""
 
     request_s: Annotated[float, Meta(ge=0.05, le=60.0)] = 2.3
     kept_idle_s: Seconds = 2.0
@@ -38,14 +39,17 @@
 
 
 class StopSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """After SIGTERM: for how long new connections are still taken."""
+    """Shutdown: for how long after SIGTERM new connections are still accepted."""
 
     linger_s: Annotated[float, Meta(ge=0.0, le=60.0)] = 0.5
 
 
 class SubsetSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Which hosts a proxy knows at all (docs/operate-subsets.md): ``size`` 0 for all, and all below ``from_hosts``;
-    more than ``size`` where a host would have fewer than ``cover`` copies on average."""
+    """Which hosts a proxy uses (docs/operate-subsets.md).
+
+    ``size`` 0 stands for all hosts, and so do fewer than ``from_hosts`` hosts. More than ``size`` are used if a host
+    would otherwise have fewer than ``cover`` proxies on average.
+    """
 
     size: Annotated[int, Meta(ge=0, le=100_000)] = 0
     from_hosts: Annotated[int, Meta(ge=1, le=1_000_000)] = 100
@@ -56,8 +60,8 @@
             raise ValueError(f"expected size to be 0 (off) or at least {FEWEST}, got {self.size}")
 
 
-class Own(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """All of our own settings. What a running proxy takes over on SIGHUP is in ``RELOADABLE``."""
+class OwnSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+    """All of our own settings. A running proxy applies those in ``RELOADABLE`` on SIGHUP."""
 
     log: LogSettings = LogSettings()
     door: DoorSettings = DoorSettings()
@@ -69,15 +73,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Layered:
-    """The effective settings, and for each key that was set the layer that it came from."""
+class LayeredSettings:
+    """The effective settings, and the source of each key that was set."""
 
-    own: Own = field(default_factory=Own)
+    own: OwnSettings = field(default_factory=OwnSettings)
     sources: Mapping[str, str] = field(default_factory=dict)
 
 
 def read_toml(path: str | Path) -> dict[str, Any]:
-    """Read a TOML file; whatever is wrong with it is a ``ConfigError``."""
+    """Read a TOML file. Raises ConfigError."""
     try:
         with open(path, "rb") as file:
             text = file.read(FILE_BYTES + 1)
@@ -90,44 +94,44 @@
         raise ConfigError(f"{path}: expected TOML: {' '.join(str(error).split())[:160]}") from None
 
 
-def layered(environ: Mapping[str, str], file: str | None = None, flags: Sequence[str] = ()) -> Layered:
-    """Put the layers together; each is checked when it is laid, so that an error names its layer."""
-    told: dict[str, dict[str, Any]] = {}
+def merge_layers(environ: Mapping[str, str], file: str | None = None, flags: Sequence[str] = ()) -> LayeredSettings:
+    """Merge the layers. Each is validated as it is added, so that an error names its layer."""
+    tables: dict[str, dict[str, Any]] = {}
     sources: dict[str, str] = {}
 
-    def lay(table: str, key: str, value: Any, where: str) -> None:
-        told.setdefault(table, {})[key] = value
+    def set_value(table: str, key: str, value: Any, where: str) -> None:
+        tables.setdefault(table, {})[key] = value
         sources[f"{table}.{key}"] = where
 
     if path := file or environ.get(FILE):
         read = read_toml(path)
-        convert_checked(read, Own, str(path))
+        convert_checked(read, OwnSettings, str(path))
         for table, keys in read.items():
             for key, value in keys.items():
-                lay(table, key, value, f"file {path}")
+                set_value(table, key, value, f"file {path}")
     for name in sorted(environ):
         if name.startswith(PREFIX) and name != FILE:
             table, mark, key = name.removeprefix(PREFIX).lower().partition("_")
             if not mark:
                 raise ConfigError(f"{name}: expected a name such as {PREFIX}LOG_LEVEL")
-            lay(table, key, environ[name], f"variable {name}")
-            convert_checked(told, Own, name, strict=False)
+            set_value(table, key, environ[name], f"variable {name}")
+            convert_checked(tables, OwnSettings, name, strict=False)
     for flag in flags:
         path_of, mark, value = flag.partition("=")
         table, dot, key = path_of.strip().partition(".")
         if not (mark and dot):
             raise ConfigError(f"--set {flag}: expected TABLE.KEY=VALUE")
-        lay(table, key, value.strip(), "--set")
-        convert_checked(told, Own, f"--set {flag}", strict=False)
-    return Layered(convert_checked(told, Own, "settings", strict=False), sources)
+        set_value(table, key, value.strip(), "--set")
+        convert_checked(tables, OwnSettings, f"--set {flag}", strict=False)
+    return LayeredSettings(convert_checked(tables, OwnSettings, "settings", strict=False), sources)
 
 
-def shown(settings: Layered) -> list[str]:
-    """One line a key: its path, its value as TOML and where it came from."""
+def describe_settings(settings: LayeredSettings) -> list[str]:
+    """Return one line for each key: its path, its value as TOML and its source."""
     lines = []
     for table in settings.own.__struct_fields__:
         for key, value in msgspec.to_builtins(getattr(settings.own, table)).items():
             path = f"{table}.{key}"
-            told = f'"{value}"' if isinstance(value, str) else str(value).lower()
-            lines.append(f"{path} = {told}  # {settings.sources.get(path, 'default')}")
+            text = f'"{value}"' if isinstance(value, str) else str(value).lower()
+            lines.append(f"{path} = {text}  # {settings.sources.get(path, 'default')}")
     return lines
--- a/cranebank/config/platform.py
+++ b/cranebank/config/platform.py
@@ -1,8 +1,9 @@
-"""The settings that the platform gives an instance, as one typed record with two readers.
+"""The settings that the platform gives a proxy instance, as one typed record with two readers.
 
-The JSON that GW_CONFIG names holds them nested; the simulator's START line holds them as path=value pairs
-(``cranebank.simwire.wire``). Both become ``PlatformSettings`` and then ``Settings``. Names, units (milliseconds) and
-meanings are the platform's. New keys can show up, so unknown ones are passed over here, unlike in our files.
+The JSON that GW_CONFIG names nests them; the simulator's START line has them as path=value pairs
+(``cranebank.simwire.wire``). Both become ``PlatformSettings`` and then the decision module's ``Settings``. Names, units
+(milliseconds) and meanings are the platform's. Unknown keys are ignored here, unlike in our own files, as the platform
+may add keys.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 from cranebank.decisions import interface as api
 
-Number = Annotated[float, Meta(ge=-1e15, le=1e15)]  # neither NaN nor infinite
-Span = Annotated[float, Meta(ge=0.0, le=1e12)]  # milliseconds
-Wait = Annotated[float, Meta(gt=0.0, le=1e12)]  # milliseconds, of which there must be some
+Number = Annotated[float, Meta(ge=-1e15, le=1e15)]  # excludes NaN and infinities
+Milliseconds = Annotated[float, Meta(ge=0.0, le=1e12)]
+PositiveMilliseconds = Annotated[float, Meta(gt=0.0, le=1e12)]
 Count = Annotated[int, Meta(ge=0)]
 
 LOAD_NAMES = {
@@ -32,11 +33,11 @@
 
 
 class Lane(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
-    """A class of request."""
+    """A request class."""
 
     name: str = ""
-    aim: Wait  # all that is learnt of answers is measured by it
-    deadline: Span
+    aim: PositiveMilliseconds  # target latency, against which all answer times are judged
+    deadline: Milliseconds
     effect: Literal["retryable", "dedup", "fragile"]
     group: Literal["all", "zone", "cell"]
     late_worth: Number
@@ -54,16 +55,16 @@
 
 
 class Limits(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
-    """What the site allows."""
+    """What the site permits, and its limits."""
 
     cancel: bool
     max_attempts: Count
     may_probe: bool
     second_copies: bool
     retry_after: bool = False
-    max_retry_after: Span = 0.0
-    dial_timeout: Span = 250.0
-    conn_idle: Span = 15000.0
+    max_retry_after: Milliseconds = 0.0
+    dial_timeout: Milliseconds = 250.0
+    conn_idle: Milliseconds = 15000.0
     streams_per_conn: Count = 100
 
 
@@ -74,19 +75,19 @@
 
 
 class Rules(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
-    """The figures of the four rules."""
+    """The parameters of the four rules."""
 
     cold_from: Number
-    warm_after: Span
+    warm_after: Milliseconds
     fall_multiple: Number
-    overload_for: Span
-    answer_slack: Span = 0.0
-    ask_within: Span = 10000.0
+    overload_for: Milliseconds
+    answer_slack: Milliseconds = 0.0
+    ask_within: Milliseconds = 10000.0
     dropped_stay_open: bool = False
 
 
 class Prices(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
-    """Points taken off."""
+    """Deductions from the score, in points."""
 
     cross_zone: Number = 0.0
     probe: Number = 0.0
@@ -95,24 +96,24 @@
 
 
 class ScoringMix(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
-    """Weights of the goal's parts, as far as they are used."""
+    """Weights of the score's components, as far as they are used."""
 
     whole: Number = 0.0
     worst_class: Number = 0.0
 
 
 class FamilyInfo(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
-    """What kind of service it is."""
+    """The kind of service."""
 
     passes_deadline: bool = True
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True, rename="pascal"):
-    """The whole of the settings, as far as they are used."""
+    """The platform's settings, as far as they are used."""
 
-    balancers: Annotated[int, Meta(ge=1)]  # this one is among them
+    balancers: Annotated[int, Meta(ge=1)]  # number of balancers, including this one
     zone: Count
-    quantum: Span
+    quantum: Milliseconds
     discovery: Literal["push", "ask"]
     lanes: Annotated[tuple[Lane, ...], Meta(min_length=1)]
     limits: Limits
@@ -131,9 +132,9 @@
     over_share_worth: Number = 1.0
 
 
-def to_decision_settings(told: PlatformSettings) -> api.Settings:
-    """What the decision module is told, in its own names."""
-    limits, rules, prices = told.limits, told.rules, told.prices
+def to_decision_settings(settings: PlatformSettings) -> api.Settings:
+    """Convert the platform's settings to the decision module's."""
+    limits, rules, prices = settings.limits, settings.rules, settings.prices
     return api.Settings(
         classes=tuple(
             api.RequestClass(
@@ -147,31 +148,33 @@
                 worth=lane.worth,
                 aim_stretch=lane.aim_stretch,
             )
-            for lane in told.lanes
+            for lane in settings.lanes
         ),
-        quotas=tuple(realm.quota_per_s for realm in told.realms),
-        copies=told.balancers,
-        zone=told.zone,
-        layer=told.layer,
-        layers=len(told.tiers),
-        slot=told.slot_no if told.slot_no is not None else -1,
-        watch_by_asking=told.discovery == "ask",
-        report_source=_SOURCES[told.report.source],
+        quotas=tuple(realm.quota_per_s for realm in settings.realms),
+        copies=settings.balancers,
+        zone=settings.zone,
+        layer=settings.layer,
+        layers=len(settings.tiers),
+        slot=settings.slot_no if settings.slot_no is not None else -1,
+        watch_by_asking=settings.discovery == "ask",
+        report_source=_SOURCES[settings.report.source],
         may_probe=limits.may_probe,
         may_cancel=limits.cancel,
         second_copies=limits.second_copies,
         sends_retry_after=limits.retry_after,
         max_retry_after=limits.max_retry_after,
         max_attempts=limits.max_attempts,
-        passes_deadline=told.family_info.passes_deadline,
-        worth_by_work=told.worth_by == "work",
-        over_share_worth=told.over_share_worth,
-        worst_class_share=told.scoring_mix.worst_class / told.scoring_mix.whole if told.scoring_mix.whole else 0.0,
+        passes_deadline=settings.family_info.passes_deadline,
+        worth_by_work=settings.worth_by == "work",
+        over_share_worth=settings.over_share_worth,
+        worst_class_share=settings.scoring_mix.worst_class / settings.scoring_mix.whole
+        if settings.scoring_mix.whole
+        else 0.0,
         cross_zone_price=prices.cross_zone,
         probe_price=prices.probe,
         waste_price=prices.waste,
         handshake_price=prices.handshake,
-        tick=told.quantum,
+        tick=settings.quantum,
         connect_timeout=limits.dial_timeout,
         answer_slack=rules.answer_slack,
         ask_within=rules.ask_within,
--- a/cranebank/simwire/__init__.py
+++ b/cranebank/simwire/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire and the adapter that hosts the decision module on it."""
+"""The simulator's wire format, and the adapter that runs the decision module on it."""
--- a/cranebank/simwire/wirehost.py
+++ b/cranebank/simwire/wirehost.py
@@ -1,7 +1,7 @@
-"""Hosts the balancer instances of one process on the wire: ``python -m cranebank.simwire.wirehost``.
+"""Runs the balancer instances of one process on the wire: ``python -m cranebank.simwire.wirehost``.
 
-Reads batches from standard input and writes one reply for each to standard
-output. Knows nothing of the decisions; those are in ``cranebank.decisions.balance``.
+Reads batches from standard input and writes one reply for each to standard output. The decisions are made in
+``cranebank.decisions.balance``.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 
 class Host:
-    """The instances of this process and the numbered lists they share on the wire."""
+    """The balancer instances of this process, and the numbered server lists that they share on the wire."""
 
     def __init__(self) -> None:
         self._nodes: dict[str, Balancer] = {}
         self._lists: dict[int, tuple[ServerEntry, ...]] = {}
-        self._open: list[ServerEntry] = []
-        self._open_ref = 0
-        self._missing = 0
+        self._open_list: list[ServerEntry] = []
+        self._open_list_ref = 0
+        self._missing_entries = 0
         self._now = 0.0
         self._in_batch = False
         self._reply: list[str] = []
 
     def line(self, text: str) -> list[str] | None:
-        """Take one line; return the reply's lines when it ends a batch."""
+        """Handle one line; return the reply's lines if it ends a batch."""
         parts = text.split("\t")
         tag = parts[0]
         if tag == "BEGIN_BATCH":
@@ -48,8 +48,8 @@
         if tag == "SERVER":
             self._entry(parts)
             return None
-        if self._missing:
-            raise wire.WireError(f"expected {self._missing} more SERVER lines")
+        if self._missing_entries:
+            raise wire.WireError(f"expected {self._missing_entries} more SERVER lines")
         if tag == "COMMIT":
             self._in_batch = False
             self._reply.append("EOR")
@@ -64,11 +64,11 @@
         if tag == "MANIFEST":
             if len(parts) < 3:
                 raise wire.WireError("expected list number and number of entries")
-            self._open_ref = wire.integer(node, "Ref")
-            self._missing = wire.integer(parts[2], "NodesList")
-            self._open = []
-            if not self._missing:
-                self._lists[self._open_ref] = ()
+            self._open_list_ref = wire.integer(node, "Ref")
+            self._missing_entries = wire.integer(parts[2], "NodesList")
+            self._open_list = []
+            if not self._missing_entries:
+                self._lists[self._open_list_ref] = ()
         elif tag == "START":
             wire.integer(node, "Node")
             if len(parts) < 4:
@@ -78,7 +78,7 @@
         elif tag == "EXIT":
             self._nodes.pop(node, None)
         elif tag == "PEER":
-            pass  # The instances share nothing; a message from another version is passed over.
+            pass  # Instances exchange no messages; one from another version is ignored.
         elif tag == "ROSTER_CHANGE":
             self._handle(node, wire.parse_list(parts, self._lists))
         elif tag in wire.EVENTS:
@@ -87,12 +87,12 @@
             raise wire.WireError(f"unknown message {tag!r}")
 
     def _entry(self, parts: list[str]) -> None:
-        if not self._missing:
+        if not self._missing_entries:
             raise wire.WireError("a SERVER line outside a MANIFEST")
-        self._open.append(wire.parse_entry(parts))
-        self._missing -= 1
-        if not self._missing:
-            self._lists[self._open_ref] = tuple(self._open)
+        self._open_list.append(wire.parse_entry(parts))
+        self._missing_entries -= 1
+        if not self._missing_entries:
+            self._lists[self._open_list_ref] = tuple(self._open_list)
 
     def _handle(self, node: str, event: Event) -> None:
         balancer = self._nodes.get(node)
@@ -100,7 +100,7 @@
             raise wire.WireError(f"instance {node} was never started")
         try:
             actions = balancer.handle(self._now, event)
-        except Exception as error:  # whatever the decisions raise is reported, not hidden
+        except Exception as error:  # any failure of the decision code is reported on the wire
             self._reply.append(wire.format_broken(node, f"{type(error).__name__}: {error}"))
             return
         for action in actions:
@@ -108,7 +108,7 @@
 
 
 def run(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Serve batches until the end of input; return the exit code."""
+    """Serve batches until the end of input and return the exit code."""
     host = Host()
     for number, raw in enumerate(source, 1):
         text = raw.rstrip("\r\n")
@@ -126,7 +126,7 @@
 
 
 def main() -> int:
-    """Run on the process's own streams."""
+    """Run on the process's standard streams."""
     return run(sys.stdin, sys.stdout, sys.stderr)
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
 from cranebank.cli.main import cli, main
 from cranebank.config.checks import ConfigError
 from cranebank.config.load import load
-from cranebank.config.own import layered
+from cranebank.config.own import merge_layers
 
 ROOT = Path(__file__).parent.parent
 OWN = tomllib.loads((ROOT / "deploy/cranebank.toml").read_text(encoding="utf-8"))
@@ -180,7 +180,7 @@
     file = tmp_path / "own.toml"
     file.write_text('[log]\nlevel = "error"\nburst = 9\nsample = 3\n', encoding="utf-8")
     environ = {"CRANEBANK_LOG_BURST": "7", "CRANEBANK_LOG_SAMPLE": "4", "CRANEBANK_FILE": str(file)}
-    own = layered(environ, flags=["log.sample=5"]).own
+    own = merge_layers(environ, flags=["log.sample=5"]).own
     assert (own.log.level, own.log.burst, own.log.sample, own.stop.linger_s) == ("error", 7, 5, 0.5)
     for name, value in environ.items():
         monkeypatch.setenv(name, value)
@@ -205,7 +205,7 @@
 )
 def test_a_bad_layer_is_named(environ: dict[str, str], flags: tuple[str, ...], said: str) -> None:
     with pytest.raises(ConfigError) as caught:
-        layered(environ, flags=flags)
+        merge_layers(environ, flags=flags)
     assert said in str(caught.value)
 
 
