--- a/cranebank/cli/__init__.py
+++ b/cranebank/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. Nothing here is imported where the platform starts the proxy."""
+"""The command line. The proxy that the platform starts imports none of it."""
--- a/cranebank/cli/lab.py
+++ b/cranebank/cli/lab.py
@@ -1,4 +1,4 @@
-"""``cranebank demo``, ``emulate``, ``load`` and ``lab``: what the laboratory can do, from the command line."""
+"""``cranebank demo``, ``emulate``, ``load`` and ``lab``: the laboratory's commands."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from cranebank.lab.results import Result
 
 EXIT_FOUND = 1
-FOLDER = "lab-results"  # the folder that results go to where none is named
+FOLDER = "lab-results"  # default folder of results
 
 
 class NotInstalled(click.ClickException):
-    """The laboratory's libraries are not there."""
+    """The laboratory's libraries are not installed."""
 
 
 def needs_lab(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Say on one line what to install where the laboratory's libraries are missing."""
+    """Decorate a command to report on one line what to install if the laboratory's libraries are missing."""
     from functools import wraps  # noqa: PLC0415
 
     @wraps(command)
@@ -41,7 +41,7 @@
 
 
 def stamp() -> str:
-    """The time, for names of folders."""
+    """Return the current time for use in folder names."""
     return time.strftime("%Y%m%d-%H%M%S")
 
 
@@ -54,8 +54,8 @@
     click.echo(f"{title}\n{tabulate(list(rows), names, tablefmt='simple', disable_numparse=True, colalign=align)}")
 
 
-def _tell(result: Result) -> None:
-    """Tables of one run, and what broke."""
+def _print_result(result: Result) -> None:
+    """Print the tables and violations of one run."""
     from cranebank.lab.judge import RULES  # noqa: PLC0415
     from cranebank.lab.report import class_table, tier_table  # noqa: PLC0415
 
@@ -77,14 +77,15 @@
 def _progress(seconds: float) -> Callable[[Progress], None]:
     def show(at: Progress) -> None:
         click.echo(
-            f"{at.at:5.1f} of {seconds:g} s: {at.offered} asked, {at.served} served, {at.unserved} not", err=True
+            f"{at.at:5.1f} of {seconds:g} s: {at.offered} offered, {at.served} served, {at.unserved} unserved",
+            err=True,
         )
 
     return show
 
 
 def _play(path: Path, out: Path, changes: dict[str, Any], on: str = "sockets") -> int:
-    """Play one scenario, tell and write what came of it; return the exit code."""
+    """Run one scenario, print and write its results; return the exit code."""
     import msgspec  # noqa: PLC0415
 
     from cranebank.lab import report  # noqa: PLC0415
@@ -104,7 +105,7 @@
             result = play(scenario, out, path.parent, _progress(scenario.seconds))
         except RunError as error:
             raise click.ClickException(str(error)) from None
-    _tell(result)
+    _print_result(result)
     page = out / "report.html"
     report.write(page, report.run_page(scenario, result))
     click.echo(f"report: {page}")
@@ -112,12 +113,12 @@
 
 
 @click.command()
-@click.option("--small", is_flag=True, help="3 seconds and fewer hosts.")
+@click.option("--small", is_flag=True, help="Play 3 seconds with fewer hosts.")
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; else one in {FOLDER}/.")
+@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; default: a new one in {FOLDER}/.")
 @needs_lab
 def demo(small: bool, seed: int, out: Path | None) -> int:
-    """Play a day in 20 s: three tiers, a rolling deploy, a shared slowdown. Exit code 1 if a rule broke.
+    """Play a day in 20 s: three tiers, a rolling deploy, a shared slowdown. Exit code 1 if a rule was violated.
 
     Example: cranebank demo --seed 7
     """
@@ -131,7 +132,7 @@
 @click.option("--out", type=click.Path(path_type=Path), help="Folder for configurations and records.")
 @needs_lab
 def emulate(scenario: Path, seconds: float, out: Path | None) -> int:
-    """Play only hosts and discovery, and print how to start the proxies in front of them. Ends by itself.
+    """Run only hosts and discovery for --seconds, and print how to start the proxies in front of them.
 
     Example: cranebank emulate scenarios/calm.toml --seconds 120
     """
@@ -145,12 +146,12 @@
 
 @click.command()
 @click.argument("scenario", type=click.Path(path_type=Path))
-@click.option("--to", "targets", multiple=True, metavar="ADDRESS:PORT", help="A proxy; may be given more than once.")
-@click.option("--trace", type=click.Path(path_type=Path), help="Write the arrivals as a trace.")
-@click.option("--out", type=click.Path(path_type=Path), help="Write a record of each try to this file.")
+@click.option("--to", "targets", multiple=True, metavar="ADDRESS:PORT", help="Address of a proxy; may be repeated.")
+@click.option("--trace", type=click.Path(path_type=Path), help="Write the arrivals as a trace to this file.")
+@click.option("--out", type=click.Path(path_type=Path), help="Write a record of each attempt to this file.")
 @needs_lab
 def load(scenario: Path, targets: tuple[str, ...], trace: Path | None, out: Path | None) -> int:
-    """Offer a scenario's load to proxies that run already, on loopback. Exit code 1 if the generator was late.
+    """Offer a scenario's load to running proxies on loopback. Exit code 1 if the generator fell behind.
 
     Example: cranebank load scenarios/calm.toml --to 127.0.0.1:8000
     """
@@ -161,10 +162,10 @@
     from cranebank.lab.load import Generator  # noqa: PLC0415
     from cranebank.lab.plan import read_scenario  # noqa: PLC0415
 
-    told = read_scenario(scenario)
-    rows = arrivals(told, scenario.parent)
+    plan = read_scenario(scenario)
+    rows = arrivals(plan, scenario.parent)
     if trace is not None:
-        write_trace(trace, rows, told)
+        write_trace(trace, rows, plan)
         click.echo(f"{len(rows)} requests: {trace}")
     if not targets:
         if trace is None:
@@ -174,7 +175,7 @@
     found: list[records.Record] = []
 
     async def offer() -> None:
-        generator = Generator(told, rows, proxies, found.append)
+        generator = Generator(plan, rows, proxies, found.append)
         found.append(await generator.play(now_us() + 50_000))
 
     asyncio.run(offer())
@@ -183,7 +184,7 @@
         for record in found:
             writer.write(record)
         writer.close()
-    result = results.summarise(told, found, Verdict((), 0, 0))
+    result = results.summarise(plan, found, Verdict((), 0, 0))
     from cranebank.lab.report import class_table  # noqa: PLC0415
 
     table = class_table(result)
@@ -208,7 +209,7 @@
 
 @click.group()
 def lab() -> None:
-    """Experiments: scenarios, settings to vary and seeds, run on sockets, kept and compared.
+    """Run, report and compare experiments: scenarios with varied settings and seeds.
 
     Example: cranebank lab run experiments/policies.toml
     """
@@ -216,15 +217,15 @@
 
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; else one in {FOLDER}/.")
-@click.option("--resume", is_flag=True, help="Go on with the results that --out holds.")
-@click.option("--seed", type=click.IntRange(0), help="A scenario's seed, over the file's.")
+@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; default: a new one in {FOLDER}/.")
+@click.option("--resume", is_flag=True, help="Continue with the results in the folder of --out.")
+@click.option("--seed", type=click.IntRange(0), help="Seed of a scenario; overrides the file's.")
 @click.option("--on", type=click.Choice(["sockets", "simulated"]), default="sockets", show_default=True)
 @needs_lab
 def run(file: Path, out: Path | None, resume: bool, seed: int | None, on: str) -> int:
-    """Run an experiment, or one scenario. Ctrl-C leaves what is finished, and --resume goes on.
+    """Run an experiment, or one scenario. Ctrl-C keeps finished runs, and --resume continues.
 
-    Exit code 1: a rule broke, or a run can't be used.
+    Exit code 1: a rule was violated, or a run is unusable.
 
     Example: cranebank lab run experiments/policies.toml --out results/policies --resume
     """
@@ -244,10 +245,10 @@
 
 @lab.command()
 @click.argument("folder", type=click.Path(path_type=Path))
-@click.option("--out", type=click.Path(path_type=Path), help="The page; else report.html in the folder.")
+@click.option("--out", type=click.Path(path_type=Path), help="Path of the page; default: report.html in the folder.")
 @needs_lab
 def report(folder: Path, out: Path | None) -> int:
-    """Write one self-contained HTML page of a folder of results.
+    """Write a folder of results as one self-contained HTML page.
 
     Example: cranebank lab report results/policies
     """
@@ -256,8 +257,8 @@
 
     found, _ = experiment.select(str(folder))
     page = out or folder / "report.html"
-    told = experiment.scenarios_of(folder)
-    pages.write(page, pages.experiment_page(folder.name, found, told))
+    scenarios = experiment.scenarios_of(folder)
+    pages.write(page, pages.experiment_page(folder.name, found, scenarios))
     click.echo(f"report: {page}")
     return 0
 
@@ -269,7 +270,7 @@
 def compare(a: str, b: str) -> int:
     """Compare two folders of results, or two settings (FOLDER:path=value), paired by scenario, settings and seed.
 
-    Exit code 1 where B is surely worse (95%) in any figure.
+    Exit code 1 if B is significantly worse (95%) in any figure.
 
     Example: cranebank lab compare results/policies:policy=random results/policies:policy=cranebank
     """
@@ -298,13 +299,13 @@
 
 @lab.command()
 @click.argument("file", type=click.Path(path_type=Path), default=Path("experiments/validate.toml"))
-@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; else one in {FOLDER}/.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON list.")
+@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; default: a new one in {FOLDER}/.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON list.")
 @needs_lab
 def validate(file: Path, out: Path | None, as_json: bool) -> int:
     """Run an experiment on sockets and simulated, and compare: in time within 3 points, legs within 10%.
 
-    With an --out that holds results already, only what is missing is run. Exit code 1 where they are not near.
+    If --out already has results, only missing runs are made. Exit code 1 if the two differ by more.
 
     Example: cranebank lab validate experiments/validate.toml --out results/validate
     """
@@ -341,14 +342,16 @@
 
 @lab.command()
 @click.option("--runs", type=click.IntRange(1, 1000), default=20, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="One JSON list.")
-@click.option("--plots", type=click.Path(path_type=Path), help="Write the paper's two figures as a page to this file.")
-@click.option("--module", is_flag=True, help="The module's own gaps beside the processes', n = 1,000.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON list.")
+@click.option(
+    "--plots", type=click.Path(path_type=Path), help="Write a page with the paper's two figures to this file."
+)
+@click.option("--module", is_flag=True, help="Compare the module's own gaps with the processes', n = 1,000.")
 @needs_lab
 def paper(runs: int, as_json: bool, plots: Path | None, module: bool) -> int:
-    """Play the paper's batched processes and print its table of gaps beside ours. Takes a few minutes.
+    """Simulate the paper's batched processes and print its table of gaps beside ours. Takes a few minutes.
 
-    Exit code 1 where a cell is off by more than 5%.
+    Exit code 1 if a cell differs by more than 5%.
 
     Example: cranebank lab paper --runs 20
     """
@@ -394,12 +397,14 @@
 @lab.command()
 @click.option("--minutes", type=click.FloatRange(0.05, 600), default=30.0, show_default=True)
 @click.option("--first", type=click.IntRange(0), default=1, show_default=True, help="Seed of the first scenario.")
-@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of what is found; else one in {FOLDER}/.")
+@click.option(
+    "--out", type=click.Path(path_type=Path), help=f"Folder of the scenarios found; default: a new one in {FOLDER}/."
+)
 @needs_lab
 def hunt(minutes: float, first: int, out: Path | None) -> int:
-    """Draw scenarios in simulated time and keep those where the module loses most against who sees the truth.
+    """Draw random scenarios in simulated time and keep those where the module loses most against an oracle policy.
 
-    Exit code 1 where the module broke a rule.
+    Exit code 1 if the module violated a rule.
 
     Example: cranebank lab hunt --minutes 30 --out results/hunt
     """
@@ -457,13 +462,13 @@
 
 @lab.command()
 @click.argument("folder", type=click.Path(path_type=Path))
-@click.option("--id", "name", help="Follow this request through every proxy (logged at debug).")
-@click.option("--columns", default=",".join(LOG_COLUMNS), help="Events, counters and beliefs, set apart by commas.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON value; with every column.")
+@click.option("--id", "name", help="Follow this request through all proxies (needs log.level=debug).")
+@click.option("--columns", default=",".join(LOG_COLUMNS), help="Comma-separated events, counters and beliefs.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON value with all columns.")
 def logs(folder: Path, name: str | None, columns: str, as_json: bool) -> int:
-    """Read the logs of many proxies in FOLDER: over the fleet by second, or one request's way.
+    """Summarise the logs of many proxies in FOLDER: the fleet by second, or the path of one request.
 
-    Counts need log.tally_s=1, a request's way log.level=debug. Exit code 1 where nothing could be read.
+    Counts need log.tally_s=1, a request's path log.level=debug. Exit code 1 if nothing could be read.
 
     Example: cranebank lab logs results/logs --id 9b1f03aa5c7e2d41
     """
@@ -492,8 +497,8 @@
         click.echo(json.dumps(seconds)) if as_json else show_table(
             f"{len({line.proxy for line in lines})} proxies, {len(lines)} lines",
             ("s", *shown),
-            ((second, *(f"{told.get(column, 0):g}" for column in shown)) for second, told in seconds),
+            ((second, *(f"{counts.get(column, 0):g}" for column in shown)) for second, counts in seconds),
         )
     for path, count in sorted(found.unread.items()):
-        click.echo(f"{path}: {count} lines that are none of a proxy's", err=True)
+        click.echo(f"{path}: {count} lines that no proxy wrote, skipped", err=True)
     return 0 if lines else EXIT_FOUND
--- a/cranebank/cli/main.py
+++ b/cranebank/cli/main.py
@@ -1,7 +1,7 @@
 """The command line: ``cranebank``, or ``python -m cranebank`` with arguments. Exit codes 0, 1 and 2.
 
-0: done. 1: it ran and something was found: a rule broken, a run that can't be used, two results that differ.
-2: it could not run: a bad argument, file or variable, told on one line.
+0: success. 1: the command ran and found a problem: a violated rule, an unusable run, or results that differ.
+2: the command could not run because of a bad argument, file or variable; one line on standard error says which.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 def cli() -> None:
     """A router fleet for split prefill and decode (system), and a balancer for services that call services.
 
-    Exit codes: 0 done, 1 something was found (a rule broken, a run that can't be used), 2 it could not run.
+    Exit codes: 0 success, 1 a problem was found (a violated rule, an unusable run), 2 the command could not run.
 
     Example: cranebank demo
     """
@@ -33,11 +33,11 @@
 @cli.command()
 @own_settings
 def serve(file: str | None, flags: tuple[str, ...]) -> None:
-    """Run one proxy, as GW_CONFIG and the other GW_ variables tell.
+    """Run one proxy, configured by GW_CONFIG and the other GW_ variables.
 
     Example: GW_CONFIG=config.json cranebank serve --set log.level=debug --set log.sample=100
     """
-    from cranebank.daemon import Started, serve  # noqa: PLC0415  (other commands need no proxy)
+    from cranebank.daemon import Started, serve  # noqa: PLC0415  (not needed by other commands)
 
     sys.exit(serve(Started(os.environ, file, flags)))
 
@@ -83,7 +83,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command line; return the exit code. Every error is one line on standard error."""
+    """Run the command line and return the exit code. Every error is one line on standard error."""
     try:
         done = cli.main(args=arguments, prog_name="cranebank", standalone_mode=False)
     except click.exceptions.NoArgsIsHelpError as error:
--- a/cranebank/cli/system.py
+++ b/cranebank/cli/system.py
@@ -1,4 +1,4 @@
-"""``cranebank system``: the whole system, proxies and controllers, from the command line."""
+"""``cranebank system``: the commands for the whole system of proxies and controllers."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 
 
 def _add_commands() -> None:
-    """The commands of the programs: their arguments go on as they are."""
-    from cranebank.programs import command  # noqa: PLC0415  (it imports little)
+    """Add the commands of ``programs.command``; their arguments are passed through unparsed."""
+    from cranebank.programs import command  # noqa: PLC0415  (cheap to import)
 
     for name, function in command.COMMANDS.items():
 
@@ -30,7 +30,7 @@
         def run(context: click.Context, words: tuple[str, ...]) -> int:
             try:
                 return command.main([str(context.info_name), *words], "cranebank system")
-            except SystemExit as end:  # help, or a mistake that has been told
+            except SystemExit as end:  # help, or invalid arguments already reported
                 return int(end.code or 0)
 
         system.add_command(
@@ -50,16 +50,21 @@
 
 
 @system.command("demo")
-@click.option("--small", is_flag=True, help="7 seconds and fewer troubles.")
+@click.option("--small", is_flag=True, help="Play 7 seconds with fewer faults.")
 @click.option(
-    "--day", "day_name", type=click.Choice(DAY_NAMES), default=DAY_NAMES[0], show_default=True, help="Which day."
+    "--day",
+    "day_name",
+    type=click.Choice(DAY_NAMES),
+    default=DAY_NAMES[0],
+    show_default=True,
+    help="Which day to play.",
 )
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
-@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; else one in {FOLDER}/.")
+@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; default: a new one in {FOLDER}/.")
 @needs_lab
 def demo(small: bool, day_name: str, seed: int, out: Path | None) -> int:
-    """Play a day on loopback in 40 s: a primary killed, a proxy stopped, backends that drain, crash and fall silent,
-    configurations changed. Exit code 1 if a rule broke.
+    """Play a day on loopback in 40 s: the primary is killed, a proxy stopped, backends drain, crash and fall silent,
+    and configurations change. Exit code 1 if a rule was violated.
 
     Example: cranebank system demo --seed 7
     """
@@ -69,7 +74,7 @@
 
     plan = msgspec.structs.replace(day.SHORT if small else day.DAYS[day_name], seed=seed)
     folder = out or Path(FOLDER) / f"system-{stamp()}"
-    played = folder / "processes"  # a day begins with empty disks
+    played = folder / "processes"  # emptied, as a day begins with empty disks
     shutil.rmtree(played, ignore_errors=True)
     played.mkdir(parents=True)
     try:
@@ -94,7 +99,7 @@
 
 
 def _seeds(text: str) -> list[int]:
-    """Of ``3``, ``1-50`` or ``1-5,9``."""
+    """Parse seeds such as ``3``, ``1-50`` or ``1-5,9``."""
     found: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -106,16 +111,16 @@
 
 @system.command("soak")
 @click.option("--seeds", default="1-8", show_default=True, help="Seeds, such as 7, 1-50 or 1-5,9.")
-@click.option("--jobs", type=click.IntRange(1, 4), default=1, show_default=True, help="Runs at a time.")
-@click.option("--without", multiple=True, help="A kind of fault that is left out; may be given again.")
-@click.option("--apart", is_flag=True, help="Five controllers in three or five zones, with faults of whole zones.")
-@click.option("--plan", "file", type=click.Path(path_type=Path, exists=True), help="Play the kept plan of a run.")
-@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; else one in {FOLDER}/.")
+@click.option("--jobs", type=click.IntRange(1, 4), default=1, show_default=True, help="Number of concurrent runs.")
+@click.option("--without", multiple=True, help="Kind of fault to leave out; may be repeated.")
+@click.option("--apart", is_flag=True, help="Use five controllers in three or five zones, with faults of whole zones.")
+@click.option("--plan", "file", type=click.Path(path_type=Path, exists=True), help="Replay the saved plan of a run.")
+@click.option("--out", type=click.Path(path_type=Path), help=f"Folder of the results; default: a new one in {FOLDER}/.")
 @needs_lab
 def soak(seeds: str, jobs: int, without: tuple[str, ...], apart: bool, file: Path | None, out: Path | None) -> int:
-    """Play real processes under faults that overlap, drawn from seeds: kills, pauses, cuts, lost disks and answers,
-    backends that come and go. A run takes about a minute. Exit code 1 if anything was found, or a kind of fault that
-    was wanted never happened. What failing runs left stays in the folder.
+    """Run real processes under random overlapping faults: kills, pauses, network cuts, lost disks and answers, backends
+    that come and go. A run takes about a minute. Exit code 1 if a problem was found or a requested kind of fault never
+    happened. The data of failing runs is kept in the folder.
 
     Example: cranebank system soak --seeds 1-50 --jobs 4
     """
