--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets for the network tests: upstream hosts, discovery, a proxy before them."""
+"""Scripted peers on loopback sockets for the network tests: upstream hosts, discovery, and a proxy in front of them."""
 
 from __future__ import annotations
 
@@ -25,17 +25,21 @@
 
 
 def answer(status: int, body: bytes = b"", *headers: str) -> bytes:
-    """One whole HTTP answer."""
+    """Return one complete HTTP answer."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 @dataclass
 class UpstreamHost:
-    """Answers each request as ``script`` says: bytes are written, and the connection broken behind them where
-    they are none or say ``Connection: close``; None keeps silent. ``spare`` goes behind each answer, at once
-    or later. ``reads`` is asked with each connection's number: from one that it denies nothing is read before
-    ``go_on``. ``room`` bounds what the kernel takes in for it. ``resets``: it ends connections by RST, not FIN."""
+    """A host that answers each request with what ``script`` returns for the request's number.
+
+    Returned bytes are written; the connection is then closed if they are empty or contain ``Connection: close``. On
+    None nothing is answered. ``spare`` bytes are written after each answer, at once or after ``spare_after`` seconds.
+    ``reads`` is called with each connection's number; if it returns False, nothing is read from that connection before
+    ``go_on`` is set. ``room`` limits the kernel's receive buffer. With ``resets`` connections are ended by RST instead
+    of FIN.
+    """
 
     script: Callable[[int], bytes | None] = lambda _: OK
     spare: bytes = b""
@@ -71,11 +75,11 @@
                     0,
                 )
                 self.requests.append(head + await reader.readexactly(length))
-                told = self.script(len(self.requests))
-                writer.write((told or b"") + (b"" if self.spare_after else self.spare))
+                reply = self.script(len(self.requests))
+                writer.write((reply or b"") + (b"" if self.spare_after else self.spare))
                 if self.spare_after:
                     asyncio.get_running_loop().call_later(self.spare_after, writer.write, self.spare)
-                if told == b"" or b"Connection: close" in (told or b""):
+                if reply == b"" or b"Connection: close" in (reply or b""):
                     break
         if self.resets:
             await writer.drain()
@@ -87,7 +91,7 @@
 
 @dataclass
 class Discovery:
-    """Writes what is put into ``lines`` to whoever watches; ``watches`` are the targets asked for."""
+    """Sends the items of ``lines`` to whichever client watches; ``watches`` has the request targets of the watches."""
 
     lines: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
     watches: list[bytes] = field(default_factory=list)
@@ -103,7 +107,7 @@
 
 @contextlib.asynccontextmanager
 async def listening(talk: Callable[[Reader, Writer], Awaitable[None]], room: int = 0) -> AsyncIterator[str]:
-    """A peer on a port of its own, which may have little ``room`` for what is not read; gives its address."""
+    """Listen on a free port and yield the address. ``room`` limits the receive buffer for unread bytes."""
     server = await asyncio.start_server(talk, "127.0.0.1", 0)
     if room:
         server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
@@ -113,7 +117,7 @@
 
 
 def entry(name: str, address: str, state: str = "SERVING", **more: Any) -> dict[str, Any]:
-    """One line of discovery's list."""
+    """Return one entry of discovery's list of servers."""
     return {
         "id": name,
         "addr": address,
@@ -127,8 +131,10 @@
 
 
 def configuration(discovery: str, hosts: list[dict[str, Any]], **limits: Any) -> dict[str, Any]:
-    """The JSON of a proxy before ``hosts``: three classes, one tenant, port 0; ``mode`` is discovery's,
-    ``lane`` changes all classes, ``told`` holds what else differs."""
+    """Return the JSON of a proxy in front of ``hosts``, with three classes, one tenant and port 0.
+
+    ``mode`` is the mode of discovery, ``lane`` changes all classes, and ``told`` overrides other settings.
+    """
     further, lane = limits.pop("told", {}), LANE | limits.pop("lane", {})
     lanes = [
         lane | {"Name": name, "Effect": effect}
@@ -178,7 +184,7 @@
 
 
 def request_headers(kind: str = "look") -> dict[str, str]:
-    """What a client sends with a request of a class."""
+    """Return the headers of a client's request of a class."""
     return {
         "X-Request-Id": "9b1f03aa",
         "X-Class": kind,
@@ -203,23 +209,25 @@
         self, kind: str = "look", changes: dict[str, str] | None = None, body: bytes | None = None
     ) -> tuple[int, bytes, Any]:
         """Send one request; return status, body and headers of the answer."""
-        told = {name: value for name, value in (request_headers(kind) | (changes or {})).items() if value}
+        headers = {name: value for name, value in (request_headers(kind) | (changes or {})).items() if value}
         method = "GET" if kind == "look" and body is None else "POST"
-        async with self.client.request(method, f"{self.url}/{kind}", data=body, headers=told) as response:
+        async with self.client.request(method, f"{self.url}/{kind}", data=body, headers=headers) as response:
             return response.status, await response.read(), response.headers
 
 
 @contextlib.asynccontextmanager
 async def running(path: Path, *hosts: UpstreamHost, **limits: Any) -> AsyncIterator[ProxyHarness]:
-    """A proxy in this loop, before scripted hosts s0, s1, ... that discovery has listed; ``own`` holds
-    settings of our own as the command line takes them."""
+    """Run a proxy in this event loop in front of scripted hosts s0, s1, ... that discovery lists.
+
+    ``own`` has our own settings as given on the command line.
+    """
     async with contextlib.AsyncExitStack() as stack:
         discovery = Discovery()
         asked = await stack.enter_async_context(listening(discovery.talk))
         at = [await stack.enter_async_context(listening(host.talk, host.room)) for host in hosts]
         flags = limits.pop("own", ())
-        told = configuration(asked, [entry(f"s{i}", address) for i, address in enumerate(at)], **limits)
-        (path / "config.json").write_text(json.dumps(told), encoding="utf-8")
+        document = configuration(asked, [entry(f"s{i}", address) for i, address in enumerate(at)], **limits)
+        (path / "config.json").write_text(json.dumps(document), encoding="utf-8")
         config = load({"GW_CONFIG": str(path / "config.json")}, flags=flags)
         proxy = Proxy(config, Log(config.name, config.layers.own.log))
         listen, port = await proxy.start()
@@ -229,7 +237,7 @@
 
 
 def play(tmp_path: Path, story: Callable[[ProxyHarness], Awaitable[None]], *hosts: UpstreamHost, **limits: Any) -> None:
-    """Run a story around a proxy of its own."""
+    """Run a test story with a proxy of its own."""
 
     async def whole() -> None:
         async with running(tmp_path, *hosts, **limits) as started:
@@ -239,6 +247,6 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for what must come; a story that never gets there is ended by the runner, not by a clock here."""
+    """Wait for a condition without a timeout of its own: the test runner ends a test that never gets there."""
     while not condition():
         await asyncio.sleep(0.01)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter end to end, as a subprocess on the wire."""
+"""The simulator's adapter end to end, as a subprocess on the wire."""
 
 from __future__ import annotations
 
@@ -178,7 +178,7 @@
 def test_the_rule_that_only_draining_binds_reaches_the_module() -> None:
     pairs = SETTINGS.split("\t")
     assert wire.parse_settings(pairs).removals_are_advisory is False
-    told = wire.parse_settings(
+    settings = wire.parse_settings(
         [
             *pairs,
             "Rules.DroppedStayOpen=true",
@@ -187,8 +187,8 @@
             "Prices.Handshake=0.03",
         ]
     )
-    assert told.removals_are_advisory
-    assert (told.idle_after, told.shares_connections, told.handshake_price) == (30000.0, False, 0.03)
+    assert settings.removals_are_advisory
+    assert (settings.idle_after, settings.shares_connections, settings.handshake_price) == (30000.0, False, 0.03)
     with pytest.raises(wire.WireError, match="DroppedStayOpen: expected true or false"):
         wire.parse_settings([*pairs, "Rules.DroppedStayOpen=perhaps"])
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Stories of upstream hosts whose answers are spoilt, or good but with more than belongs to them."""
+"""Upstream hosts whose answers are malformed, or well-formed but followed by bytes that do not belong to them."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     async def story(s: ProxyHarness) -> None:
         for n in range(1, 4):
             assert (await s.ask("pay"))[:2] == (200, b"%d" % n)
-            await asyncio.sleep(0.08)  # the spare bytes come; no verdict hangs on how soon
+            await asyncio.sleep(0.08)  # the spare bytes arrive; no assertion depends on when
         assert s.proxy.counters["legs_ok"] == s.proxy.counters["legs_sent"] == 3
 
     play(tmp_path, story, host)
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "reply",
     [
         b"HTTP/1.1 100 Continue\r\n\r\n" + answer(200, b"ok"),
         b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + answer(200, b"ok"),
@@ -50,8 +50,8 @@
     ],
     ids=["100", "103 and 102", "report", "long report", "chunked", "400 KB"],
 )
-def test_a_good_answer_is_passed_on_whatever_stands_around_it(tmp_path: Path, told: bytes) -> None:
-    host = UpstreamHost(lambda _: told)
+def test_a_good_answer_is_passed_on_whatever_stands_around_it(tmp_path: Path, reply: bytes) -> None:
+    host = UpstreamHost(lambda _: reply)
 
     async def story(s: ProxyHarness) -> None:
         for _ in range(2):
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "reply",
     [
         b"\x00\xff" * 50,
         b"ICY 200 OK\r\n\r\n",
@@ -105,12 +105,12 @@
     ],
 )
 def test_a_spoilt_answer_is_a_leg_that_may_have_run_and_ends_its_connection_at_once(
-    tmp_path: Path, told: bytes
+    tmp_path: Path, reply: bytes
 ) -> None:
-    host = UpstreamHost(lambda n: told if n == 1 else answer(200, b"good"))
+    host = UpstreamHost(lambda n: reply if n == 1 else answer(200, b"good"))
 
     async def story(s: ProxyHarness) -> None:
-        assert (await s.ask("pay"))[0] == 502  # failed, not refused: it may have run
+        assert (await s.ask("pay"))[0] == 502  # failed, not refused, as the request may have run
         assert s.proxy.counters["legs_reset"] == s.proxy.counters["legs_sent"] == 1
         await host.closed.wait()
         assert (await s.ask("pay"))[:2] == (200, b"good")
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "reply",
     [
         answer(200, b"whole", "Connection: close")[:-1],
         HEAD + b"Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nok\r\n",
@@ -147,8 +147,8 @@
     ],
     ids=["short of its length", "no last chunk", "in the head", "nothing"],
 )
-def test_an_answer_that_tells_its_end_is_not_whole_before(tmp_path: Path, told: bytes) -> None:
-    host = UpstreamHost(lambda _: told)
+def test_an_answer_that_tells_its_end_is_not_whole_before(tmp_path: Path, reply: bytes) -> None:
+    host = UpstreamHost(lambda _: reply)
 
     async def story(s: ProxyHarness) -> None:
         assert (await s.ask("pay"))[0] == 502
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: every kind of file, each layer, and a clear line for whatever is wrong."""
+"""Configuration: every kind of file, each layer, and one clear line for each error."""
 
 from __future__ import annotations
 
@@ -37,43 +37,43 @@
 
 @pytest.fixture(autouse=True)
 def beside(tmp_path: Path) -> None:
-    """The scenario that the experiment names."""
+    """The scenario that the experiment refers to."""
     (tmp_path / "calm.toml").write_bytes((ROOT / "scenarios/calm.toml").read_bytes())
 
 
-def check(path: Path, kind: str, told: dict[str, Any], capsys: pytest.CaptureFixture[str]) -> tuple[int, str]:
-    """What ``config check`` says of a file."""
+def check(path: Path, kind: str, document: dict[str, Any], capsys: pytest.CaptureFixture[str]) -> tuple[int, str]:
+    """Return the exit code and output of ``config check`` for a file."""
     if kind == "platform":
-        path.write_text(json.dumps(told), encoding="utf-8")
+        path.write_text(json.dumps(document), encoding="utf-8")
     else:
-        path.write_bytes(tomli_w.dumps(told).encode())
+        path.write_bytes(tomli_w.dumps(document).encode())
     code = main(["config", "check", "--kind", kind, str(path)])
     out, err = capsys.readouterr()
     return code, out if code == 0 else err
 
 
-def at(told: Any, path: str) -> Any:
+def at(document: Any, path: str) -> Any:
     for step in path.split(".") if path else ():
-        told = told[int(step) if step.isdigit() else step]
-    return told
+        document = document[int(step) if step.isdigit() else step]
+    return document
 
 
 def changed(kind: str, path: str, value: Any) -> dict[str, Any]:
-    told = copy.deepcopy(KINDS[kind])
+    document = copy.deepcopy(KINDS[kind])
     *above, last = path.split(".")
-    node: Any = at(told, ".".join(above))
+    node: Any = at(document, ".".join(above))
     node[int(last) if last.isdigit() else last] = value
-    return told
+    return document
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_good_file_of_each_kind_is_good(tmp_path: Path, capsys: pytest.CaptureFixture[str], kind: str) -> None:
-    code, said = check(tmp_path / "f.x", kind, KINDS[kind], capsys)
-    assert (code, said.endswith(f"{kind}: good\n")) == (0, True)
+    code, output = check(tmp_path / "f.x", kind, KINDS[kind], capsys)
+    assert (code, output.endswith(f"{kind}: good\n")) == (0, True)
 
 
 @pytest.mark.parametrize(
-    ("kind", "path", "value", "said"),
+    ("kind", "path", "value", "expected"),
     [
         ("own", "log.level", "loud", "log.level: expected one of debug, error, info, warning, got 'loud'"),
         ("own", "log.lvel", "info", "log.lvel: unknown key, expected one of level, format"),
@@ -105,22 +105,24 @@
     ],
 )
 def test_a_bad_key_is_one_line_with_file_path_and_what_was_expected(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], kind: str, path: str, value: Any, said: str
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], kind: str, path: str, value: Any, expected: str
 ) -> None:
     code, line = check(tmp_path / "f.x", kind, changed(kind, path, value), capsys)
     assert code == 2
-    assert f"f.x: {said}" in line or (kind == "experiment" and said in line)
+    assert f"f.x: {expected}" in line or (kind == "experiment" and expected in line)
     assert len(line.splitlines()) == 1
 
 
-def paths(told: Any, above: str = "") -> list[str]:
-    """Every path in a document."""
-    items = told.items() if isinstance(told, dict) else enumerate(told) if isinstance(told, list) else ()
+def paths(document: Any, above: str = "") -> list[str]:
+    """Return every path in a document."""
+    items = (
+        document.items() if isinstance(document, dict) else enumerate(document) if isinstance(document, list) else ()
+    )
     return [p for key, value in items for p in (f"{above}{key}", *paths(value, f"{above}{key}."))]
 
 
 def spoilt(value: Any) -> list[Any]:
-    """Values of types that can't stand where ``value`` does."""
+    """Return values of types that are invalid in place of ``value``."""
     wrong: list[Any] = [{"a": 1}, [[]], "§ no word of ours", True, 7]
     kinds = {bool: [3], int: [4], float: [4], str: [2], list: [1], dict: [0]}
     keep = kinds[type(value)]
@@ -185,15 +187,15 @@
     for name, value in environ.items():
         monkeypatch.setenv(name, value)
     assert main(["config", "show", "--set", "log.sample=5"]) == 0
-    said = capsys.readouterr().out
-    assert f'log.level = "error"  # file {file}\n' in said
-    assert "log.burst = 7  # variable CRANEBANK_LOG_BURST\n" in said
-    assert "log.sample = 5  # --set\n" in said
-    assert "stop.linger_s = 0.5  # default\n" in said
+    output = capsys.readouterr().out
+    assert f'log.level = "error"  # file {file}\n' in output
+    assert "log.burst = 7  # variable CRANEBANK_LOG_BURST\n" in output
+    assert "log.sample = 5  # --set\n" in output
+    assert "stop.linger_s = 0.5  # default\n" in output
 
 
 @pytest.mark.parametrize(
-    ("environ", "flags", "said"),
+    ("environ", "flags", "expected"),
     [
         ({"CRANEBANK_LOG_LEVEL": "no"}, (), "CRANEBANK_LOG_LEVEL: log.level: expected one of"),
         ({"CRANEBANK_LOGG_LEVEL": "info"}, (), "CRANEBANK_LOGG_LEVEL: logg: unknown key"),
@@ -203,22 +205,26 @@
         ({"CRANEBANK_DOOR_KEPT_IDLE_S": "9"}, ("door.most_idle_s=8",), "--set door.most_idle_s=8: door: expected"),
     ],
 )
-def test_a_bad_layer_is_named(environ: dict[str, str], flags: tuple[str, ...], said: str) -> None:
+def test_a_bad_layer_is_named(environ: dict[str, str], flags: tuple[str, ...], expected: str) -> None:
     with pytest.raises(ConfigError) as caught:
         merge_layers(environ, flags=flags)
-    assert said in str(caught.value)
+    assert expected in str(caught.value)
 
 
 def test_a_reload_names_what_needs_a_restart(tmp_path: Path) -> None:
-    def told(own: tuple[str, ...] = (), **changes: Any) -> Any:
+    def load_changed(own: tuple[str, ...] = (), **changes: Any) -> Any:
         (tmp_path / "c.json").write_text(json.dumps(PLATFORM | changes), encoding="utf-8")
         return load({"GW_CONFIG": str(tmp_path / "c.json")}, flags=own)
 
-    base = told()
-    assert base.needs_restart(told(discovery="127.0.0.1:9", own=("log.level=debug", "stop.linger_s=2"))) == []
-    assert base.needs_restart(told(limits={"sockets": 99}, own=("door.request_s=1",))) == ["sockets", "memory", "door"]
+    base = load_changed()
+    assert base.needs_restart(load_changed(discovery="127.0.0.1:9", own=("log.level=debug", "stop.linger_s=2"))) == []
+    assert base.needs_restart(load_changed(limits={"sockets": 99}, own=("door.request_s=1",))) == [
+        "sockets",
+        "memory",
+        "door",
+    ]
     fewer = PLATFORM["settings"] | {"Balancers": 4}
-    assert base.needs_restart(told(settings=fewer)) == ["settings"]
+    assert base.needs_restart(load_changed(settings=fewer)) == ["settings"]
 
 
 def commands(group: Any, above: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
--- a/tests/test_consensus_driver.py
+++ b/tests/test_consensus_driver.py
@@ -1,4 +1,4 @@
-"""The driver of the consensus core does all that the core asks for, or feeds it no more."""
+"""The driver of the consensus core executes all actions of the core, or stops feeding it."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Links:
-    """``error`` is what sending comes to."""
+    """A connection whose ``send`` raises ``error`` if there is one."""
 
     def __init__(self, error: Exception | None) -> None:
         self._error = error
@@ -87,8 +87,8 @@
 
 @pytest.mark.parametrize("error", [RuntimeError("the handler is closed"), OSError()])
 def test_a_core_whose_actions_could_not_be_done_is_fed_no_more(error: Exception) -> None:
-    """Found by the soak: a message that could not be sent took the write behind it along, and the core waited for that
-    write for ever. The process ends and comes back from its disk instead."""
+    """Guards against a core that waits forever: a message that could not be sent made the driver skip the write after
+    it, whose result the core was waiting for. The process must end and start again from its disk."""
 
     async def run() -> None:
         core = Core()
@@ -104,7 +104,7 @@
 
 
 def test_a_core_whose_write_ended_in_no_way_that_it_knows_is_fed_no_more() -> None:
-    """It would wait for the result of that write for ever."""
+    """The core would wait forever for the result of that write."""
 
     class Broken(Storage):
         async def put(self, values: Mapping[str, bytes]) -> None:
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -1,4 +1,4 @@
-"""A controller that has lost its majority, as real processes over loopback: the others stand still or are killed."""
+"""A controller that has lost its majority, as real processes over loopback; the others are stopped or killed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 IPS = ("127.0.13.1", "127.0.13.2", "127.0.13.3")
 LAST_REVISION = 250
-NOTICED_S = 1.5  # a lease's length, and room: how long it takes a controller to know that it is cut off
+NOTICED_S = 1.5  # time in which a controller notices that it is cut off: a lease period and a margin
 
 
 class Controllers:
@@ -42,7 +42,7 @@
         self._processes: dict[str, asyncio.subprocess.Process] = {}
 
     async def start(self, ip: str, is_first_start: bool = True) -> None:
-        """Start one on its folder and wait until it listens."""
+        """Start a controller on its folder and wait until it listens."""
         link, control = self.ports
         path = self._folder / f"{ip}.yaml"
         (self._folder / ip).mkdir(exist_ok=True)
@@ -72,25 +72,26 @@
         return True
 
     def signal(self, number: signal.Signals, ips: tuple[str, ...]) -> None:
-        """Send a signal to these."""
+        """Send a signal to these controllers."""
         for ip in ips:
             self._processes[ip].send_signal(number)
 
     async def kill(self, ip: str) -> None:
-        """End one at once, and wait until it is over."""
+        """Kill a controller and wait for its end."""
         process = self._processes.pop(ip)
         process.kill()
         await process.wait()
 
     async def call(self, ip: str, method: str, path: str, sent: bytes = b"", base: int | None = None) -> Answer:
-        """One call on a connection of its own."""
+        """Make one call on a new connection."""
         async with caller(self.ports, ip) as client:
             return await client.call(method, path, sent, base)
 
     async def follow(
         self, method: str, path: str, sent: bytes = b"", base: int | None = None, ips: tuple[str, ...] = IPS
     ) -> tuple[Answer, str]:
-        """A call as the operator makes it: sent on, and tried again, until there is a clear answer; and who gave it."""
+        """Make a call as an operator does, following redirects and retrying until the answer is clear; also return who
+        answered."""
         ip, turn = ips[0], 0
         while True:
             answer = await self.call(ip, method, path, sent, base)
@@ -104,14 +105,14 @@
                 return answer, ip
 
     async def stop(self) -> None:
-        """End all."""
+        """Kill all."""
         for ip in tuple(self._processes):
             await self.kill(ip)
 
 
 @asynccontextmanager
 async def three(folder: Path, ports: tuple[int, int]) -> AsyncIterator[Controllers]:
-    """Three that run."""
+    """Run three controllers."""
     controllers = Controllers(folder, ports)
     try:
         await asyncio.gather(*(controllers.start(ip) for ip in IPS))
@@ -121,7 +122,7 @@
 
 
 async def refused_within(controllers: Controllers, ip: str, seconds: float) -> None:
-    """Reading back and changes come to get 503 here."""
+    """Reads and changes of the configuration get 503 from this controller within ``seconds``."""
     calls = (("GET", READ, b""), ("POST", REPLACE, body(document(revision=8))), ("POST", AMEND, body({"revision": 8})))
     async with asyncio.timeout(seconds):
         while (await controllers.call(ip, "GET", READ))[0] != 503:
@@ -133,7 +134,8 @@
 
 
 def cut_off(folder: Path, survivor_leads: bool) -> Callable[[tuple[int, int]], Awaitable[None]]:
-    """Two of three stand still; the third is the primary, or is not."""
+    """Return a story in which two of three controllers are suspended; the third is the primary if
+    ``survivor_leads``."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with three(folder, ports) as controllers:
@@ -152,7 +154,7 @@
                 ready = await controllers.call(survivor, "POST", "/api/Servers.Heartbeat/i-2", beat(1))
                 assert ready[0] == 200
                 assert not published(await kept.until_pulses(3))
-                async with proxy(ports, survivor) as restarted:  # it takes the place of the other one's link
+                async with proxy(ports, survivor) as restarted:  # its link replaces that of the first proxy
                     assert not published(await restarted.until_pulses(3))
                     controllers.signal(signal.SIGCONT, others)
                     assert (await restarted.next(ConfigPush)).revision == 7
@@ -165,7 +167,7 @@
 
 
 async def endings_are_unconfirmed(controllers: Controllers, ip: str) -> None:
-    """A drain, a leave and a leave of one never heard of get 503 within the caller's second."""
+    """A drain, a leave, and a leave of an unknown backend get 503 within the caller's timeout."""
     for path, sent in ENDINGS:
         async with asyncio.timeout(CALLER_S):
             status, headers, _ = await controllers.call(ip, "POST", path, sent)
@@ -173,23 +175,23 @@
 
 
 def published(messages: list[Message]) -> list[Message]:
-    """The configurations among them."""
+    """Return the configurations among the messages."""
     return [message for message in messages if isinstance(message, ConfigPush)]
 
 
 def test_a_follower_that_is_cut_off(tmp_path: Path) -> None:
-    """It confirms no end of a backend, gives no configuration to a restarted proxy, and sends nobody on."""
+    """It confirms no drain or leave, sends no configuration to a restarted proxy, and redirects no caller."""
     play(cut_off(tmp_path, survivor_leads=False), 30.0)
 
 
 def test_a_primary_that_is_cut_off(tmp_path: Path) -> None:
-    """The same once its lease has run out."""
+    """It does the same once its lease has expired."""
     play(cut_off(tmp_path, survivor_leads=True), 30.0)
 
 
 def test_calls_taken_long_ago_are_acknowledged_after_the_primary_was_killed(tmp_path: Path) -> None:
-    """Found by a review: only the newest was known to the next primary, and 412 ended the operator's call. Hundreds of
-    changes lie between, then all are killed and come back from their disks."""
+    """Guards against a new primary that knows only the newest call: 412 ended an operator's repeated call. Hundreds of
+    changes lie in between; then all controllers are killed and restarted from their disks."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with three(tmp_path, ports) as controllers:
@@ -212,7 +214,7 @@
 
 
 async def are_known(controllers: Controllers, sent: dict[int, bytes], ips: tuple[str, ...]) -> None:
-    """The first calls and the last are acknowledged again; one that differs by its base is not."""
+    """The first calls and the last are acknowledged again; a call that differs by its base is not."""
     for revision, base in ((2, 0), (3, 2), (4, 3), (2, 0), (LAST_REVISION, LAST_REVISION - 1)):
         answer, _ = await controllers.follow("POST", REPLACE, sent[revision], base, ips)
         assert answer[0] == 200, answer
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -1,4 +1,4 @@
-"""The control program over real loopback sockets, with a stand-in for the custody and a real disk."""
+"""The control program over real loopback sockets, with a stand-in for the consensus core and a real disk."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 REPLACE, AMEND, READ = "/api/Configuration.Replace", "/api/Configuration.Amend", "/api/Configuration.Read"
 LIMIT_S = 10.0
 
-CALLER_S = 1.0  # after so much silence a caller goes on to the next controller
+CALLER_S = 1.0  # a caller's timeout, after which it tries the next controller
 ENDINGS = (
     ("/api/Servers.Heartbeat/i-1", beat(2, "draining")),
     ("/api/Servers.Leave/i-1", b""),
@@ -70,14 +70,14 @@
 
 
 def free_port() -> int:
-    """A port that nobody has at any of the addresses."""
+    """Return a port that is free on all addresses."""
     with socket.socket() as found:
         found.bind(("0.0.0.0", 0))
         return int(found.getsockname()[1])
 
 
 def controller_settings(ip: str, ports: tuple[int, int], seeds: tuple[str, ...] = (ONE,)) -> NodeSettings:
-    """Settings of a controller."""
+    """Return the settings of a controller."""
     link, control = ports
     return NodeSettings(
         f"core-{ip}",
@@ -94,7 +94,7 @@
 async def controller(
     folder: Path, ports: tuple[int, int], ip: str = ONE, leader: str | None = None
 ) -> AsyncIterator[Controller]:
-    """A controller that runs."""
+    """Run a controller."""
     settings = controller_settings(ip, ports)
     store, damage = open_store(folder, "custody")
     assert damage is None
@@ -113,13 +113,13 @@
 
 
 class Caller:
-    """A client's connection."""
+    """A client connection to the API."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     async def call(self, method: str, path: str, sent: bytes = b"", base: int | None = None) -> Answer:
-        """One call on this connection."""
+        """Make one call on this connection."""
         head = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(sent)}\r\n"
         if base is not None:
             head += f"X-Base-Version: {base}\r\n"
@@ -127,7 +127,7 @@
         return await self.answer()
 
     async def answer(self) -> Answer:
-        """The next answer."""
+        """Read the next answer."""
         lines = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines[1:] if line)}
         return int(lines[0].split()[1]), headers, await self.reader.readexactly(int(headers["content-length"]))
@@ -135,7 +135,7 @@
 
 @asynccontextmanager
 async def caller(ports: tuple[int, int], ip: str = ONE) -> AsyncIterator[Caller]:
-    """A connection to a controller's API."""
+    """Connect to a controller's API."""
     found = Caller(*await asyncio.open_connection(ip, ports[1]))
     try:
         yield found
@@ -144,7 +144,7 @@
 
 
 class Proxy:
-    """A proxy's end of a link, driven by hand."""
+    """A proxy's end of a link, driven by the test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self._writer, self._decoder = reader, writer, Decoder()
@@ -155,26 +155,26 @@
         self._writer.write(encode(message))
 
     async def send_heartbeats(self) -> None:
-        """Keep the link: who is silent for long is taken for dead. They show no revision."""
+        """Keep the link alive with heartbeats that carry no revision; a silent link is closed."""
         while True:
             self.send(LinkHeartbeat())
             await asyncio.sleep(LINK_HEARTBEAT_INTERVAL_S)
 
     async def next(self, kind: type[Message]) -> Any:
-        """The next message of a kind; others before it are dropped."""
+        """Return the next message of a kind, dropping others before it."""
         while not isinstance(message := await self.next_any(), kind):
             pass
         return message
 
     async def until_pulses(self, count: int) -> list[Message]:
-        """All messages until so many heartbeats came."""
+        """Return all messages up to the given number of heartbeats."""
         seen: list[Message] = []
         while sum(isinstance(message, LinkHeartbeat) for message in seen) < count:
             seen.append(await self.next_any())
         return seen
 
     async def next_any(self) -> Message:
-        """The next message."""
+        """Return the next message."""
         while not self._messages:
             data = await self._reader.read(1 << 20)
             assert data, "the link is over"
@@ -186,7 +186,7 @@
 async def proxy(
     ports: tuple[int, int], ip: str = ONE, revision: int = 0, records: tuple[Backend, ...] = ()
 ) -> AsyncIterator[Proxy]:
-    """A proxy that has said Hello and been welcomed."""
+    """Connect as a proxy: send Hello and wait for the Welcome."""
     reader, writer = await asyncio.open_connection(ip, ports[0], local_addr=(PROXY, 0))
     found = Proxy(reader, writer)
     found.send(Hello("edge-1", "proxy", PROXY, "z", 1, revision, records))
@@ -201,7 +201,7 @@
 
 @asynccontextmanager
 async def peer_controller(ports: tuple[int, int], ip: str) -> AsyncIterator[Proxy]:
-    """Another controller's end of a link that it has dialled, driven by hand."""
+    """The other end of a link that another controller has dialled, driven by the test."""
     reader, writer = await asyncio.open_connection(ONE, ports[0], local_addr=(ip, 0))
     found = Proxy(reader, writer)
     found.send(Hello("core-peer", "controller", ip, "z", 1))
@@ -223,13 +223,13 @@
 
 
 def test_operators(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
-    """A configuration is taken, told again, raced, refused, amended, read back, and still there after a restart."""
+    """A configuration is accepted, sent again, raced, refused, amended, read back, and still there after a restart."""
     first = body(document(revision=7))
     steps: tuple[tuple[str, str, bytes, int | None], ...] = (
         ("GET", READ, b"", None),
         ("POST", AMEND, body({"revision": 1}), 0),
         ("POST", REPLACE, first, 0),
-        ("POST", REPLACE, first, 0),  # the same again
+        ("POST", REPLACE, first, 0),  # the same call again
         ("POST", REPLACE, body(document(revision=8)), 0),  # another one on the same base
         ("POST", REPLACE, body(document(revision=7)) + b" ", 7),
         ("POST", REPLACE, first[:-5], 7),
@@ -237,7 +237,7 @@
         ("POST", REPLACE, body(document(revision=9, routes=[route(target="none")])), 7),
         ("POST", AMEND, body({"revision": 9, "remove": {"routes": ["r-2"]}}), 7),
         ("POST", AMEND, body({"revision": 9, "remove": {"routes": ["r-2"]}}), 7),
-        ("POST", REPLACE, first, 0),  # long taken, and no longer the newest
+        ("POST", REPLACE, first, 0),  # accepted earlier, and no longer the newest
         ("GET", REPLACE, b"", None),
         ("POST", "/api/Servers.Heartbeat/", b"", None),
         ("POST", "/api/Servers.Heartbeat/i", b"{", None),
@@ -262,7 +262,8 @@
 
 
 def test_a_race_has_one_winner(tmp_path: Path) -> None:
-    """Of two changes on the same base sent at once one is taken; the other is told so, perhaps when it asks again."""
+    """Of two simultaneous changes on the same base one is accepted; the other is refused, possibly only on its
+    retry."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as one, caller(ports) as two:
@@ -280,7 +281,7 @@
 
 
 def test_who_has_just_taken_over_refuses_no_valid_change(tmp_path: Path) -> None:
-    """Found by the demo day: the base was compared with nothing, and the operator gave the change up on 412."""
+    """Guards against comparing the base with a missing configuration: an operator gave up a valid change on 412."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
@@ -298,7 +299,7 @@
 
 
 def test_large_configurations(tmp_path: Path) -> None:
-    """Megabytes, and chunked bodies; beyond the bound it's refused."""
+    """Megabytes and chunked bodies are accepted; a body above the limit is refused."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as client, caller(ports) as other:
@@ -321,7 +322,7 @@
 
 
 def test_hostile_heads(tmp_path: Path) -> None:
-    """Heads that are too long, or no HTTP, are refused; the connection is closed."""
+    """Heads that are too long or not HTTP are refused, and the connection is closed."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports):
@@ -344,7 +345,7 @@
 
 
 def test_kept_connections(tmp_path: Path) -> None:
-    """Calls on one connection come one after another, in whatever pieces; the last may ask to close."""
+    """Calls on one connection are answered in order, however the bytes are split; the last call may ask to close."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as client:
@@ -366,29 +367,29 @@
 
 
 def test_a_drain_is_acknowledged_when_proxies_know(tmp_path: Path) -> None:
-    """The answer to the first draining heartbeat, and to a leave, waits for the linked proxies."""
+    """The answers to the first draining heartbeat and to a leave wait for the linked proxies."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), proxy(ports) as edge, caller(ports) as client:
             assert (await edge.next(Push)).backends == ()
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat(1)))[0] == 200
-            told = await edge.next(Push)
-            assert [(record.id, record.phase) for record in told.backends] == [("i-1", "ready")]
+            push = await edge.next(Push)
+            assert [(record.id, record.phase) for record in push.backends] == [("i-1", "ready")]
             for path, sent, phase in (("Heartbeat", beat(2, "draining"), "draining"), ("Leave", b"", "gone")):
                 answering = asyncio.create_task(client.call("POST", f"/api/Servers.{path}/i-1", sent))
-                told = await edge.next(Push)
-                assert [record.phase for record in told.backends] == [phase]
-                async with caller(ports) as other:  # other calls aren't held up
+                push = await edge.next(Push)
+                assert [record.phase for record in push.backends] == [phase]
+                async with caller(ports) as other:  # other calls aren't delayed
                     assert (await other.call("GET", "/api/System.Status"))[0] == 200
                 assert not answering.done()
-                edge.send(PushAck(told.number))
+                edge.send(PushAck(push.number))
                 assert (await answering)[0] == 200
 
     play(story)
 
 
 def test_backends_that_come_together_make_one_push_and_a_drain_goes_at_once(tmp_path: Path) -> None:
-    """One that comes alone is told at once; what comes right after it waits for the tick, or for a drain."""
+    """A single new backend is pushed at once; those right after it wait for the tick, or for a drain."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, proxy(ports) as edge:
@@ -397,27 +398,27 @@
                 made.registry.heartbeat(made.now(), name, beat(call_seq, phase, f"10.0.0.{name[1:]}:80"))
                 made.publish_registry(at_once=phase != "ready")
 
-            async def told() -> list[tuple[str, str]]:
+            async def pushed() -> list[tuple[str, str]]:
                 return [(record.id, record.phase) for record in (await edge.next(Push)).backends]
 
-            assert await told() == []
+            assert await pushed() == []
             for name in ("i1", "i2", "i3"):
                 hear(name)
-            assert await told() == [("i1", "ready")]
-            assert await told() == [("i2", "ready"), ("i3", "ready")]
+            assert await pushed() == [("i1", "ready")]
+            assert await pushed() == [("i2", "ready"), ("i3", "ready")]
             await asyncio.sleep(2 * TICK_S)
             for name in ("i4", "i5"):
                 hear(name)
             hear("i1", 2, "draining")
             assert made.registry.changes() == ()
-            assert await told() == [("i4", "ready")]
-            assert await told() == [("i5", "ready"), ("i1", "draining")]
+            assert await pushed() == [("i4", "ready")]
+            assert await pushed() == [("i5", "ready"), ("i1", "draining")]
 
     play(story)
 
 
 def test_a_push_encoded_once_for_many_links_is_the_same_on_the_wire() -> None:
-    """With no record, one and many."""
+    """With no record, with one and with many."""
     for count in (0, 1, 70):
         records = tuple(
             Backend(f"i-{number}", "s", "10.0.0.9:80", "z", "", 1, "ready", number) for number in range(count)
@@ -426,7 +427,8 @@
 
 
 def test_an_ending_without_a_majority_is_not_confirmed(tmp_path: Path) -> None:
-    """A drain, a leave and a leave of one never heard of: 503 within the caller's second, though the proxies know."""
+    """A drain, a leave and a leave of an unknown backend get 503 within the caller's timeout, although the proxies
+    know."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
@@ -442,15 +444,15 @@
                     assert made.now() - began < CALLER_S
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-2", beat(1, address="10.0.0.2:80")))[0] == 200
             consensus.members = (ONE,)
-            for path, sent in ENDINGS:  # sent again: it is no news any more, but now it is confirmed
+            for path, sent in ENDINGS:  # repeated: nothing changes any more, but now it is confirmed
                 assert (await client.call("POST", path, sent))[0] == 200
 
     play(story)
 
 
 def test_an_ending_waits_for_the_acknowledgement_of_a_majority(tmp_path: Path) -> None:
-    """An acknowledgement of an earlier number, or by one that is no member, is none; neither is one that came before
-    the link broke."""
+    """Not counted: an acknowledgement of an earlier number, of a controller that is no member, or from before the link
+    broke."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
@@ -461,16 +463,16 @@
                 first = (await peer.next(RegistrySync)).number
                 await stranger.next(RegistrySync)
                 answering = asyncio.create_task(client.call("POST", *ENDINGS[0]))
-                told = await peer.next(RegistrySync)
-                assert [record.phase for record in told.backends] == ["draining"] and told.number > first > 0
+                sync = await peer.next(RegistrySync)
+                assert [record.phase for record in sync.backends] == ["draining"] and sync.number > first > 0
                 peer.send(RegistryAck(first))
-                stranger.send(RegistryAck(told.number))
+                stranger.send(RegistryAck(sync.number))
                 async with caller(ports) as other:
                     assert (await other.call("GET", "/api/System.Status"))[0] == 200
                 assert not answering.done()
-                peer.send(RegistryAck(told.number))
+                peer.send(RegistryAck(sync.number))
                 assert (await answering)[0] == 200
-                assert (await client.call("POST", *ENDINGS[0]))[0] == 200  # again, without a word to anybody
+                assert (await client.call("POST", *ENDINGS[0]))[0] == 200  # repeated, with no further message
             while made._links.to(TWO) is not None:
                 await asyncio.sleep(0.01)
             assert (await client.call("POST", *ENDINGS[0]))[0] == 503
@@ -479,7 +481,7 @@
 
 
 def test_a_controller_acknowledges_what_it_has_taken_and_pushed(tmp_path: Path) -> None:
-    """Only what has a number; the push to its proxies goes first."""
+    """Only a message with a number is acknowledged, after the push to the proxies."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, proxy(ports) as edge, peer_controller(ports, TWO) as peer:
@@ -488,15 +490,15 @@
             peer.send(RegistrySync((draining,), (), 9))
             assert (await peer.next(RegistryAck)).number == 9
             assert made.registry.records["i-1"] == draining
-            told: list[str] = []
-            while "i-1" not in told:
-                told += [record.id for record in (await edge.next(Push)).backends]
+            pushed: list[str] = []
+            while "i-1" not in pushed:
+                pushed += [record.id for record in (await edge.next(Push)).backends]
 
     play(story)
 
 
 def test_a_controller_that_is_behind_publishes_nothing(tmp_path: Path) -> None:
-    """In contact, it has still an older revision than it was told of; its heartbeats say so."""
+    """It is in contact, but has an older revision than it knows to exist; its heartbeats show that."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
@@ -516,7 +518,8 @@
 
 
 def test_callers_are_sent_on_only_to_a_primary_that_was_heard_lately(tmp_path: Path) -> None:
-    """Its link is up for a while after it has died; neither a silent one nor one without contact is named."""
+    """A primary's link stays up for a while after its death: neither a silent primary nor one without contact is
+    named."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports, leader=TWO) as made, caller(ports) as client:
@@ -544,7 +547,7 @@
 
 
 def test_what_may_be_a_call_sent_again_is_not_refused(tmp_path: Path) -> None:
-    """Past the bound of the table of calls the answer is unclear, not 412; a call that is in the table is confirmed."""
+    """For a call older than the table of calls the answer is unclear, not 412; a call in the table is confirmed."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
@@ -569,7 +572,7 @@
 def test_nothing_is_refused_once_the_lease_has_run_out(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sent: bytes
 ) -> None:
-    """A call that is invalid, or whose base is another, while the lease ends during its check."""
+    """An invalid call, or one with another base, gets 503 if the lease ends while it is checked."""
 
     async def story(ports: tuple[int, int]) -> None:
         monkeypatch.setattr(operator_api, "SLOW_BYTES", 0)
@@ -594,7 +597,7 @@
 
 
 def test_a_member_that_ends_stays_until_it_has_handed_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Not for longer than its grace period leaves; what it holds is the custody's to tell."""
+    """It stays no longer than its grace period allows; the consensus core says when it may end."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
@@ -618,14 +621,14 @@
 
 
 def test_configurations_reach_proxies(tmp_path: Path) -> None:
-    """A 200 waits for the linked proxies; who comes later, or is behind, is handed the newest."""
+    """A 200 waits for the linked proxies; a proxy that connects later or is behind is sent the newest configuration."""
 
     async def story(ports: tuple[int, int]) -> None:
         sent = body(document(revision=7))
         async with controller(tmp_path, ports), proxy(ports) as edge, caller(ports) as client:
             answering = asyncio.create_task(client.call("POST", REPLACE, sent, 0))
             assert await edge.next(ConfigPush) == ConfigPush(7, sent)
-            async with caller(ports) as other:  # another call's way there and back gives the answer time to come
+            async with caller(ports) as other:  # another call's round trip leaves time for a premature answer
                 assert (await other.call("GET", "/api/System.Status"))[0] == 200
             assert not answering.done()
             edge.send(ConfigAck(7))
@@ -639,7 +642,10 @@
 
 
 def test_what_the_disk_kept_is_not_handed_out_before_there_is_contact_with_a_majority(tmp_path: Path) -> None:
-    """It was, so that all could start without a primary; but one that comes back cut off can't know how old it is."""
+    """A restarted controller that is cut off cannot know how old its stored configuration is.
+
+    It used to publish that configuration at once, so that the fleet could start without a primary.
+    """
 
     async def story(ports: tuple[int, int]) -> None:
         sent = body(document(revision=7))
@@ -666,7 +672,7 @@
 
 
 def test_backends_are_known_again_before_they_beat(tmp_path: Path) -> None:
-    """All power was lost: proxies need not wait a beat for each backend."""
+    """After a power loss proxies get the backends without waiting for their heartbeats."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as client:
@@ -693,7 +699,7 @@
 
 
 def test_what_a_controller_lost_is_rebuilt(tmp_path: Path) -> None:
-    """A proxy's Hello tells a controller that has just begun which backends there are."""
+    """A proxy's Hello tells a newly started controller which backends exist."""
 
     async def story(ports: tuple[int, int]) -> None:
         known = (Backend("i-1", "s", "10.0.0.9:80", "z", "", 1, "ready", 3),)
@@ -704,7 +710,7 @@
 
 
 def test_two_controllers(tmp_path: Path) -> None:
-    """One that isn't primary sends operators on, and takes heartbeats for all; so does one that retires."""
+    """A controller that isn't primary redirects operators and accepts heartbeats for all; so does one that retires."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with (
@@ -730,7 +736,7 @@
 
 
 def test_three_controllers_with_the_custody(tmp_path: Path) -> None:
-    """The whole: they find a primary, callers are sent on to it, and when it retires another has what was taken."""
+    """They elect a primary, callers are redirected to it, and when it retires its successor has the configuration."""
     ips = (ONE, TWO, "127.0.11.3")
     sent = body(document(revision=7))
 
@@ -766,7 +772,7 @@
         answer, successor = await follow(ports, next(iter(planes)), "GET", READ, b"")
         assert answer[::2] == (200, sent)
         assert successor != primary
-        # Two of three can't relieve each other's copies, so both stay for as long as their grace period lets them.
+        # Two of three can't take over each other's copies, so both stay for their whole grace period.
         await asyncio.gather(*(plane.stop() for plane in planes.values()))
 
     play(story, 20.0)
@@ -781,7 +787,7 @@
     ],
 )
 def test_the_group_is_as_large_as_the_tolerance_asks(tolerance: Tolerance, size: GroupSize) -> None:
-    """Where zones or regions may be lost no number of machines says how large it is."""
+    """If zones or regions may be lost, the group's size does not depend on a number of machines."""
 
     async def story(ports: tuple[int, int]) -> None:
         settings = msgspec.structs.replace(controller_settings(ONE, ports), tolerance=tolerance)
@@ -793,7 +799,7 @@
 
 
 def test_a_committed_configuration_reaches_other_controllers(tmp_path: Path) -> None:
-    """One that isn't primary learns it on its link and hands it to proxies that are behind."""
+    """A controller that isn't primary receives it on its link and sends it to proxies that are behind."""
 
     async def story(ports: tuple[int, int]) -> None:
         sent = body(document(revision=7))
@@ -812,15 +818,15 @@
 
 
 def test_a_retiring_controller_finishes_its_calls(tmp_path: Path) -> None:
-    """A call under way is answered; then it closes."""
+    """A call in progress is answered before the API closes."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as plane, proxy(ports) as edge, caller(ports) as client:
             answering = asyncio.create_task(client.call("POST", "/api/Servers.Heartbeat/i-1", beat(1, "draining")))
             assert (await edge.next(Push)).backends == ()
-            told = await edge.next(Push)
+            push = await edge.next(Push)
             stopping = asyncio.create_task(plane.stop())
-            edge.send(PushAck(told.number))
+            edge.send(PushAck(push.number))
             status, _, _ = await answering
             assert status == 200
             await stopping
@@ -829,7 +835,7 @@
 
 
 def test_the_command_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
-    """A settings file that can't be used ends the program with 2 and one line that names file, key and expectation."""
+    """An unusable settings file ends the program with 2 and one line that names file, key and expectation."""
     path = tmp_path / "boot.yaml"
     monkeypatch.setenv("CRANEBANK_NODE_FILE", str(path))
     assert program.main(["control"]) == 2
@@ -843,7 +849,7 @@
 
 
 def test_the_ring(monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
-    """Nothing is written until something goes wrong; then each line once, and no more lines than it holds."""
+    """Nothing is written until an error occurs; then each line is written once, up to the buffer's size."""
     from loguru import logger  # noqa: PLC0415
 
     monkeypatch.setattr("sys.excepthook", None)
@@ -858,8 +864,8 @@
         assert all(line.startswith("core-1 ") for line in lines)
         logger.info("three")
         ring.uncaught(ValueError, ValueError("four"), None)
-        assert "three" in (told := capsys.readouterr().err)
-        assert "four" in told
+        assert "three" in (lines_written := capsys.readouterr().err)
+        assert "four" in lines_written
         ring.dump()
         assert capsys.readouterr().err == ""
         assert isinstance(ring, LogRing)
@@ -868,7 +874,8 @@
 
 
 def test_a_controller_that_stood_still_takes_nobody_for_lost_before_it_has_listened(tmp_path: Path) -> None:
-    """Found by a review: a thaw came to all heartbeats being old, and all backends were told to be lost."""
+    """Guards against false losses: after a suspension all heartbeats looked old, and all backends were reported as
+    lost."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made:
@@ -889,7 +896,7 @@
         consensus = SingleNodeConsensus(ONE, store.values)
         controller = Controller(settings, lambda now, random: consensus, AsyncStore(store), Random(1), lambda: settings)
         link = Link(controller._protocol, dialled=False)
-        controller._tick()  # it becomes the primary
+        controller._tick()  # the controller becomes primary
         controller._timers[0].cancel()
         controller._delivery.join(controller.now(), link, "p", PROXY, True, 0, ())
         controller._tick()
--- a/tests/test_control_settings.py
+++ b/tests/test_control_settings.py
@@ -1,4 +1,4 @@
-"""The control program and its settings file: read again upon a signal and without one, and one that can't be used."""
+"""The control program reloads its settings file on a signal and without one, and ignores an unusable one."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class SettingsFile:
-    """What the settings file says now; None: it can't be used."""
+    """The content of the settings file; None stands for an unusable file."""
 
     def __init__(self, settings: NodeSettings) -> None:
         self.settings: NodeSettings | None = settings
         self.reads = 0
 
     def load(self) -> NodeSettings:
-        """Read it."""
+        """Read the file."""
         self.reads += 1
         if self.settings is None:
             raise SettingsError("boot.yaml", "", "YAML")
@@ -38,7 +38,7 @@
 
 
 async def exchange_seeds(folder: Path, by_signal: bool) -> None:
-    """Give a controller that reaches no other one a broken file, then one with other seeds."""
+    """Give a controller that reaches no other controller an unusable file, then one with other seeds."""
     ports = (free_port(), free_port())
     settings = controller_settings(ONE, ports, (ONE, OLD))
     file = SettingsFile(settings)
--- a/tests/test_durable_endings.py
+++ b/tests/test_durable_endings.py
@@ -1,4 +1,4 @@
-"""A confirmed drain or leave is on the disks of a majority, and outlasts a loss of all power."""
+"""A confirmed drain or leave is on the disks of a majority, and survives a power loss of the whole fleet."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class SlowDisk:
-    """A disk whose writes last when they are let go, or are refused."""
+    """A disk whose writes wait until they are released, or are refused."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -66,7 +66,7 @@
 
 
 class OneLink:
-    """Links of which one stands."""
+    """Links with one connection up."""
 
     def __init__(self, link: RecordingLink) -> None:
         self.link = link
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_confirmed_leave_is_known_after_a_loss_of_all_power_right_behind_it(seed: int) -> None:
-    """Controllers and proxies lose power in the instant of the acknowledgement; no backend beats any more."""
+    """Controllers and proxies lose power at the moment of the acknowledgement; no backend sends heartbeats any more."""
     world = World(seed, faults_s=12.0)
     world.add_backend(1, 0.6, 7.0 + 0.1 * seed)
     world.beat_s = 1.0
--- a/tests/test_edge_settings.py
+++ b/tests/test_edge_settings.py
@@ -1,4 +1,4 @@
-"""The edge program and its settings file: seeds exchanged for others, a file that can't be read, all seeds dead."""
+"""The proxy's program and its settings file: exchanged seeds, an unreadable file, no reachable seed."""
 
 from __future__ import annotations
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Restarts, new configurations and old addresses, each with requests under way."""
+"""Restarts, new configurations and reused addresses, each with requests in progress."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 async def connect(s: ProxyHarness) -> tuple[Reader, Writer]:
-    """A client's connection, bare."""
+    """Open a client connection without an HTTP client."""
     return await asyncio.open_connection(*s.url.removeprefix("http://").split(":"))
 
 
 async def status(reader: Reader) -> int:
-    """The status of the next answer, its head read whole."""
+    """Read the head of the next answer and return its status."""
     return int((await reader.readuntil(b"\r\n\r\n")).split()[1])
 
 
@@ -35,7 +35,7 @@
         await kept[0].readexactly(2)
         half[1].write(f"{HEAD}X-Req".encode())
         await until(lambda: s.proxy.places_taken == 2)
-        kept[1].write(f"{HEAD}X-Request-Id: 2\r\n\r\n".encode())  # there already, and not read yet
+        kept[1].write(f"{HEAD}X-Request-Id: 2\r\n\r\n".encode())  # sent, but not read yet
         stopping = asyncio.ensure_future(s.proxy.stop(linger=2.0))
         await asyncio.sleep(0)
         new = await connect(s)
@@ -52,11 +52,12 @@
 
 
 def test_whoever_is_let_in_as_the_listener_closes_is_heard(tmp_path: Path) -> None:
-    """Accepted in one turn of the loop, its protocol made in the next: between the two lay the listener's end."""
+    """The connection is accepted in one turn of the loop and its protocol created in the next, after the listener's
+    end."""
 
     async def story(s: ProxyHarness) -> None:
         host, _, port = s.url.removeprefix("http://").rpartition(":")
-        client = socket.create_connection((host, int(port)))  # the kernel has it, nobody else
+        client = socket.create_connection((host, int(port)))  # accepted by the kernel only
         client.sendall(b"GET /-/counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         await s.proxy.stop(linger=0.0, keep=True)
         client.setblocking(False)
@@ -67,7 +68,8 @@
 
 
 def test_idle_connections_end_a_moment_before_the_listener(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Who crosses such an end tries once more, and must find somebody. What has come already is read."""
+    """A client whose request crosses the end of its connection retries once and must still find the listener. Bytes
+    received before the end are processed."""
     monkeypatch.setattr("cranebank.daemon.CROSSING_S", 1.0)
 
     async def story(s: ProxyHarness) -> None:
@@ -76,7 +78,7 @@
             writer.write(f"{HEAD}X-Request-Id: {number}\r\n\r\n".encode())
             assert await status(reader) == 200
             await reader.readexactly(2)
-        ends[1][1].write(f"{HEAD}X-Request-Id: 3\r\n\r\n".encode())  # it is there, and not read yet
+        ends[1][1].write(f"{HEAD}X-Request-Id: 3\r\n\r\n".encode())  # sent, but not read yet
         s.proxy._connections.dismiss()
         assert await ends[0][0].read() == b""
         assert await status(ends[1][0]) == 200
@@ -97,7 +99,7 @@
     "sent", ["", f"{HEAD}X-Re", f"{HEAD}X-Request-Id: 1\r\n"], ids=["nothing", "half", "all but the end"]
 )
 def test_a_request_whose_last_byte_comes_after_the_listener_has_closed_is_answered(tmp_path: Path, sent: str) -> None:
-    """Its connection was let in before: whatever is sent on it is taken."""
+    """Its connection was accepted before, so everything sent on it is processed."""
 
     async def story(s: ProxyHarness) -> None:
         reader, writer = await connect(s)
@@ -120,8 +122,8 @@
         await until(lambda: len(s.discovery.watches) == 1)
         async with listening(new.talk) as address:
             path = tmp_path / "config.json"
-            told = json.loads(path.read_text(encoding="utf-8"))
-            path.write_text(json.dumps(told | {"discovery": address}), encoding="utf-8")
+            document = json.loads(path.read_text(encoding="utf-8"))
+            path.write_text(json.dumps(document | {"discovery": address}), encoding="utf-8")
             s.proxy.reload(load({"GW_CONFIG": str(path)}))
             await until(lambda: len(new.watches) == 1)
             change = {"version": 2, "full": False, "servers": [entry("s0", s.address, "DRAINING")]}
@@ -138,24 +140,24 @@
 
 @pytest.mark.parametrize("full", [True, False], ids=["a whole list", "changes"])
 def test_a_drain_a_return_and_a_new_id_under_an_old_address_told_at_once(tmp_path: Path, full: bool) -> None:
-    """What a list that was late for long tells: s0 drains, s1 has come back, s2 stands where s0 stood."""
+    """A delayed list reports at once that s0 drains, s1 has returned, and s2 has the address that s0 had."""
     hosts = UpstreamHost(), UpstreamHost()
 
     async def story(s: ProxyHarness) -> None:
-        back = entry("s1", s.address, started_ms=1)  # never at its own address any more
+        back = entry("s1", s.address, started_ms=1)  # no longer at its own address
         for number in range(6):
             assert (await s.ask(changes={"X-Request-Id": str(number)}))[0] == 200
-        await asyncio.sleep(0.05)  # connections rest before they are used again
+        await asyncio.sleep(0.05)  # connections are idle for a moment before they are reused
         opened = hosts[0].connections
         named = [entry("s0", s.address, "DRAINING"), back, entry("s2", s.address)]
         s.discovery.lines.put_nowait(json.dumps({"version": 9, "full": full, "servers": named}).encode())
         news = "lists_all" if full else "lists_changes"
         await until(lambda: s.proxy.counters[news] == 1)
-        assert hosts[1].connections  # which stand idle, at an address that is another's now
+        assert hosts[1].connections  # now idle, at an address that belongs to another host
         before = len(hosts[0].requests), len(hosts[1].requests)
         for number in range(6):
             assert (await s.ask(changes={"X-Request-Id": f"b{number}"}))[0] == 200
         assert (len(hosts[0].requests), len(hosts[1].requests)) == (before[0] + 6, before[1])
-        assert hosts[0].connections > opened  # nothing goes over what was opened to the host that drains
+        assert hosts[0].connections > opened  # connections opened to the draining host are not used
 
     play(tmp_path, story, *hosts)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures for scrapers: off unless asked for, bounded in names, in the text format."""
+"""Metrics for scrapers: disabled by default, with bounded names, in Prometheus's text format."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 def run(story: Any) -> None:
-    """Run a story on the programs' loop."""
+    """Run a story on the programs' event loop."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(story, 10))
 
 
 async def scrape(ip: str, port: int) -> str:
-    """What is told."""
+    """Return the metrics text."""
     reader, writer = await asyncio.open_connection(ip, port)
     writer.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     head, _, found = (await reader.read()).decode().partition("\r\n\r\n")
@@ -88,7 +88,7 @@
             await exporter.start(NodeSettings("n", ONE, "z", (port - 1, port), ("x:1",)))
             found = await scrape(ONE, port)
             exporter.stop()
-            # When the proxy of this test shows and acknowledges something is not said.
+            # These two depend on when the test's proxy acknowledges.
             assert re.sub(r"(lag|proxies_behind) \d+", r"\1 N", found) == snapshot
 
     run(story())
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""A process's settings file: what is read, what is skipped, and errors that name file, key and what was expected."""
+"""A process's settings file: what is read, what is ignored, and errors that name file, key and expectation."""
 
 from __future__ import annotations
 
@@ -46,8 +46,10 @@
 def test_an_error_names_file_key_and_what_was_expected(old: str, new: str, key: str, expected: str) -> None:
     with pytest.raises(SettingsError) as caught:
         parse(WHOLE.replace(old, new), "boot.yaml")
-    told = str(caught.value)
-    assert told.startswith("boot.yaml: ") and key in told and expected in told and caught.value.code == "settings"
+    message = str(caught.value)
+    assert (
+        message.startswith("boot.yaml: ") and key in message and expected in message and caught.value.code == "settings"
+    )
 
 
 def test_the_file_is_the_one_that_the_environment_names(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started in service, spoken to over sockets."""
+"""The proxy's program as started in production, tested over sockets."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from peers import OK, Discovery, UpstreamHost, configuration, entry, listening, request_headers, until
 
 
-async def program(path: Path, told: dict[str, Any], **environ: str) -> tuple[asyncio.subprocess.Process, str]:
+async def program(path: Path, document: dict[str, Any], **environ: str) -> tuple[asyncio.subprocess.Process, str]:
     """Start the program; return it and its URL."""
-    (path / "config.json").write_text(json.dumps(told), encoding="utf-8")
+    (path / "config.json").write_text(json.dumps(document), encoding="utf-8")
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -44,14 +44,14 @@
                     assert (response.status, await response.read()) == (200, b"yes")
                 async with client.get(url + "/-/counters") as counters:
                     assert (await counters.json())["answers_served"] == 1
-                told = request_headers() | {"X-Deadline-Ms": "3000"}
-                slow = asyncio.ensure_future(client.get(url + "/look", headers=told))
+                headers = request_headers() | {"X-Deadline-Ms": "3000"}
+                slow = asyncio.ensure_future(client.get(url + "/look", headers=headers))
                 while len(host.requests) < 2:
                     await asyncio.sleep(0.01)
-                for _ in range(3):  # one is as good as many
+                for _ in range(3):  # repeated signals have no further effect
                     process.send_signal(signal.SIGTERM)
                     await asyncio.sleep(0.02)
-                response = await slow  # the host keeps silent: declined at its deadline, not dropped
+                response = await slow  # the host does not answer: declined at its deadline, not dropped
                 assert (response.status, response.headers["Connection"]) == (503, "close")
             _, errors = await process.communicate()
         assert process.returncode == 0
@@ -62,7 +62,7 @@
 
 
 def test_after_sigterm_kept_connections_are_served_till_the_time_to_finish_is_needed(tmp_path: Path) -> None:
-    """Where the zone's other proxies are only just starting, nobody else serves; new connections come no more."""
+    """While the zone's other proxies are only starting, nobody else serves; new connections are no longer accepted."""
 
     async def story() -> None:
         host = UpstreamHost(lambda n: None if n > 1 and host.requests[-1].startswith(b"POST") else OK)
@@ -70,12 +70,12 @@
             process, url = await program(tmp_path, configuration(discovery, [entry("s0", address)]))
             at = url.removeprefix("http://").split(":")
             reader, writer = await asyncio.open_connection(*at)
-            last, told = await asyncio.open_connection(*at)
+            second_reader, second_writer = await asyncio.open_connection(*at)
 
             async def ask(kind: str, number: int) -> bytes:
                 fields = request_headers(kind) | {"X-Request-Id": f"r{number}", "X-Deadline-Ms": "30000"}
                 method, body = ("GET", "") if kind == "look" else ("POST", "Content-Length: 0\r\n")
-                to, back = (writer, reader) if kind == "look" else (told, last)
+                to, back = (writer, reader) if kind == "look" else (second_writer, second_reader)
                 to.write(
                     (
                         f"{method} /{kind} HTTP/1.1\r\nHost: x\r\n{body}"
@@ -97,7 +97,7 @@
             head, number = await ask("look", 1), 2
             assert b" 200 " in head
             assert b"Connection: close" not in head
-            # The host is silent to this one, and its client would wait for 30 s: answered before SIGKILL may come.
+            # The host does not answer this one, and its client would wait 30 s: it is answered before SIGKILL is due.
             late = asyncio.ensure_future(ask("pay", 999))
             while b"Connection: close" not in head:
                 head, number = await ask("look", number), number + 1
@@ -107,7 +107,7 @@
             assert await reader.read() == b""
             _, errors = await process.communicate()
             writer.close()
-            told.close()
+            second_writer.close()
         assert process.returncode == 0
         counted = json.loads(errors.decode().splitlines()[-1])
         assert counted["requests_taken"] == counted["answers_served"] + 1 == number + 1
@@ -119,25 +119,25 @@
     async def story() -> None:
         host, old, new = UpstreamHost(lambda _: None), Discovery(), Discovery()
         async with listening(host.talk) as address, listening(old.talk) as before, listening(new.talk) as after:
-            told = configuration(before, [entry("s0", address)])
-            process, url = await program(tmp_path, told, GW_DISCOVERY=before)
+            document = configuration(before, [entry("s0", address)])
+            process, url = await program(tmp_path, document, GW_DISCOVERY=before)
             assert process.stderr is not None
             async with aiohttp.ClientSession() as client:
                 headers = request_headers() | {"X-Deadline-Ms": "6000"}
                 slow = asyncio.ensure_future(client.get(url + "/look", headers=headers))
                 await until(lambda: len(old.watches) == len(host.requests) == 1)
-                for text in ("", "{half", "[]", json.dumps({}), json.dumps(told | {"listen": 5})):
+                for text in ("", "{half", "[]", json.dumps({}), json.dumps(document | {"listen": 5})):
                     (tmp_path / "config.json").write_text(text, encoding="utf-8")
                     process.send_signal(signal.SIGHUP)
                     assert b"kept the old settings" in await process.stderr.readline()
-                moved = json.dumps(told | {"discovery": after, "limits": told["limits"] | {"sockets": 777}})
+                moved = json.dumps(document | {"discovery": after, "limits": document["limits"] | {"sockets": 777}})
                 (tmp_path / "config.json").write_text(moved, encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
-                await until(lambda: len(new.watches) == 1)  # with the list's version, and at once
+                await until(lambda: len(new.watches) == 1)  # immediately, and with the list's version
                 assert (len(old.watches), new.watches[0].endswith(b"from=1")) == (1, True)
                 line = await process.stderr.readline()
                 assert after.encode() in line and b"needs_restart=sockets" in line
-                assert (await slow).status == 503  # the host keeps silent: answered all the same
+                assert (await slow).status == 503  # the host does not answer: declined at its deadline
             process.send_signal(signal.SIGTERM)
             await process.communicate()
         assert process.returncode == 0
@@ -146,13 +146,14 @@
 
 
 def test_a_sighup_that_comes_while_it_reads_its_first_configuration_counts(tmp_path: Path) -> None:
-    """Its file is a pipe: it is in the midst of reading when the signal comes. The next one is in its place then."""
+    """The configuration file is a pipe, so the signal arrives in the middle of the read. Then the next file is in its
+    place."""
 
     async def story() -> None:
         host, old, new, pipe = UpstreamHost(), Discovery(), Discovery(), tmp_path / "config.json"
         os.mkfifo(pipe)
         async with listening(host.talk) as address, listening(old.talk) as before, listening(new.talk) as after:
-            told = configuration(before, [entry("s0", address)])
+            document = configuration(before, [entry("s0", address)])
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -161,11 +162,11 @@
                 stdout=asyncio.subprocess.DEVNULL,
                 env=os.environ | {"GW_CONFIG": str(pipe), "GW_NAME": "n7"},
             )
-            with await asyncio.to_thread(pipe.open, "w", encoding="utf-8") as first:  # it has opened its end
+            with await asyncio.to_thread(pipe.open, "w", encoding="utf-8") as first:  # the process has opened its end
                 process.send_signal(signal.SIGHUP)
-                first.write(json.dumps(told))
+                first.write(json.dumps(document))
                 pipe.unlink()
-                pipe.write_text(json.dumps(told | {"discovery": after}), encoding="utf-8")
+                pipe.write_text(json.dumps(document | {"discovery": after}), encoding="utf-8")
             await until(lambda: len(new.watches) == 1)
             process.send_signal(signal.SIGTERM)
             await process.communicate()
@@ -175,9 +176,9 @@
 
 
 def test_a_proxy_does_without_tls(tmp_path: Path) -> None:
-    """ssl and its certificates would be a sixteenth of the memory that it starts with."""
-    told = "import runpy, sys; sys.argv = ['x']; runpy.run_module('cranebank', run_name='__main__', alter_sys=True)"
-    code = f"import atexit, sys\natexit.register(lambda: print('_ssl' in sys.modules))\n{told}"
+    """ssl and its certificates would take a sixteenth of the memory that a proxy starts with."""
+    start = "import runpy, sys; sys.argv = ['x']; runpy.run_module('cranebank', run_name='__main__', alter_sys=True)"
+    code = f"import atexit, sys\natexit.register(lambda: print('_ssl' in sys.modules))\n{start}"
     done = subprocess.run(
         [sys.executable, "-c", code],
         env=os.environ | {"GW_CONFIG": str(tmp_path / "none")},
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -1,4 +1,4 @@
-"""The registry of a controller on its links: in which order other controllers hear what."""
+"""The registry of a controller on its links: the order in which other controllers receive changes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Consensus:
-    """A core that knows who the members are."""
+    """A consensus core that knows the members."""
 
     def known_ips(self) -> set[str]:
         return set(IPS)
@@ -35,7 +35,7 @@
 
 
 class Recorder(Link):
-    """A connection to a proxy; keeps what is sent."""
+    """A connection to a proxy that records what is sent."""
 
     def __init__(self) -> None:
         super().__init__(cast(Owner, None), False)
@@ -47,7 +47,7 @@
 
 
 class Links:
-    """One connection, which keeps the order of what is sent."""
+    """One connection that records what is sent in order."""
 
     accepted_ips: frozenset[str] = frozenset()
 
@@ -79,7 +79,7 @@
 
 
 def test_what_a_heartbeat_changes_is_told_before_that_the_heartbeat_was_heard() -> None:
-    """Where the change comes behind, it bears the number of a heartbeat that is known already, and is dropped."""
+    """If the change is sent after, it carries the number of a heartbeat that is already known, and is dropped."""
     clock = 0.0
     links = Links()
     here, there = (service_of(ip, lambda: clock, links) for ip in IPS)
@@ -90,7 +90,7 @@
     here.publish()
     clock += PUSH_BATCH_S / 2
     here.registry.heartbeat(clock, "i", beat(2, stage="decode"))
-    here.publish(at_once=False)  # waits for the next tick, and the time to tell who was heard comes first
+    here.publish(at_once=False)  # waits for the next tick, but the heartbeats are due to be sent first
     here.tick(clock)
     here.publish()
     for sync in links.sent:
@@ -100,7 +100,7 @@
 
 
 def test_the_permits_for_a_cold_backend_go_out_behind_the_push_that_tells_of_it() -> None:
-    """To a proxy that has told its clock."""
+    """To a proxy that has reported its clock."""
     clock = 0.0
     delivery, proxy = Delivery(HERE, Random(1), lambda _now, _revision: True), Recorder()
     delivery.committed(0.0, 1, b'{"services":[{"name":"s","warmup_per_s":23,"cold_s":3}]}')
@@ -111,6 +111,6 @@
     service.registry.heartbeat(clock, "i", beat(1))
     service.publish()
     service.zone_returned("z")
-    told, permits = proxy.sent[-2:]
-    assert isinstance(told, Push) and told.backends[0].cold_left_ms == 3000
+    push, permits = proxy.sent[-2:]
+    assert isinstance(push, Push) and push.backends[0].cold_left_ms == 3000
     assert permits == WarmUpPermits("i", 10, 7.0 + 3.0 + CLOCK_MAX_AGE_S)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings from both readers, with the least, the empty, the absent and the odd value at each key."""
+"""The platform's settings from both readers, with minimal, empty, absent and odd values at each key."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     "Streaming": False,
     "AimStretch": 0.0,
 }
-TOLD: dict[str, Any] = {
+PLATFORM: dict[str, Any] = {
     "Balancers": 3,
     "Clients": {"MarksRetry": True},
     "Discovery": "push",
@@ -77,42 +77,53 @@
 ODD = [ABSENT, [], 0, 0.0, 1, 1e-9, 1e12, True, False, -1, "-1"]
 
 
-def paths(told: Any, above: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    items = told.items() if isinstance(told, dict) else enumerate(told) if isinstance(told, list) else ()
+def paths(document: Any, above: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    items = (
+        document.items() if isinstance(document, dict) else enumerate(document) if isinstance(document, list) else ()
+    )
     return [path for key, value in items for path in ((*above, key), *paths(value, (*above, key)))]
 
 
-def changed(told: dict[str, Any], path: tuple[Any, ...], value: Any) -> dict[str, Any]:
-    told = copy.deepcopy(told)
-    node: Any = told
+def changed(document: dict[str, Any], path: tuple[Any, ...], value: Any) -> dict[str, Any]:
+    document = copy.deepcopy(document)
+    node: Any = document
     for step in path[:-1]:
         node = node[step]
     if value is ABSENT:
         del node[path[-1]]
     else:
         node[path[-1]] = value
-    return told
+    return document
 
 
-def pairs(told: Any, path: str = "") -> list[str]:
-    """The settings as START writes them: a list of nought is written as an empty value."""
-    if isinstance(told, list) and (not told or not isinstance(told[0], dict)):
-        return [f"{path}={','.join(map(str, told))}"]
+def pairs(document: Any, path: str = "") -> list[str]:
+    """Return the settings as START writes them; an empty list is written as an empty value."""
+    if isinstance(document, list) and (not document or not isinstance(document[0], dict)):
+        return [f"{path}={','.join(map(str, document))}"]
     above = f"{path}." if path else ""
-    if isinstance(told, list):
-        return [f"{above}count={len(told)}", *(p for i, item in enumerate(told) for p in pairs(item, f"{above}{i}"))]
-    if isinstance(told, dict):
-        return [p for name, value in told.items() for p in pairs(value, f"{above}{name}")]
-    return [f"{path}={str(told).lower() if isinstance(told, bool) else told}"]
-
-
-def from_json(told: dict[str, Any]) -> api.Settings:
-    return to_decision_settings(convert_checked(json.loads(json.dumps(told)), PlatformSettings, "file"))
-
-
-def play(told: api.Settings) -> int:
-    """Half a minute of a module under these settings, hosts of every kind of outcome; how much it asked for."""
-    balancer, alarms, out, tries, asked = Balancer(told, 1), list[api.SetTimer](), list[Any](), dict[str, int](), 0
+    if isinstance(document, list):
+        return [
+            f"{above}count={len(document)}",
+            *(p for i, item in enumerate(document) for p in pairs(item, f"{above}{i}")),
+        ]
+    if isinstance(document, dict):
+        return [p for name, value in document.items() for p in pairs(value, f"{above}{name}")]
+    return [f"{path}={str(document).lower() if isinstance(document, bool) else document}"]
+
+
+def from_json(document: dict[str, Any]) -> api.Settings:
+    return to_decision_settings(convert_checked(json.loads(json.dumps(document)), PlatformSettings, "file"))
+
+
+def play(module_settings: api.Settings) -> int:
+    """Run a module under these settings for 30 s with hosts of every outcome; return the number of actions."""
+    balancer, alarms, out, tries, asked = (
+        Balancer(module_settings, 1),
+        list[api.SetTimer](),
+        list[Any](),
+        dict[str, int](),
+        0,
+    )
 
     def do(now: float, event: api.Event) -> None:
         nonlocal asked
@@ -148,7 +159,10 @@
         do(
             now,
             api.Request(
-                f"r{turn}", turn % len(told.classes), 0.0 if turn % 7 == 0 else 1000.0, resubmitted=turn % 11 == 0
+                f"r{turn}",
+                turn % len(module_settings.classes),
+                0.0 if turn % 7 == 0 else 1000.0,
+                resubmitted=turn % 11 == 0,
             ),
         )
         outcome = outcomes[turn % 6]
@@ -168,26 +182,26 @@
 
 
 def test_both_readers_say_the_same() -> None:
-    assert wire.parse_settings(pairs(TOLD)) == from_json(TOLD)
+    assert wire.parse_settings(pairs(PLATFORM)) == from_json(PLATFORM)
 
 
 @pytest.mark.parametrize("name", ["Realms", "Zones", "Tiers"])
 def test_a_list_of_nought_is_read_in_each_way_of_writing_it(name: str) -> None:
-    rest = pairs({key: value for key, value in TOLD.items() if key != name})
-    none = from_json(TOLD | {name: []})
-    assert [wire.parse_settings([*rest, told]) for told in (f"{name}=", f"{name}=-", f"{name}.count=0")] == [none] * 3
+    rest = pairs({key: value for key, value in PLATFORM.items() if key != name})
+    none = from_json(PLATFORM | {name: []})
+    assert [wire.parse_settings([*rest, empty]) for empty in (f"{name}=", f"{name}=-", f"{name}.count=0")] == [none] * 3
     assert play(none) > 300
 
 
 def test_a_number_left_empty_is_absent() -> None:
-    told = [pair for pair in pairs(TOLD) if not pair.startswith(("Limits.MaxRetryAfter", "Rules.ColdFrom"))]
-    assert wire.parse_settings([*told, "Limits.MaxRetryAfter=", "Rules.ColdFrom=0.5"]).max_retry_after == 0.0
+    rest = [pair for pair in pairs(PLATFORM) if not pair.startswith(("Limits.MaxRetryAfter", "Rules.ColdFrom"))]
+    assert wire.parse_settings([*rest, "Limits.MaxRetryAfter=", "Rules.ColdFrom=0.5"]).max_retry_after == 0.0
     with pytest.raises(wire.WireError, match=r"Rules.ColdFrom: missing, expected a number"):
-        wire.parse_settings([*told, "Rules.ColdFrom=-"])
+        wire.parse_settings([*rest, "Rules.ColdFrom=-"])
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "expected"),
     [
         (("Balancers",), 0, "Balancers: expected a whole number >= 1"),
         (("Lanes", 1, "Aim"), 0.0, "Lanes.1.Aim: expected a number > 0.0"),
@@ -195,25 +209,25 @@
         (("Lanes",), [], "Lanes: expected a list of length >= 1"),
     ],
 )
-def test_what_can_hold_nowhere_is_named_by_both_readers(path: tuple[Any, ...], value: Any, said: str) -> None:
-    told = changed(TOLD, path, value)
+def test_what_can_hold_nowhere_is_named_by_both_readers(path: tuple[Any, ...], value: Any, expected: str) -> None:
+    document = changed(PLATFORM, path, value)
     with pytest.raises(ConfigError) as caught:
-        from_json(told)
-    assert said in str(caught.value)
+        from_json(document)
+    assert expected in str(caught.value)
     with pytest.raises(wire.WireError) as on_wire:
-        wire.parse_settings(pairs(told))
-    assert said in str(on_wire.value)
+        wire.parse_settings(pairs(document))
+    assert expected in str(on_wire.value)
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(path=st.sampled_from(paths(TOLD)), value=st.sampled_from(ODD))
+@given(path=st.sampled_from(paths(PLATFORM)), value=st.sampled_from(ODD))
 def test_any_one_odd_value_is_one_line_or_a_module_that_serves(path: tuple[Any, ...], value: Any) -> None:
-    told = changed(TOLD, path, value)
+    document = changed(PLATFORM, path, value)
     try:
-        read = from_json(told)
+        read = from_json(document)
     except ConfigError as error:
         assert str(error).startswith("file: ")
         assert "\n" not in str(error)
         return
-    assert 300 < play(read) < 10_000  # it decides on each request, and no timer chases itself
-    assert wire.parse_settings(pairs(told)) == read
+    assert 300 < play(read) < 10_000  # every request is decided on, and no timer rearms itself endlessly
+    assert wire.parse_settings(pairs(document)) == read
--- a/tests/test_stage_balancer_driver.py
+++ b/tests/test_stage_balancer_driver.py
@@ -1,4 +1,4 @@
-"""The asyncio end of the stage balancer: whatever a backend answers, the balancer is told."""
+"""The driver of the stage balancer reports every outcome of a call to the balancer."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class RecordingBalancer:
-    """Keeps what it is told."""
+    """Records the events that it is given."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -65,7 +65,7 @@
 
 
 def driver_of(consensus: SingleNodeConsensus) -> tuple[StageBalancerDriver, RecordingBalancer]:
-    """A duty whose balancer records what it is told."""
+    """Return a driver and its balancer, which records events."""
     settings = NodeSettings("n", "10.0.0.1", "z", (7000, 7009), ())
     driver = StageBalancerDriver(settings, lambda: 0.0, consensus, lambda: True, Registry(0.0, 1.0))
     balancer = RecordingBalancer()
@@ -74,7 +74,7 @@
 
 
 async def events_after(action: Action) -> list[Event]:
-    """What the balancer is told once this action is done."""
+    """Return the events that the balancer is given once this action is done."""
     driver, balancer = driver_of(SingleNodeConsensus("10.0.0.1", {}))
     driver._execute(action)
     await asyncio.gather(*driver._tasks._tasks, return_exceptions=True)
@@ -141,7 +141,7 @@
 
 
 def test_an_order_names_the_incarnation_that_it_is_for() -> None:
-    """The address may be another backend's by the time it arrives."""
+    """The address may belong to another backend by the time the order arrives."""
     backend = Backend("i-7", "s", "10.0.0.9:80", "z", "prefill", 4, "ready", 1)
     head, _, body = stage_balancer_driver.order_request(backend, Order("decode", "node-1", 41, expected=2)).partition(
         b"\r\n\r\n"
--- a/tests/test_system_commands.py
+++ b/tests/test_system_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the system: what they tell, what they refuse, and that a restored folder starts a new replica."""
+"""The commands of the system: their output, their errors, and that a restored folder starts a new replica."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 @contextmanager
 def answering(status: int, answer: bytes) -> Iterator[str]:
-    """The address of a server that answers everything with this."""
+    """Yield the address of a server that gives this answer to every request."""
 
     class Handler(BaseHTTPRequestHandler):
         def do_GET(self) -> None:
@@ -91,7 +91,7 @@
 
 
 def custody_values(revision: int, committed: int) -> dict[str, bytes]:
-    """What a primary has on its disk."""
+    """Return the values on a primary's disk."""
     record = EpochRecord(3, 3, "10.1.0.1", ("10.1.0.1",), ("10.1.0.1", "10.1.0.2", "10.1.0.3"))
     encode = msgspec.msgpack.encode
     return {
@@ -103,7 +103,7 @@
 
 
 def data_folder(path: Path, revision: int = 7, committed: int = 7) -> Path:
-    """A controller's data folder."""
+    """Create a controller's data folder."""
     path.mkdir()
     (path / "custody").write_bytes(encode_batch(1, custody_values(revision, committed)))
     return path
@@ -145,13 +145,13 @@
 
 
 def test_a_role_alone_imports_no_commands(tmp_path: Path) -> None:
-    told = (
+    script = (
         "import sys; from cranebank.programs.__main__ import main; main(['control'])\n"
         "found = {'defopt', 'click', 'cranebank.programs.command', 'cranebank.programs.metrics'} & {*sys.modules}\n"
         "assert not found, found"
     )
     run = subprocess.run(
-        [sys.executable, "-c", told],
+        [sys.executable, "-c", script],
         env={"CRANEBANK_NODE_FILE": str(tmp_path / "none")},
         cwd=Path(__file__).parent.parent,
         capture_output=True,
@@ -185,9 +185,9 @@
     monkeypatch.chdir(tmp_path)
     Path("boot.yaml").write_text(text)
     code = command.main(["check-settings", "boot.yaml"])
-    told = capsys.readouterr()
-    assert (code, told.out, told.err) == snapshot
-    assert told.err.count("\n") == (1 if code else 0)
+    output = capsys.readouterr()
+    assert (code, output.out, output.err) == snapshot
+    assert output.err.count("\n") == (1 if code else 0)
 
 
 @pytest.mark.parametrize(
@@ -217,9 +217,9 @@
     Path("current.json").write_bytes(body(document(revision=7)))
     Path("broken.json").write_bytes(b"[]")
     code = command.main(["check-configuration", "sent.json", *words.split()])
-    told = capsys.readouterr()
-    assert (code, told.out, told.err) == snapshot
-    assert told.err.count("\n") == (1 if code else 0)
+    output = capsys.readouterr()
+    assert (code, output.out, output.err) == snapshot
+    assert output.err.count("\n") == (1 if code else 0)
 
 
 def test_show(capsys: pytest.CaptureFixture[str], snapshot: SnapshotAssertion) -> None:
@@ -235,17 +235,19 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "answer", "said"),
+    ("status", "answer", "expected"),
     [
         (503, b"{}", "expected a controller's status, got 503"),
         (200, b"{}", "expected a controller's status: Object"),
         (200, b"<html>", "expected a controller's status: JSON is malformed"),
     ],
 )
-def test_show_what_is_no_controller(status: int, answer: bytes, said: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_show_what_is_no_controller(
+    status: int, answer: bytes, expected: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     with answering(status, answer) as address:
         assert command.main(["show", address]) == 2
-    assert capsys.readouterr().err.startswith(f"{address}: {said}")
+    assert capsys.readouterr().err.startswith(f"{address}: {expected}")
 
 
 @pytest.mark.parametrize("address", ["nowhere", "127.0.0.1:x", "127.0.0.1:0", "127.0.0.1:70000", "127.0.0.1:1"])
@@ -257,11 +259,11 @@
 def test_backup_and_restore(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], snapshot: SnapshotAssertion
 ) -> None:
-    """Only what was committed comes back: no id, no votes, no value that may never have been acknowledged."""
+    """Only the committed configuration is restored: no id, no votes, no value that may never have been acknowledged."""
     monkeypatch.chdir(tmp_path)
     data_folder(Path("data"), revision=8, committed=7)
     with Path("data/custody").open("ab") as file:
-        file.write(encode_batch(2, custody_values(9, 9))[:-3])  # a write under way
+        file.write(encode_batch(2, custody_values(9, 9))[:-3])  # an incomplete write
     before = Path("data/custody").read_bytes()
     assert command.main(["backup", "data", "copy"]) == 0
     assert Path("data/custody").read_bytes() == before
@@ -290,9 +292,9 @@
     Path("uncommitted").write_bytes(encode_batch(1, {"id": b"10.1.0.1"}))
     for name in ("cut", "turned", "other", "uncommitted", "none"):
         assert command.main(["restore", name, "new"]) == 2
-    told = capsys.readouterr()
-    assert told.out == ""
-    assert told.err == snapshot
+    output = capsys.readouterr()
+    assert output.out == ""
+    assert output.err == snapshot
     assert not Path("new").exists()
     before = Path("data/custody").read_bytes()
     for number in (1, 2):
@@ -325,7 +327,7 @@
     assert made.record is None
     assert made.status(0.0).revision == 0
     anew = ConsensusReplica(ConsensusSettings("10.1.0.1", ("10.1.0.1",), True, 1), values, Random(1), 0.0)
-    assert (anew.id, anew.state) == ("10.1.0.1", State.FOLLOWER)  # only where the settings say that all begin anew
+    assert (anew.id, anew.state) == ("10.1.0.1", State.FOLLOWER)  # only if the settings say that all start afresh
 
 
 def test_a_restored_controller_hands_out_the_configuration(tmp_path: Path) -> None:
@@ -337,7 +339,7 @@
 
     async def story() -> None:
         controller = await make_controller(settings, lambda: settings)
-        told = controller.overview()
-        assert (told["revision"], told["epoch"], told["is_primary"]) == (7, -1, False)
+        status = controller.overview()
+        assert (status["revision"], status["epoch"], status["is_primary"]) == (7, -1, False)
 
     asyncio.run(story())
--- a/tests/test_tallies_program.py
+++ b/tests/test_tallies_program.py
@@ -1,4 +1,4 @@
-"""Tallies over real controllers: sockets, links between them and disks."""
+"""Tallies on real controllers: sockets, links between controllers, and disks."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @asynccontextmanager
 async def fleet(folder: Path, ports: Ports, ips: Sequence[str], is_first: bool) -> AsyncIterator[list[Controller]]:
-    """Controllers that run, each with a disk of its own."""
+    """Run controllers, each with its own disk."""
     async with AsyncExitStack() as ends:
         made = []
         for ip in ips:
@@ -59,7 +59,7 @@
 
 
 async def total(ports: Ports, ip: str, tally: str) -> int | None:
-    """Read a tally at a controller; None where it isn't told."""
+    """Read a tally at a controller; None if it has no total yet."""
     async with caller(ports, ip) as client:
         status, _, body = await client.call("GET", f"/api/Tallies.Read/{tally}")
     return json.loads(body)["total"] if status == 200 else None
@@ -89,7 +89,7 @@
 
 
 class HangingDisk:
-    """A disk that refuses or holds up all writes."""
+    """A disk that refuses or blocks all writes."""
 
     def __init__(self, refuses: bool) -> None:
         self.refuses = refuses
@@ -100,12 +100,12 @@
         await asyncio.Event().wait()
 
     async def close(self) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
 @asynccontextmanager
 async def lone(ports: Ports, disk: Storage) -> AsyncIterator[Controller]:
-    """A controller without others, with this disk for its tallies."""
+    """Run a single controller with this disk for its tallies."""
     settings = controller_settings(ONE, ports)
     made = Controller(
         msgspec.structs.replace(settings, is_first_start=True),
--- a/tests/test_timing.py
+++ b/tests/test_timing.py
@@ -24,8 +24,8 @@
 def test_a_bound_that_is_too_tight_is_described(requirement: TimingRequirement) -> None:
     in_unit = timing.MS_PER_S if requirement.bound.endswith("_ms") else 1.0
     tight = msgspec.structs.replace(Bounds(), **{requirement.bound: requirement.takes_s * in_unit * ONE_BEYOND})
-    told = [line for role in ROLES for line in timing.unmet(tight, role)]
-    assert requirement.describe(tight) in told
+    lines = [line for role in ROLES for line in timing.unmet(tight, role)]
+    assert requirement.describe(tight) in lines
 
 
 def test_every_bound_on_time_that_the_control_side_is_judged_by_is_covered() -> None:
@@ -41,6 +41,6 @@
         encoding="utf-8",
     )
     assert command.main(["check-settings", str(path)]) == 0
-    told = capsys.readouterr().out.splitlines()[1:]
-    assert told and all("bounds.drain_ms: 0.5 s is less than" in line for line in told)
-    assert {line.partition(":")[0] for line in told} == {"edge", "control"}
+    lines = capsys.readouterr().out.splitlines()[1:]
+    assert lines and all("bounds.drain_ms: 0.5 s is less than" in line for line in lines)
+    assert {line.partition(":")[0] for line in lines} == {"edge", "control"}
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,4 @@
-"""Who goes first where not all can be served: by what one more answer adds to the goal that the settings state."""
+"""The order of requests under overload: by what another answer adds to the goal stated in the settings."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 
 
 def one_at_a_time(drive: Drive, **changes: object) -> Driver:
-    """A copy whose only host carries one call, and that has answered some: what comes more is held."""
+    """Return a driver whose only host takes one call at a time and has a history of answers; further requests are
+    held."""
     d = drive(classes=CLASSES, worth_by_work=True, **changes)
     d.listed(["a"])
     d.serve(20, step=20.0)
@@ -28,11 +29,12 @@
 
 
 def served_first(d: Driver, *held: tuple[int, bool]) -> list[int]:
-    """Hold one request of each (class, whether a client's repeat) behind another; return in which order they go."""
+    """Hold one request of each (class, whether a client's repeat) behind another; return the order in which they are
+    sent."""
     d.balancer.limit = 1.0
     first, _ = d.request()
     names = []
-    for index, again in held:  # each a little later: among equals the newest goes first
+    for index, again in held:  # each a little later, as the newest of equals goes first
         d.now += 1.0
         names.append(d.request(index, resubmitted=again)[0])
     d.result(first)
@@ -46,9 +48,9 @@
 @pytest.mark.parametrize(
     ("held", "order"),
     [
-        (((0, False), (0, True)), [0, 1]),  # of one class: the first try, though the repeat came last
-        (((0, True), (1, True)), [0, 1]),  # of two repeats the one that is worth more late
-        (((0, False), (2, True)), [1, 0]),  # a repeat that is worth more late than the other is in time
+        (((0, False), (0, True)), [0, 1]),  # same class: the first attempt, although the repeat came last
+        (((0, True), (1, True)), [0, 1]),  # two repeats: the one that is worth more when late
+        (((0, False), (2, True)), [1, 0]),  # a late repeat that is worth more than the other request in time
     ],
 )
 def test_a_clients_repeat_ranks_by_its_late_worth(
@@ -61,10 +63,10 @@
 def test_the_class_that_fares_worst_goes_first_where_the_goal_counts_it(
     drive: Drive, share: float, layer: int, first: int
 ) -> None:
-    """Clients stand before the first tier: what a class gets there is no deeper tier's to make good."""
+    """Clients call only the first tier, so only there the service of a class counts towards the goal."""
     d = one_at_a_time(drive, worst_class_share=share, layer=layer)
     stuck, _ = d.request()
-    for _ in range(20):  # all of class 0 go unserved, all of class 2 are served
+    for _ in range(20):  # all requests of class 0 go unserved, all of class 2 are served
         d.request(0, left=1.0)
     d.result(stuck)
     for _ in range(20):
@@ -106,7 +108,7 @@
         "RepeatWindow": 0.0,
         "Worth": 1.0,
     }
-    told = {
+    platform = {
         "Balancers": 2,
         "Zone": 0,
         "Quantum": 5.0,
@@ -117,7 +119,7 @@
         "Rules": {"ColdFrom": 0.3, "WarmAfter": 9000.0, "FallMultiple": 4.0, "OverloadFor": 3000.0},
     }
     mix = {"Whole": 0.4, "WorstClass": 0.3, "WorstWindow": 0.2}
-    assert to_decision_settings(convert_checked(told, PlatformSettings, "settings")).worst_class_share == 0.0
+    assert to_decision_settings(convert_checked(platform, PlatformSettings, "settings")).worst_class_share == 0.0
     assert to_decision_settings(
-        convert_checked(told | {"ScoringMix": mix}, PlatformSettings, "settings")
+        convert_checked(platform | {"ScoringMix": mix}, PlatformSettings, "settings")
     ).worst_class_share == pytest.approx(0.75)
