--- a/cranebank/cli/lab.py
+++ b/cranebank/cli/lab.py
@@ -16,7 +16,7 @@
     from cranebank.lab.load import Progress
     from cranebank.lab.results import Result
 
-EXIT_FOUND = 1
+EXIT_PROBLEM_FOUND = 1
 FOLDER = "lab-results"  # default folder of results
 
 
@@ -40,7 +40,7 @@
     return checked
 
 
-def stamp() -> str:
+def timestamp() -> str:
     """Return the current time for use in folder names."""
     return time.strftime("%Y%m%d-%H%M%S")
 
@@ -75,9 +75,10 @@
 
 
 def _progress(seconds: float) -> Callable[[Progress], None]:
-    def show(at: Progress) -> None:
+    def show(progress: Progress) -> None:
         click.echo(
-            f"{at.at:5.1f} of {seconds:g} s: {at.offered} offered, {at.served} served, {at.unserved} unserved",
+            f"{progress.at:5.1f} of {seconds:g} s: "
+            f"{progress.offered} offered, {progress.served} served, {progress.unserved} unserved",
             err=True,
         )
 
@@ -109,7 +110,7 @@
     page = out / "report.html"
     report.write(page, report.run_page(scenario, result))
     click.echo(f"report: {page}")
-    return 0 if result.verdict.kept and result.usable else EXIT_FOUND
+    return 0 if result.verdict.kept and result.usable else EXIT_PROBLEM_FOUND
 
 
 @click.command()
@@ -123,7 +124,7 @@
     Example: cranebank demo --seed 7
     """
     path = Path(__file__).parents[1] / "lab" / ("demo_small.toml" if small else "demo.toml")
-    return _play(path, out or Path(FOLDER) / f"demo-{stamp()}", {"seed": seed})
+    return _play(path, out or Path(FOLDER) / f"demo-{timestamp()}", {"seed": seed})
 
 
 @click.command()
@@ -139,7 +140,7 @@
     from cranebank.lab.plan import read_scenario  # noqa: PLC0415
     from cranebank.lab.run import Run  # noqa: PLC0415
 
-    folder = out or Path(FOLDER) / f"emulate-{stamp()}"
+    folder = out or Path(FOLDER) / f"emulate-{timestamp()}"
     asyncio.run(Run(read_scenario(scenario), folder, scenario.parent).emulate(seconds, click.echo))
     return 0
 
@@ -197,7 +198,7 @@
     )
     if not result.usable:
         click.echo(f"NO RESULT: {result.why_not}")
-    return 0 if result.usable else EXIT_FOUND
+    return 0 if result.usable else EXIT_PROBLEM_FOUND
 
 
 def _address(text: str) -> tuple[str, int]:
@@ -234,13 +235,13 @@
 
     if resume and out is None:
         raise click.UsageError("--resume: expected --out, the folder to go on with")
-    folder = out or Path(FOLDER) / f"{file.stem}-{stamp()}"
+    folder = out or Path(FOLDER) / f"{file.stem}-{timestamp()}"
     if kind_of(str(file)) == "scenario":
         return _play(file, folder, {} if seed is None else {"seed": seed}, on)
     unusable = experiment.run(file, folder, resume, click.echo, on)
     found = experiment.rows(folder)
     click.echo(f"results: {folder}")
-    return EXIT_FOUND if unusable or any(not row.result.verdict.kept for row in found) else 0
+    return EXIT_PROBLEM_FOUND if unusable or any(not row.result.verdict.kept for row in found) else 0
 
 
 @lab.command()
@@ -294,7 +295,7 @@
         for d in found
     ]
     show_table("B less A", ("run", "figure", "A", "B", "difference", "95% interval", "pairs", ""), rows)
-    return EXIT_FOUND if any(d.worse for d in found) else 0
+    return EXIT_PROBLEM_FOUND if any(d.worse for d in found) else 0
 
 
 @lab.command()
@@ -313,7 +314,7 @@
 
     from cranebank.lab import experiment  # noqa: PLC0415
 
-    folder = out or Path(FOLDER) / f"validate-{stamp()}"
+    folder = out or Path(FOLDER) / f"validate-{timestamp()}"
     say = (lambda _: None) if as_json else click.echo
     for on in ("sockets", "simulated"):
         experiment.run(file, folder / on, True, say, on)
@@ -337,7 +338,7 @@
                 for m in found
             ),
         )
-    return 0 if found and all(m.near for m in found) else EXIT_FOUND
+    return 0 if found and all(m.near for m in found) else EXIT_PROBLEM_FOUND
 
 
 @lab.command()
@@ -391,7 +392,7 @@
     if plots is not None:
         pages.write(plots, pages.paper_page(*check.curves(runs=runs)))
         click.echo(f"plots: {plots}", err=True)
-    return EXIT_FOUND if any(c.paper and abs(c.gap / c.paper - 1) > 0.05 for c in cells) else 0
+    return EXIT_PROBLEM_FOUND if any(c.paper and abs(c.gap / c.paper - 1) > 0.05 for c in cells) else 0
 
 
 @lab.command()
@@ -410,8 +411,8 @@
     """
     from cranebank.lab.simulated.hunt import hunt as search  # noqa: PLC0415
 
-    found = search(minutes * 60, first, out or Path(FOLDER) / f"hunt-{stamp()}", click.echo)
-    return EXIT_FOUND if any(f.breaches for f in found) else 0
+    found = search(minutes * 60, first, out or Path(FOLDER) / f"hunt-{timestamp()}", click.echo)
+    return EXIT_PROBLEM_FOUND if any(f.breaches for f in found) else 0
 
 
 @lab.command(name="list")
@@ -501,4 +502,4 @@
         )
     for path, count in sorted(found.unread.items()):
         click.echo(f"{path}: {count} lines that no proxy wrote, skipped", err=True)
-    return 0 if lines else EXIT_FOUND
+    return 0 if lines else EXIT_PROBLEM_FOUND
--- a/cranebank/cli/main.py
+++ b/cranebank/cli/main.py
@@ -17,7 +17,7 @@
 from cranebank.cli.system import system
 from cranebank.config.checks import ConfigError
 
-EXIT_FOUND, EXIT_UNUSABLE = 1, 2
+EXIT_PROBLEM_FOUND, EXIT_UNUSABLE = 1, 2
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
@@ -95,7 +95,7 @@
         return _fail(str(error))
     except (click.Abort, KeyboardInterrupt):
         click.echo("cranebank: stopped", err=True)
-        return EXIT_FOUND
+        return EXIT_PROBLEM_FOUND
     return done if isinstance(done, int) else 0
 
 
--- a/cranebank/cli/system.py
+++ b/cranebank/cli/system.py
@@ -7,7 +7,7 @@
 
 import click
 
-from cranebank.cli.lab import EXIT_FOUND, FOLDER, needs_lab, show_table, stamp
+from cranebank.cli.lab import EXIT_PROBLEM_FOUND, FOLDER, needs_lab, show_table, timestamp
 
 DAY_NAMES = ("demo", "tallies", "cold", "evacuation")
 
@@ -73,7 +73,7 @@
     from cranebank.fleetlab import day, judge, report  # noqa: PLC0415
 
     plan = msgspec.structs.replace(day.SHORT if small else day.DAYS[day_name], seed=seed)
-    folder = out or Path(FOLDER) / f"system-{stamp()}"
+    folder = out or Path(FOLDER) / f"system-{timestamp()}"
     played = folder / "processes"  # emptied, as a day begins with empty disks
     shutil.rmtree(played, ignore_errors=True)
     played.mkdir(parents=True)
@@ -95,7 +95,7 @@
     page = folder / "report.html"
     report.write(page, report.day_page(record, verdict))
     click.echo(f"report: {page}")
-    return 0 if verdict.kept and not record.exits else EXIT_FOUND
+    return 0 if verdict.kept and not record.exits else EXIT_PROBLEM_FOUND
 
 
 def _seeds(text: str) -> list[int]:
@@ -140,10 +140,10 @@
     else:
         plans = [soak_plan.draw(seed, msgspec.structs.replace(options, kinds=kinds)) for seed in _seeds(seeds)]
         wanted = kinds if len(plans) >= len(kinds) else ()
-    folder = out or Path(FOLDER) / f"soak-{stamp()}"
+    folder = out or Path(FOLDER) / f"soak-{timestamp()}"
     report = campaign.run(plans, jobs, folder, wanted, lambda line: click.echo(line, err=True))
     (folder / "report.json").write_bytes(msgspec.json.format(msgspec.json.encode(report)))
     for line in campaign.describe(report):
         click.echo(line)
     click.echo(f"results: {folder}")
-    return 0 if report.is_passed else EXIT_FOUND
+    return 0 if report.is_passed else EXIT_PROBLEM_FOUND
--- a/cranebank/programs/control.py
+++ b/cranebank/programs/control.py
@@ -32,8 +32,7 @@
 
 
 async def _open_disk(settings: NodeSettings, name: str) -> tuple[Mapping[str, bytes], Storage, bool]:
-    """Open a file on the disk, retrying while the disk fails; return its values, the storage, and whether it was
-    damaged."""
+    """Open a file, retrying while the disk fails; return its values, the storage, and whether it was damaged."""
     if settings.data_dir is None:
         return {}, NoDisk(), False
     from cranebank.storage.store import AsyncStore, open_store  # noqa: PLC0415
--- a/cranebank/programs/controller.py
+++ b/cranebank/programs/controller.py
@@ -128,7 +128,7 @@
         self._is_retiring = True
         self._driver.feed(events.Retire())
         successor_by = self.now() + SUCCESSOR_TIMEOUT_S
-        await self._wait_until(lambda: self._may_end(successor_by), self._handover_s())
+        await self._wait_until(lambda: self._may_shut_down(successor_by), self._handover_s())
         self._api.stop()
         await self._wait_until(lambda: self._api.is_idle, OPEN_CALLS_TIMEOUT_S)
         self.stage_balancer_driver.stop()
@@ -152,7 +152,7 @@
             self._settings.bounds.grace_s - OPEN_CALLS_TIMEOUT_S - FINAL_WRITE_TIMEOUT_S - SHUTDOWN_MARGIN_S,
         )
 
-    def _may_end(self, successor_by: float) -> bool:
+    def _may_shut_down(self, successor_by: float) -> bool:
         now = self.now()
         return self._consensus.may_shut_down(now) and (self._has_successor() or now >= successor_by)
 
@@ -308,12 +308,12 @@
     def _publish_evacuations(self) -> None:
         """Send the evacuated zones of the newest known record to linked proxies, if they have changed."""
         status = self._consensus.status(self.now())
-        before = self._delivery.evacuations
-        if status.evacuation_number <= before.number:
+        previous = self._delivery.evacuations
+        if status.evacuation_number <= previous.number:
             return
         self._delivery.update_evacuations(status.evacuation_number, status.evacuated)
         send_deliveries(self._delivery)
-        for zone in sorted({*before.zones} - {*status.evacuated}):
+        for zone in sorted({*previous.zones} - {*status.evacuated}):
             self._registry_service.zone_returned(zone)
 
     def leadership_changed(self, is_primary: bool) -> None:
--- a/cranebank/programs/controller_links.py
+++ b/cranebank/programs/controller_links.py
@@ -78,7 +78,7 @@
 
 def send_deliveries(delivery: Delivery) -> None:
     """Send the messages that the delivery core has queued; a message to many links is encoded once."""
-    same, frame = None, b""
+    last_message, frame = None, b""
     records, encoded = None, msgspec.Raw()
     for link, message in delivery.pop_messages():
         assert isinstance(link, Link)
@@ -87,6 +87,6 @@
                 records, encoded = message.backends, encode_items(message.backends)
             link.send_frame(encode(EncodedPush(message.number, encoded)))
             continue
-        if message is not same:
-            same, frame = message, encode(message)
+        if message is not last_message:
+            last_message, frame = message, encode(message)
         link.send_frame(frame)
--- a/cranebank/programs/controller_protocol.py
+++ b/cranebank/programs/controller_protocol.py
@@ -66,14 +66,14 @@
 
     def link_up(self, link: Link) -> None:
         """Handle a connection that has come up; the side that dialled sends Hello."""
-        link.make_heartbeat = self._pulse
+        link.make_heartbeat = self._make_heartbeat
         if not link.dialled:
             return
         self._links.add(link)
         settings = self.settings
         revision = self._delivery.revision
         link.send(Hello(settings.node_name, "controller", settings.ip, settings.zone, self._life, revision))
-        link.send(self._registry.whole())
+        link.send(self._registry.full_sync())
         self._tallies.link_changed(link.peer)
 
     def link_down(self, link: Link) -> None:
@@ -113,7 +113,7 @@
             case TallyAdds() | TallyVector() | TallyBase():
                 self._tallies.receive(link.peer, message)
             case Hello():
-                self._greet(link, message)
+                self._handle_hello(link, message)
             case _:
                 pass
         send_deliveries(self._delivery)
@@ -129,11 +129,11 @@
         self._delivery.update_controllers(known)
         self._links.dial(self, known)
 
-    def _pulse(self) -> LinkHeartbeat:
+    def _make_heartbeat(self) -> LinkHeartbeat:
         now, revision = self._now(), self._delivery.revision
         return LinkHeartbeat(revision, self._driver.is_current(now, revision), self._consensus.status(now).epoch)
 
-    def _greet(self, link: Link, hello: Hello) -> None:
+    def _handle_hello(self, link: Link, hello: Hello) -> None:
         is_proxy = hello.role != "controller"
         records = self._registry.merge_proxy_records(hello.backends) if is_proxy else ()
         older = self._delivery.join(self._now(), link, hello.name, link.peer, is_proxy, hello.revision, records)
@@ -143,7 +143,7 @@
             return
         self._driver.feed(events.ZoneReported(link.peer, self.settings.failure_domain(hello.zone)))
         self._links.add(link)
-        link.send(self._registry.whole())
+        link.send(self._registry.full_sync())
         controllers = tuple(sorted(self.known_controllers()))
         link.send(Welcome(self.settings.node_name, controllers, len(self._delivery.proxies)))
         self._tallies.link_changed(link.peer)
--- a/cranebank/programs/edge.py
+++ b/cranebank/programs/edge.py
@@ -49,9 +49,9 @@
 
     def configure(self, document: bytes) -> bool:
         """Apply a configuration; return whether it was accepted."""
-        before = self._proxy.revision
+        previous = self._proxy.revision
         taken = self._proxy.configure(document)
-        if self.neighbours is not None and self._proxy.revision > before:
+        if self.neighbours is not None and self._proxy.revision > previous:
             self.document = document
         return taken
 
@@ -231,7 +231,7 @@
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             try:
                 self._maintain_links()
-            except Exception as error:  # the loop must go on
+            except Exception as error:  # a failure must not end the loop
                 background.report_unhandled("housekeeping", error)
 
     def _maintain_links(self) -> None:
--- a/cranebank/programs/local_state.py
+++ b/cranebank/programs/local_state.py
@@ -30,7 +30,7 @@
 
 
 class Storage(Protocol):
-    """Storage of the consensus core's state."""
+    """Durable storage of a controller's values."""
 
     async def put(self, values: Mapping[str, bytes]) -> None:
         """Store values durably before returning. Raises DiskRefused."""
--- a/cranebank/programs/registry_service.py
+++ b/cranebank/programs/registry_service.py
@@ -56,21 +56,21 @@
         self._ip = settings.ip
         self._now, self._consensus, self._links = now, consensus, links
         self._delivery, self._local_state = delivery, local_state
-        began = now()
-        self.registry = Registry(began, settings.beat_ms / 1000)
-        self.registry.restore(began, stored_backends)
+        started_at = now()
+        self.registry = Registry(started_at, settings.beat_ms / 1000)
+        self.registry.restore(started_at, stored_backends)
         self._replication = RegistryReplication(settings.ip)
         self._relay = RegistryRelay(delivery, random)
         self._seed_ips = settings.seed_ips
         bounds = settings.bounds
         self._permits = PermitIssuer(
-            began, random, settings.ip, settings.tolerance.machines, RateBound(bounds.cold_over, bounds.cold_slack)
+            started_at, random, settings.ip, settings.tolerance.machines, RateBound(bounds.cold_over, bounds.cold_slack)
         )
         self._limits_revision = 0  # revision of the configuration that the limits were read from
         self._endings: dict[str, PendingAcks] = {}
-        self._published_at = began - PUSH_BATCH_S
+        self._published_at = started_at - PUSH_BATCH_S
         self._synced_at = 0.0
-        self._last_tick_at = self._last_connected_at = began
+        self._last_tick_at = self._last_connected_at = started_at
 
     def publish(self, at_once: bool = True) -> None:
         """Send changes of the registry to proxies and controllers.
@@ -115,8 +115,7 @@
             self._relay.send(ip, sync)
 
     def merge(self, link: Link, sync: RegistrySync) -> None:
-        """Apply another controller's records and push changes; acknowledge drains and leaves once they are on this
-        disk."""
+        """Apply another controller's records and push changes; acknowledge drains and leaves once they are stored."""
         self._apply_sync(link.peer, sync)
         if sync.number and self.registry.has_ended(sync.backends):
             self._local_state.start_task(self._write_and_acknowledge(link, sync.number))
@@ -162,7 +161,7 @@
         self.publish()
         return (*self.registry.as_of(now, self.registry.all_records()), *unconfirmed)
 
-    def whole(self) -> RegistrySync:
+    def full_sync(self) -> RegistrySync:
         """Return all records, as sent at the start of a connection to a controller."""
         records = self.registry.as_of(self._now(), self.registry.all_records())
         return RegistrySync(records, (), self._replication.number)
@@ -216,7 +215,7 @@
         if other is None:
             self._replication.forget(ip)
         else:
-            other.send(self.whole())
+            other.send(self.full_sync())
         return other
 
     def acknowledged(self, ip: str, number: int) -> None:
@@ -298,11 +297,11 @@
     if acks.done:
         return
     future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-    before = acks.on_done
+    previous = acks.on_done
 
     def done() -> None:
-        if before is not None:
-            before()
+        if previous is not None:
+            previous()
         if not future.done():
             future.set_result(None)
 
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -153,9 +153,9 @@
                 await endings_are_unconfirmed(controllers, survivor)
                 ready = await controllers.call(survivor, "POST", "/api/Servers.Heartbeat/i-2", beat(1))
                 assert ready[0] == 200
-                assert not published(await kept.until_pulses(3))
+                assert not published(await kept.until_heartbeats(3))
                 async with proxy(ports, survivor) as restarted:  # its link replaces that of the first proxy
-                    assert not published(await restarted.until_pulses(3))
+                    assert not published(await restarted.until_heartbeats(3))
                     controllers.signal(signal.SIGCONT, others)
                     assert (await restarted.next(ConfigPush)).revision == 7
             for path, sent in ENDINGS:
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -166,7 +166,7 @@
             pass
         return message
 
-    async def until_pulses(self, count: int) -> list[Message]:
+    async def until_heartbeats(self, count: int) -> list[Message]:
         """Return all messages up to the given number of heartbeats."""
         seen: list[Message] = []
         while sum(isinstance(message, LinkHeartbeat) for message in seen) < count:
@@ -507,7 +507,7 @@
             assert isinstance(consensus, SingleNodeConsensus) and consensus.is_in_contact
             consensus.current = 8, b"", b""
             async with proxy(ports) as edge:
-                seen = await edge.until_pulses(2)
+                seen = await edge.until_heartbeats(2)
                 assert not any(isinstance(message, ConfigPush) for message in seen)
                 assert seen[-1] == LinkHeartbeat(7, is_current=False, epoch=1)
                 consensus.current = 7, b"", b""
@@ -661,7 +661,7 @@
         await made.start()
         try:
             async with proxy(ports) as edge:
-                seen = await edge.until_pulses(3)
+                seen = await edge.until_heartbeats(3)
                 assert not any(isinstance(message, ConfigPush) for message in seen)
                 assert seen[-1] == LinkHeartbeat(7, is_current=False, epoch=-1)  # no epoch is known
                 assert not made.holds_lease()
