--- a/cranebank/programs/settings.py
+++ b/cranebank/programs/settings.py
@@ -26,11 +26,11 @@
 KNOWN_BINDS = frozenset({"front", "ready_addr", "control_addr"})
 Role = Literal["edge", "control"]
 ROLES: tuple[Role, ...] = ("edge", "control")
-NEEDED_BINDS: Mapping[Role, tuple[str, ...]] = {
+REQUIRED_BINDS: Mapping[Role, tuple[str, ...]] = {
     "edge": ("front", "ready_addr"),
     "control": (),
 }  # a controller binds the seeds' port by default
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 _INVALID_FIELD = re.compile(r"(?:Expected )?(?P<expected>.*) - at `(?:key` in `)?\$\.?(?P<key>.*)`")
 _MISSING_FIELD = re.compile(r"Object missing required field `(?P<key>[^`]*)`")
 
@@ -193,7 +193,7 @@
     if metrics_port:
         settings = msgspec.structs.replace(settings, metrics_listen_port=metrics_port)
         _check_addresses(settings, path)
-    for bind in NEEDED_BINDS[role] if role else ():
+    for bind in REQUIRED_BINDS[role] if role else ():
         if bind not in settings.binds:
             raise SettingsError(path, f"binds.{bind}", f"IP:PORT, which the role {role} needs")
     return settings
@@ -245,14 +245,14 @@
         _check_address(name, "seed_addrs", address)
     for key, address in settings.binds.items():
         _check_address(name, f"binds.{key}", address)
-    if not 0 <= settings.metrics_listen_port <= HIGHEST_PORT:
+    if not 0 <= settings.metrics_listen_port <= MAX_PORT:
         raise SettingsError(name, "metrics_listen_port", f"a port, or 0, got {settings.metrics_listen_port}")
-    if not 0 < settings.port_range[0] <= settings.port_range[1] <= HIGHEST_PORT:
+    if not 0 < settings.port_range[0] <= settings.port_range[1] <= MAX_PORT:
         raise SettingsError(name, "port_range", f"two ports in order, got {list(settings.port_range)}")
 
 
 def _check_address(name: str, key: str, address: str) -> None:
     host, _, port = address.rpartition(":")
     is_number = port.isascii() and port.isdigit()
-    if not host or not is_number or not 0 < int(port) <= HIGHEST_PORT:
+    if not host or not is_number or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(name, key, f"IP:PORT, got {address!r}")
--- a/cranebank/programs/stage_balancer_driver.py
+++ b/cranebank/programs/stage_balancer_driver.py
@@ -86,14 +86,14 @@
     if not document:
         return {}
     try:
-        read = _document_decoder.decode(document)
+        decoded = _document_decoder.decode(document)
     except msgspec.MsgspecError as error:
         logger.warning("cannot read the services of the configuration: {}", error)
         return {}
-    routed = {target.target for route in read.routes for target in (route, *route.branches)}
+    routed = {target.target for route in decoded.routes for target in (route, *route.branches)}
     return {
         service.name: Service(service.name, service.engine.switch_s)
-        for service in read.services
+        for service in decoded.services
         if service.engine is not None and service.name in routed
     }
 
@@ -133,7 +133,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Check the stages now and then every CHECK_INTERVAL_S."""
+        """Check the stages at once, and again every CHECK_INTERVAL_S."""
         self._timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.start)
         self._check()
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -175,7 +175,7 @@
         assert len(relays(alone)) > 5
 
 
-def test_the_rule_that_only_draining_binds_reaches_the_module() -> None:
+def test_that_removals_are_advisory_is_read_from_the_settings() -> None:
     pairs = SETTINGS.split("\t")
     assert wire.parse_settings(pairs).removals_are_advisory is False
     settings = wire.parse_settings(
@@ -193,7 +193,7 @@
         wire.parse_settings([*pairs, "Rules.DroppedStayOpen=perhaps"])
 
 
-def test_a_server_called_gone_is_still_sent_to_where_only_draining_binds() -> None:
+def test_a_removed_server_is_still_used_where_removals_are_advisory() -> None:
     gone = ["MANIFEST\t1\t1", "SERVER\t0\t0\t0\t1\tOUT\t-\ts:1", "ROSTER_CHANGE\t4\tchanges\t2\t1"]
     for setting, sends in (("\tRules.DroppedStayOpen=true", 1), ("", 0)):
         started = start(4)
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -90,7 +90,7 @@
     async def follow(
         self, method: str, path: str, sent: bytes = b"", base: int | None = None, ips: tuple[str, ...] = IPS
     ) -> tuple[Answer, str]:
-        """Make a call as an operator does, following redirects and retrying until the answer is clear; also return who
+        """Make a call as an operator does, with redirects and retries until the answer is clear; also return who
         answered."""
         ip, turn = ips[0], 0
         while True:
@@ -134,8 +134,7 @@
 
 
 def cut_off(folder: Path, survivor_leads: bool) -> Callable[[tuple[int, int]], Awaitable[None]]:
-    """Return a story in which two of three controllers are suspended; the third is the primary if
-    ``survivor_leads``."""
+    """Return a story in which two of three controllers are suspended; ``survivor_leads``: the third is the primary."""
 
     async def story(ports: tuple[int, int]) -> None:
         async with three(folder, ports) as controllers:
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -735,7 +735,7 @@
     play(story)
 
 
-def test_three_controllers_with_the_custody(tmp_path: Path) -> None:
+def test_three_controllers_with_the_consensus_replica(tmp_path: Path) -> None:
     """They elect a primary, callers are redirected to it, and when it retires its successor has the configuration."""
     ips = (ONE, TWO, "127.0.11.3")
     sent = body(document(revision=7))
--- a/tests/test_durable_endings.py
+++ b/tests/test_durable_endings.py
@@ -42,11 +42,11 @@
         self.values |= values
 
     async def close(self) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
 class Core:
-    """Three members, and nothing else."""
+    """A consensus core that knows three members."""
 
     def status(self, now: float) -> Status:
         return Status("1", "follower", 1, "", "", False, (), IPS, 0)
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -52,8 +52,8 @@
 
 
 def test_whoever_is_let_in_as_the_listener_closes_is_heard(tmp_path: Path) -> None:
-    """The connection is accepted in one turn of the loop and its protocol created in the next, after the listener's
-    end."""
+    """The connection is accepted in one turn of the loop; the listener ends before its protocol is created in the
+    next."""
 
     async def story(s: ProxyHarness) -> None:
         host, _, port = s.url.removeprefix("http://").rpartition(":")
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -120,7 +120,7 @@
     run(story())
 
 
-def test_a_line_of_the_ring_tells_what_holds(
+def test_a_log_line_carries_the_state_of_the_process(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     from loguru import logger  # noqa: PLC0415
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -146,8 +146,7 @@
 
 
 def test_a_sighup_that_comes_while_it_reads_its_first_configuration_counts(tmp_path: Path) -> None:
-    """The configuration file is a pipe, so the signal arrives in the middle of the read. Then the next file is in its
-    place."""
+    """The configuration file is a pipe, so the signal arrives during the read; then the next file is in its place."""
 
     async def story() -> None:
         host, old, new, pipe = UpstreamHost(), Discovery(), Discovery(), tmp_path / "config.json"
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -19,8 +19,7 @@
 
 
 def one_at_a_time(drive: Drive, **changes: object) -> Driver:
-    """Return a driver whose only host takes one call at a time and has a history of answers; further requests are
-    held."""
+    """Return a driver with a history of answers whose only host takes one call at a time; further requests are held."""
     d = drive(classes=CLASSES, worth_by_work=True, **changes)
     d.listed(["a"])
     d.serve(20, step=20.0)
@@ -29,8 +28,7 @@
 
 
 def served_first(d: Driver, *held: tuple[int, bool]) -> list[int]:
-    """Hold one request of each (class, whether a client's repeat) behind another; return the order in which they are
-    sent."""
+    """Hold one request of each (class, whether a client's repeat) behind another; return their order of sending."""
     d.balancer.limit = 1.0
     first, _ = d.request()
     names = []
