--- a/cranebank/programs/controller_protocol.py
+++ b/cranebank/programs/controller_protocol.py
@@ -1,8 +1,8 @@
-"""What a controller answers on its links, to proxies and to other controllers.
+"""A controller's side of its links to proxies and other controllers.
 
-Whoever dials says Hello. A proxy is welcomed and pushed all backends; another controller is sent the whole registry,
-and its numbered changes are acknowledged once they are taken and pushed on. Heartbeats tell the revision published
-here, whether that is known to be the newest by contact with a majority, and the newest epoch that is known.
+Whoever dials sends Hello first. A proxy gets a Welcome and all backends; another controller gets the whole registry,
+and its numbered changes are acknowledged once they are applied and pushed on. Heartbeats carry the revision published
+here, whether contact with a majority shows that it is the newest, and the newest known epoch.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class ControllerProtocol:
-    """The owner of all links of a controller. ``life`` is drawn at each start of the process."""
+    """The owner of all links of a controller. ``life`` is a random number drawn at each start of the process."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         publish: Callable[[int, bytes], None],
     ) -> None:
         """``publish`` takes a committed configuration that another controller passed on."""
-        self.settings = settings  # replaced when the settings file is read again
+        self.settings = settings  # replaced on reload
         self._life, self._now = life, now
         self._consensus, self._driver, self._links = consensus, driver, links
         self._delivery, self._registry, self._publish = delivery, registry, publish
@@ -65,19 +65,19 @@
         self.loads = LoadTable()
 
     def link_up(self, link: Link) -> None:
-        """A connection stands; whoever dialled says Hello."""
-        link.make_heartbeat = self._pulse
+        """Handle a connection that has come up; the side that dialled sends Hello."""
+        link.make_heartbeat = self._make_heartbeat
         if not link.dialled:
             return
         self._links.add(link)
         settings = self.settings
         revision = self._delivery.revision
         link.send(Hello(settings.node_name, "controller", settings.ip, settings.zone, self._life, revision))
-        link.send(self._registry.whole())
+        link.send(self._registry.full_sync())
         self._tallies.link_changed(link.peer)
 
     def link_down(self, link: Link) -> None:
-        """A connection is over."""
+        """Handle a connection that has gone down."""
         self._delivery.leave(link)
         self.loads.forget(link)
         self._registry.forget_clock(link)
@@ -88,7 +88,7 @@
             self._driver.feed(events.LinkDown(link.peer))
 
     def link_message(self, link: Link, message: Message) -> None:
-        """A message came."""
+        """Handle a message."""
         match message:
             case ConsensusEnvelope(body):
                 self._driver.receive(link, body)
@@ -113,27 +113,27 @@
             case TallyAdds() | TallyVector() | TallyBase():
                 self._tallies.receive(link.peer, message)
             case Hello():
-                self._greet(link, message)
+                self._handle_hello(link, message)
             case _:
                 pass
         send_deliveries(self._delivery)
 
     def known_controllers(self) -> set[str]:
-        """The IPs of all controllers that are known here, this one included."""
+        """Return the IPs of all controllers known here, including this one."""
         named = {self.settings.ip, *self.settings.seed_ips}
         return named | self._consensus.known_ips() | self._links.accepted_ips
 
     def dial(self) -> None:
-        """Dial all known controllers, and name them to proxies."""
+        """Dial all known controllers, and announce them to proxies."""
         known = self.known_controllers()
         self._delivery.update_controllers(known)
         self._links.dial(self, known)
 
-    def _pulse(self) -> LinkHeartbeat:
+    def _make_heartbeat(self) -> LinkHeartbeat:
         now, revision = self._now(), self._delivery.revision
         return LinkHeartbeat(revision, self._driver.is_current(now, revision), self._consensus.status(now).epoch)
 
-    def _greet(self, link: Link, hello: Hello) -> None:
+    def _handle_hello(self, link: Link, hello: Hello) -> None:
         is_proxy = hello.role != "controller"
         records = self._registry.merge_proxy_records(hello.backends) if is_proxy else ()
         older = self._delivery.join(self._now(), link, hello.name, link.peer, is_proxy, hello.revision, records)
@@ -143,7 +143,7 @@
             return
         self._driver.feed(events.ZoneReported(link.peer, self.settings.failure_domain(hello.zone)))
         self._links.add(link)
-        link.send(self._registry.whole())
+        link.send(self._registry.full_sync())
         controllers = tuple(sorted(self.known_controllers()))
         link.send(Welcome(self.settings.node_name, controllers, len(self._delivery.proxies)))
         self._tallies.link_changed(link.peer)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter end to end, as a subprocess on the wire."""
+"""The simulator's adapter end to end, as a subprocess on the wire."""
 
 from __future__ import annotations
 
@@ -175,10 +175,10 @@
         assert len(relays(alone)) > 5
 
 
-def test_the_rule_that_only_draining_binds_reaches_the_module() -> None:
+def test_that_removals_are_advisory_is_read_from_the_settings() -> None:
     pairs = SETTINGS.split("\t")
     assert wire.parse_settings(pairs).removals_are_advisory is False
-    told = wire.parse_settings(
+    settings = wire.parse_settings(
         [
             *pairs,
             "Rules.DroppedStayOpen=true",
@@ -187,13 +187,13 @@
             "Prices.Handshake=0.03",
         ]
     )
-    assert told.removals_are_advisory
-    assert (told.idle_after, told.shares_connections, told.handshake_price) == (30000.0, False, 0.03)
+    assert settings.removals_are_advisory
+    assert (settings.idle_after, settings.shares_connections, settings.handshake_price) == (30000.0, False, 0.03)
     with pytest.raises(wire.WireError, match="DroppedStayOpen: expected true or false"):
         wire.parse_settings([*pairs, "Rules.DroppedStayOpen=perhaps"])
 
 
-def test_a_server_called_gone_is_still_sent_to_where_only_draining_binds() -> None:
+def test_a_removed_server_is_still_used_where_removals_are_advisory() -> None:
     gone = ["MANIFEST\t1\t1", "SERVER\t0\t0\t0\t1\tOUT\t-\ts:1", "ROSTER_CHANGE\t4\tchanges\t2\t1"]
     for setting, sends in (("\tRules.DroppedStayOpen=true", 1), ("", 0)):
         started = start(4)
--- a/tests/test_durable_endings.py
+++ b/tests/test_durable_endings.py
@@ -1,4 +1,4 @@
-"""A confirmed drain or leave is on the disks of a majority, and outlasts a loss of all power."""
+"""A confirmed drain or leave is on the disks of a majority, and survives a power loss of the whole fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from cranebank.control.delivery import Delivery
 from cranebank.control.events import Status
 from cranebank.programs.controller_links import ControllerLinks
-from cranebank.programs.local_state import ENDED, KNOWN, LocalState, decode_registry_records
+from cranebank.programs.local_state import ENDINGS_KEY, REGISTRY_KEY, LocalState, decode_registry_records
 from cranebank.programs.registry_service import RegistryService
 from cranebank.programs.settings import NodeSettings
 from cranebank.storage.records import DiskRefused
@@ -28,7 +28,7 @@
 
 
 class SlowDisk:
-    """A disk whose writes last when they are let go, or are refused."""
+    """A disk whose writes wait until they are released, or are refused."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -42,11 +42,11 @@
         self.values |= values
 
     async def close(self) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
 
 class Core:
-    """Three members, and nothing else."""
+    """A consensus core that knows three members."""
 
     def status(self, now: float) -> Status:
         return Status("1", "follower", 1, "", "", False, (), IPS, 0)
@@ -66,7 +66,7 @@
 
 
 class OneLink:
-    """Links of which one stands."""
+    """Links with one connection up."""
 
     def __init__(self, link: RecordingLink) -> None:
         self.link = link
@@ -142,7 +142,7 @@
         if is_durable:
             disk.is_free.set()
         assert await service.confirm_ending("i", 0.1) == is_durable
-        assert not is_durable or ENDED in disk.values
+        assert not is_durable or ENDINGS_KEY in disk.values
 
     asyncio.run(story())
 
@@ -150,8 +150,8 @@
 def test_an_end_outlasts_what_was_known_before_it() -> None:
     ready = msgspec.structs.replace(DRAINING, phase="ready", call_seq=1)
     stored = {
-        ENDED: msgspec.msgpack.encode((DRAINING,)),
-        KNOWN: msgspec.msgpack.encode((ready,)),
+        ENDINGS_KEY: msgspec.msgpack.encode((DRAINING,)),
+        REGISTRY_KEY: msgspec.msgpack.encode((ready,)),
     }
     assert decode_registry_records(stored)[-1] == DRAINING
     assert decode_registry_records({}) == ()
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_a_confirmed_leave_is_known_after_a_loss_of_all_power_right_behind_it(seed: int) -> None:
-    """Controllers and proxies lose power in the instant of the acknowledgement; no backend beats any more."""
+    """Controllers and proxies lose power at the moment of the acknowledgement; no backend sends heartbeats any more."""
     world = World(seed, faults_s=12.0)
     world.add_backend(1, 0.6, 7.0 + 0.1 * seed)
     world.beat_s = 1.0
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures for scrapers: off unless asked for, bounded in names, in the text format."""
+"""Metrics for scrapers: disabled by default, with bounded names, in Prometheus's text format."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from cranebank.programs.__main__ import Options, _options
 from cranebank.programs.edge import Edge
 from cranebank.programs.log_ring import LogRing, install
-from cranebank.programs.settings import METRICS, NodeSettings, SettingsError, load, parse
+from cranebank.programs.settings import METRICS_VARIABLE, NodeSettings, SettingsError, load, parse
 
 LINE = re.compile(r'(# (HELP|TYPE) \w+ .+|\w+(\{\w+="\w+"\})? \d+)')
 TEXT = "node_name: n\nip: 127.0.0.1\nzone: z\nport_range: [7300, 7315]\nseed_addrs: ['127.0.0.1:8262']\n"
 
 
 def run(story: Any) -> None:
-    """Run a story on the programs' loop."""
+    """Run a story on the programs' event loop."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(asyncio.wait_for(story, 10))
 
 
 async def scrape(ip: str, port: int) -> str:
-    """What is told."""
+    """Return the metrics text."""
     reader, writer = await asyncio.open_connection(ip, port)
     writer.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     head, _, found = (await reader.read()).decode().partition("\r\n\r\n")
@@ -55,8 +55,8 @@
     ],
 )
 def test_off_unless_asked_for(more: str, variable: str, on: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setenv(METRICS, variable)
-    assert parse(TEXT + more).tells_metrics is on
+    monkeypatch.setenv(METRICS_VARIABLE, variable)
+    assert parse(TEXT + more).exposes_metrics is on
 
 
 def test_a_port_of_its_own_goes_before_the_range(tmp_path: Path) -> None:
@@ -83,12 +83,12 @@
         async with controller(tmp_path, ports) as made, proxy(ports), caller(ports) as client:
             assert (await client.call("POST", REPLACE, body(document(revision=7)), 0))[0] == 200
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat()))[0] == 200
-            exporter = metrics.Exporter(lambda: metrics.of_control(made))
+            exporter = metrics.Exporter(lambda: metrics.controller_metrics(made))
             port = free_port()
             await exporter.start(NodeSettings("n", ONE, "z", (port - 1, port), ("x:1",)))
             found = await scrape(ONE, port)
             exporter.stop()
-            # When the proxy of this test shows and acknowledges something is not said.
+            # These two depend on when the test's proxy acknowledges.
             assert re.sub(r"(lag|proxies_behind) \d+", r"\1 N", found) == snapshot
 
     run(story())
@@ -99,7 +99,7 @@
         port = free_port()
         edge = Edge(NodeSettings("n", "127.0.0.1", "z", (port - 1, port), ("127.0.0.1:1",)), with_neighbours=False)
         edge.proxy.counters.update(requests=9, served=5, replied_503=3, replied_504=1, reads=4, makes=7, repeats=2)
-        exporter = metrics.Exporter(lambda: metrics.of_edge(edge))
+        exporter = metrics.Exporter(lambda: metrics.edge_metrics(edge))
         await exporter.start(NodeSettings("n", "127.0.0.1", "z", (port - 1, port), ("x:1",)))
         assert await scrape("127.0.0.1", port) == snapshot
         exporter.stop()
@@ -120,7 +120,7 @@
     run(story())
 
 
-def test_a_line_of_the_ring_tells_what_holds(
+def test_a_log_line_carries_the_state_of_the_process(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     from loguru import logger  # noqa: PLC0415
