--- a/cranebank/control/consensus.py
+++ b/cranebank/control/consensus.py
@@ -1,7 +1,8 @@
-"""The consensus core as the control program uses it: a protocol that `ConsensusReplica` implements, as may tests.
+"""Interface between the control program and the consensus core.
 
-The core is a state machine free of I/O: it is told events and returns actions. What it answers is true at the time
-that it is asked for; before every answer that confirms or refuses it is asked again.
+``ConsensusReplica`` implements it; tests use their own implementations. The core is a state machine free of I/O that
+takes events and returns actions. A result holds only for the time passed in, so callers query the core again right
+before every answer that confirms or refuses something.
 """
 
 from __future__ import annotations
@@ -12,35 +13,35 @@
 
 
 class ConsensusCore(Protocol):
-    """A replica of the agreed configuration and of the record of who leads."""
+    """A replica of the configuration and of the epoch record, which names the primary."""
 
     @property
     def current(self) -> tuple[int, bytes, bytes] | None:
-        """The committed configuration: revision, document, digest; None unless primary and known."""
+        """Revision, document and digest of the committed configuration; None unless primary and known."""
 
     def handle(self, now: float, event: events.Event) -> list[events.Action]:
-        """What to do after an event."""
+        """Process an event and return the actions to perform."""
 
     def holds_lease(self, now: float) -> bool:
-        """Whether this is the primary, by a lease that still runs."""
+        """Return whether this replica is the primary and its lease has not expired."""
 
     def status(self, now: float) -> events.Status:
-        """Who is primary, and the rest."""
+        """Return the primary, the members and the revision as this replica knows them."""
 
     def known_ips(self) -> set[str]:
-        """All controllers that it knows of."""
+        """Return the addresses of all known controllers."""
 
     def in_contact(self, now: float) -> bool:
-        """Whether this is the primary under its lease, or was told by such a one within a lease's length."""
+        """Return whether this replica is the primary under its lease or heard from one within a lease's length."""
 
     def is_current(self, now: float, revision: int) -> bool:
-        """Whether this revision was the newest committed one at some time within the last lease's length."""
+        """Return whether this revision was the newest committed one at some time within the last lease's length."""
 
     def known_call(self, digest: bytes) -> int | None:
-        """The revision that a call put in force, from the committed table of calls."""
+        """Return the revision that a call put in force, from the committed call table."""
 
     def may_be_forgotten(self, revision: int) -> bool:
-        """Whether a call of this revision may have been taken and have fallen out of that table."""
+        """Return whether a call with this revision may have been applied and evicted from the call table."""
 
     def may_shut_down(self, now: float) -> bool:
-        """After Retire: whether nothing is left that another replica could take over."""
+        """Return whether a retiring replica has handed over all duties that another replica could take over."""
--- a/cranebank/control/consensus_file.py
+++ b/cranebank/control/consensus_file.py
@@ -1,9 +1,9 @@
-"""Copies of a controller's custody file, taken and put back beside the running system. Everything here blocks.
+"""Backup and restore of a controller's consensus file, next to the running system. All functions here block.
 
-A copy holds what the replica was then: its id, its votes and the value that it stored. None of that may come back: a
-replica under its old id with older votes would vote twice, and a value that it stored may never have been committed.
-So only the configuration last known to be committed is restored, and the process that starts on it is a new replica,
-just as on an empty disk; it hands that configuration to proxies that have none or an older one.
+A backup contains the replica's id, its votes and its stored value at that time. None of these may be restored: a
+replica under its old id with older votes would vote twice, and its stored value may never have been committed. So only
+the configuration last known to be committed is restored. The process that starts on it is a new replica, as on an empty
+disk; it sends that configuration to proxies that have none or an older one.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class ConsensusFileCode(enum.StrEnum):
-    """Codes of the errors below."""
+    """Codes of ConsensusFileError."""
 
     UNREADABLE = "unreadable"
     DAMAGED = "damaged"
@@ -34,7 +34,7 @@
 
 
 class ConsensusFileError(Exception):
-    """A copy that can't be taken or put back: ``code``, the path, and what was expected of it."""
+    """Raised when a backup or restore fails: ``code``, the path, and what was expected of it."""
 
     def __init__(self, code: ConsensusFileCode, path: Path, expected: str) -> None:
         super().__init__(f"{path}: {code.value}: expected {expected}")
@@ -42,23 +42,23 @@
 
 
 class ConsensusFileContents(msgspec.Struct, frozen=True):
-    """What a file holds. Revisions are 0 where there is none."""
+    """Contents of a consensus file. A revision is 0 where there is none."""
 
     replica: str
     epoch: int
     stored: int  # revision that the replica has stored, committed or not
     committed: int  # revision last known to be committed
-    document: bytes  # of ``committed``
+    document: bytes  # document of revision ``committed``
 
 
 def back_up(folder: Path, file: Path) -> ConsensusFileContents:
-    """Copy the custody file of a folder to a new file, the torn end of a write left out. Raises ConsensusFileError.
+    """Copy the consensus file of a folder to a new file, without a torn write at its end. Raises ConsensusFileError.
 
-    The process may run meanwhile: its file is only appended to, or replaced whole.
+    The controller may be running: it only appends to its file, or replaces it atomically.
     """
     source = folder / CONSENSUS_FILE
     data, contents = _read(source)
-    _told(source, contents)
+    _contents_of(source, contents)
     if file.exists():
         raise ConsensusFileError(ConsensusFileCode.EXISTS, file, "a path where there is no file yet")
     target = Folder(file.parent)
@@ -68,15 +68,15 @@
         target.sync_folder()
     except OSError as error:
         raise ConsensusFileError(ConsensusFileCode.UNREADABLE, file, f"a path that can be written: {error}") from None
-    return _whole(file)[1]
+    return _read_whole(file)[1]
 
 
 def restore(file: Path, folder: Path, replace: bool = False) -> ConsensusFileContents:
-    """Put the committed configuration of a copy into a folder, for a new replica. Raises ConsensusFileError.
+    """Write the committed configuration of a backup into a folder, for a new replica. Raises ConsensusFileError.
 
-    What stood there is kept beside it under another name.
+    An existing consensus file in the folder is kept under another name.
     """
-    contents, found = _whole(file)
+    contents, found = _read_whole(file)
     if not found.committed:
         raise ConsensusFileError(ConsensusFileCode.NOTHING_COMMITTED, file, "a configuration known to be committed")
     try:
@@ -93,7 +93,7 @@
         raise ConsensusFileError(
             ConsensusFileCode.UNREADABLE, folder, f"a folder that can be written: {error}"
         ) from None
-    return _whole(folder / CONSENSUS_FILE)[1]
+    return _read_whole(folder / CONSENSUS_FILE)[1]
 
 
 def _free_name(folder: Path) -> str:
@@ -118,14 +118,14 @@
     return data, contents
 
 
-def _whole(path: Path) -> tuple[Contents, ConsensusFileContents]:
+def _read_whole(path: Path) -> tuple[Contents, ConsensusFileContents]:
     data, contents = _read(path)
     if contents.good_length != len(data):
         raise ConsensusFileError(ConsensusFileCode.DAMAGED, path, f"whole records behind byte {contents.good_length}")
-    return contents, _told(path, contents)
+    return contents, _contents_of(path, contents)
 
 
-def _told(path: Path, contents: Contents) -> ConsensusFileContents:
+def _contents_of(path: Path, contents: Contents) -> ConsensusFileContents:
     values = contents.values
     try:
         chosen = msgspec.msgpack.decode(values["control"], type=DurableState).chosen if "control" in values else None
--- a/cranebank/control/consensus_replica.py
+++ b/cranebank/control/consensus_replica.py
@@ -1,12 +1,12 @@
-"""The replicated configuration and the record of who keeps it, as one I/O-free state machine.
+"""Consensus replica: the replicated configuration and its epoch record, as one I/O-free state machine.
 
-A primary, under a lease that a majority granted, stores a change on its own disk and on all copies that the epoch
-record names before it answers; witnesses keep only epochs. A takeover changes the record's primary and leaves its
-copies as they are: each of them holds all that was ever answered, so none is dropped before another holds it too. (A
-record that named the new primary alone could come into force when that one is cut off or gone already.)
+A primary, under a lease granted by a majority, stores a change on its own disk and on all copies that the epoch record
+names before it acknowledges the change; witnesses store only epoch records. A takeover changes the record's primary and
+keeps its copies: each of them holds every acknowledged change, so none is dropped before another member holds it too.
+(A record that named only the new primary could be chosen after that primary was cut off or lost.)
 
-The layers, lowest first: ``replica`` (identity, disk, who was heard), ``voter``, ``election``, ``primary``, and here
-the events, the queue of writes and the invariants. Times are seconds of a steady clock.
+The layers, lowest first: ``replica`` (identity, disk, liveness of peers), ``voter``, ``election``, ``primary``, and in
+this module the events, the queue of writes and the invariants. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
     State,
     Value,
 )
-from cranebank.control.election import RETIRED_PAUSE_S
+from cranebank.control.election import RETIRED_CANDIDACY_DELAY_S
 from cranebank.control.epochs import OrderIntent, ip_of
-from cranebank.control.primary import ASK_S, Primary
-from cranebank.control.replica import DISK_AGAIN_S, LEAVING_FRESH_S
+from cranebank.control.primary import LEASE_REQUEST_INTERVAL_S, Primary
+from cranebank.control.replica import DISK_RETRY_INTERVAL_S, LEAVING_TTL_S
 from cranebank.invariants import InvariantBroken
 
 __all__ = [
@@ -40,22 +40,22 @@
 ]
 
 CANDIDACY_TIMEOUT_S = 1.0  # after which a candidate gives up
-JOIN_INTERVAL_S = 0.3  # between asks to be admitted, or to be told of a newer record
-WRITE_TIMEOUT_S = 3.5  # in which a write is answered
-QUEUE = 64  # writes that wait
-REMEMBERED_S = 60.0  # addresses of replicas that were heard but aren't members
-MOST_STRANGERS = 64  # controllers that haven't asked to be admitted whose zones are kept, the newest
+JOIN_INTERVAL_S = 0.3  # between Join messages, which ask for admission or for a newer record
+WRITE_TIMEOUT_S = 3.5  # within which a write is answered
+MAX_QUEUED_WRITES = 64
+HEARD_RETENTION_S = 60.0  # how long replicas that are not members are remembered after their last message
+MAX_UNADMITTED_ZONES = 64  # zones kept of controllers that have not asked for admission, the newest ones
 
 
 class ConsensusReplica(Primary):
-    """One controller's part. Tell it events with `handle`; do the actions that it returns in their order."""
+    """The replica of one controller. `handle` takes events and returns the actions to perform, in order."""
 
     def fence(self) -> int:
-        """Return the number that fences off earlier primaries; to be used only while `holds_lease`."""
+        """Return the fencing number against earlier primaries; valid only while ``holds_lease`` is true."""
         return self._acceptor.epoch
 
     def status(self, now: float) -> ev.Status:
-        """Tell how things stand here."""
+        """Return the status of this replica."""
         record = self._acceptor.chosen
         primary = record.primary if record is not None else ""
         return ev.Status(
@@ -69,33 +69,33 @@
             members=record.members if record is not None else (),
             revision=self._value.revision,
             term=record.term if record is not None else -1,
-            intents=self._named_intents(),
+            intents=self._durable_intents(),
             evacuated=record.evacuated if record is not None else (),
             evacuation_number=record.evacuation_number if record is not None else 0,
         )
 
-    def _named_intents(self) -> tuple[OrderIntent, ...] | None:
-        """Return the intents that every successor will know of.
+    def _durable_intents(self) -> tuple[OrderIntent, ...] | None:
+        """Return the intents that every successor is certain to know.
 
-        A record that is proposed may be chosen already, and one without an intent that is wanted no more follows as
-        soon as another change of the record is over: an order that relied on such an intent would outlive it.
+        A proposed record may be chosen already, and a record without an intent that is no longer wanted follows as soon
+        as another change of the record is complete: an order relying on such an intent would outlive the intent.
         """
         record, leadership = self._acceptor.chosen, self._leadership
         if record is None or record.intents is None or leadership is None:
             return record.intents if record is not None else None
-        staying = record.intents
+        kept = record.intents
         if self._proposal is not None:
-            coming = (self._proposal.record or self._proposal.own).intents or ()
-            staying = tuple(intent for intent in staying if intent in coming)
+            proposed = (self._proposal.record or self._proposal.own).intents or ()
+            kept = tuple(intent for intent in kept if intent in proposed)
         wanted = leadership.wanted_intents
         if wanted is not None:
-            staying = tuple(intent for intent in staying if intent in wanted)
-        return staying
+            kept = tuple(intent for intent in kept if intent in wanted)
+        return kept
 
     # Events.
 
     def handle(self, now: float, event: ev.Event) -> list[ev.Action]:
-        """Take one event at a time of the steady clock; return what is to be done, in order."""
+        """Process one event at a time of the monotonic clock; return the actions to perform, in order."""
         self._now = now = max(now, self._now)
         self._actions = []
         if isinstance(event, ev.Received):
@@ -105,10 +105,10 @@
         elif isinstance(event, ev.Persisted):
             self._persisted(event.token)
         elif isinstance(event, ev.PersistFailed):
-            if event.token in self._waiting:
-                self._waiting[event.token].again_at = now + DISK_AGAIN_S
+            if event.token in self._writes_in_flight:
+                self._writes_in_flight[event.token].retry_at = now + DISK_RETRY_INTERVAL_S
         elif isinstance(event, ev.LinkDown):
-            self._down |= {replica for replica in self._heard if ip_of(replica) == event.ip}
+            self._disconnected |= {replica for replica in self._last_heard if ip_of(replica) == event.ip}
             if self._leadership is not None:
                 for replica in [replica for replica in self._leadership.last_sent if ip_of(replica) == event.ip]:
                     del self._leadership.last_sent[replica]
@@ -117,28 +117,28 @@
         elif isinstance(event, ev.Evacuate):
             self._evacuate(event)
         elif isinstance(event, ev.ZoneReported):
-            self._locate(event)
+            self._record_zone(event)
         elif isinstance(event, ev.SetIntents):
             if self._leadership is not None:
                 self._leadership.wanted_intents = event.intents
         else:
             self._is_retired = True
-            if not self._must_lead_on():
-                self._step_down("retire", RETIRED_PAUSE_S)
-            self._tell_leaving()
+            if not self._must_stay_primary():
+                self._step_down("retire", RETIRED_CANDIDACY_DELAY_S)
+            self._announce_leaving()
         self._follow_up()
         self._check()
         actions, self._actions = self._actions, []
         return actions
 
     def _follow_up(self) -> None:
-        """Follow up until nothing more comes of it: messages to itself, what became durable, the primary's part."""
+        """Process messages to itself, completed writes and the primary's duties until none of them causes another."""
         while True:
-            while self._local:
-                self._receive(self._local.popleft())
+            while self._messages_to_self:
+                self._receive(self._messages_to_self.popleft())
             self._advance()
             self._flush()
-            if not self._local and not self._after:
+            if not self._messages_to_self and not self._on_durable:
                 break
         acting = self.holds_lease(self._now)
         if acting != self._is_acting:
@@ -146,55 +146,57 @@
             self._actions.append(ev.LeadershipGained(self._acceptor.epoch) if acting else ev.LeadershipLost())
 
     def _receive(self, message: ev.AnyMessage) -> None:
-        self._heard[message.sender] = self._now
-        self._down.discard(message.sender)
+        self._last_heard[message.sender] = self._now
+        self._disconnected.discard(message.sender)
         self._handlers[type(message)](self, message)
 
     def _tick(self) -> None:
         now = self._now
-        for token in [token for token, one in self._waiting.items() if one.again_at is not None]:
-            one = self._waiting[token]
-            if one.again_at is not None and now >= one.again_at:
-                # Written again as it is by now: what is in memory is never older than what was asked to be stored.
-                del self._waiting[token]
-                self._store(one.keys, one.then, one.since)
+        for token in [token for token, write in self._writes_in_flight.items() if write.retry_at is not None]:
+            write = self._writes_in_flight[token]
+            if write.retry_at is not None and now >= write.retry_at:
+                # The retry writes the present state, which is never older than the state of the refused write.
+                del self._writes_in_flight[token]
+                self._store(write.keys, write.callbacks, write.since)
         if self._state is State.WAITING and now >= self._voter_lease.quarantine_until:
-            self._change(State.FOLLOWER, "the restart's wait is over")
-        self._answer_late()
+            self._change(State.FOLLOWER, "the wait after a restart is over")
+        self._answer_overdue()
         if self._state is State.PRIMARY:
             self._tick_primary()
         elif self._state is State.CANDIDATE and self._proposal is not None:
             if now >= self._proposal.started + CANDIDACY_TIMEOUT_S:
                 self._election_at = now + self._election_timeout()
-                self._change(State.FOLLOWER, "candidacy came to nothing")
+                self._change(State.FOLLOWER, "candidacy timed out")
         elif self._may_campaign():
             self._campaign()
         if self._proposal is not None:
-            self._try_again(self._proposal)
-        is_lost = self._state is not State.PRIMARY and now - self._primary_heard > self._settings.lease_s
-        if (self._state is State.OUTSIDER or is_lost) and now >= self._join_at and not self._is_retired:
-            self._join_at = now + JOIN_INTERVAL_S
+            self._retry_proposal(self._proposal)
+        is_lost = self._state is not State.PRIMARY and now - self._primary_heard_at > self._settings.lease_s
+        if (self._state is State.OUTSIDER or is_lost) and now >= self._next_join_at and not self._is_retired:
+            self._next_join_at = now + JOIN_INTERVAL_S
             for ip in sorted(self.known_ips() - {self._settings.ip}):
                 self._actions.append(ev.Send(ip, ev.Join(self._id, self._acceptor.epoch)))
-        if self._is_retired and now >= self._leave_at:
-            self._tell_leaving()
+        if self._is_retired and now >= self._next_leaving_at:
+            self._announce_leaving()
         self._forget_old(now)
 
     def _forget_old(self, now: float) -> None:
-        """Drop what was told too long ago to count."""
-        self._leaving = {who: at for who, at in self._leaving.items() if now - at < LEAVING_FRESH_S}
-        self._join_requests = {who: at for who, at in self._join_requests.items() if now - at < REMEMBERED_S}
-        if len(self._heard) > len(self._members) + len(self._join_requests):
-            self._heard = {who: at for who, at in self._heard.items() if now - at < REMEMBERED_S}
-            self._down &= set(self._heard)
+        """Drop expired Leaving messages, Join requests and contacts."""
+        self._leaving = {replica: at for replica, at in self._leaving.items() if now - at < LEAVING_TTL_S}
+        self._join_requests = {
+            replica: at for replica, at in self._join_requests.items() if now - at < HEARD_RETENTION_S
+        }
+        if len(self._last_heard) > len(self._members) + len(self._join_requests):
+            self._last_heard = {replica: at for replica, at in self._last_heard.items() if now - at < HEARD_RETENTION_S}
+            self._disconnected &= set(self._last_heard)
 
     def _advance(self) -> None:
-        """All that a primary does when something has happened."""
+        """Perform the primary's duties: renew the lease, commit, replicate, propose changes of the record."""
         leadership, record, now = self._leadership, self._acceptor.chosen, self._now
         if leadership is None or record is None:
             return
-        if now >= leadership.ask_at:
-            leadership.ask_at = now + ASK_S
+        if now >= leadership.next_lease_request_at:
+            leadership.next_lease_request_at = now + LEASE_REQUEST_INTERVAL_S
             number = leadership.lease.ask(now)
             for replica in record.members:
                 self._send(replica, self._lease_request(leadership, record, number, replica))
@@ -214,13 +216,13 @@
             if changed is not None:
                 self._propose(changed)
 
-    def _locate(self, event: ev.ZoneReported) -> None:
-        """Note a controller's zone. It tells that when it connects, before it can have asked to be admitted."""
+    def _record_zone(self, event: ev.ZoneReported) -> None:
+        """Record a controller's zone, which it reports on connecting, before it can ask for admission."""
         self._zones.pop(event.ip, None)
         self._zones[event.ip] = event.zone
         known = self.known_ips() | {self._settings.ip}
-        strangers = [ip for ip in self._zones if ip not in known]
-        for ip in strangers[:-MOST_STRANGERS]:
+        unadmitted = [ip for ip in self._zones if ip not in known]
+        for ip in unadmitted[:-MAX_UNADMITTED_ZONES]:
             del self._zones[ip]
 
     # Writes.
@@ -239,14 +241,14 @@
     def _write(self, write: ev.Write) -> None:
         if self._leadership is None:
             self._actions.append(ev.Answer(write.request, self._not_primary()))
-        elif len(self._queue) >= QUEUE:
+        elif len(self._queue) >= MAX_QUEUED_WRITES:
             self._actions.append(ev.Answer(write.request, ev.Busy()))
         else:
             self._queue.append((write, self._now + WRITE_TIMEOUT_S))
 
-    def _answer_late(self) -> None:
+    def _answer_overdue(self) -> None:
         if self._leadership is not None:
-            for request, result in self._leadership.evacuations.take_late(self._now):
+            for request, result in self._leadership.evacuations.take_overdue(self._now):
                 self._actions.append(ev.Answer(request, result))
         change = self._leadership.change if self._leadership is not None else None
         if change is not None and not change.is_answered and self._now >= change.deadline:
@@ -267,7 +269,7 @@
                 self._actions.append(ev.Answer(write.request, result))
 
     def _result_without_change(self, write: ev.Write, current: Value) -> ev.Result | None:
-        """Return the answer to a write, None when it is to be done."""
+        """Return the answer to a write that changes nothing, None when the write is to be applied."""
         if current.calls.revision_of(write.digest) is not None:
             return ev.Accepted()
         if write.base == current.revision < write.revision:
@@ -279,7 +281,7 @@
     # Invariants.
 
     def _check(self) -> None:
-        """Raise InvariantBroken when the state contradicts itself."""
+        """Raise InvariantBroken when the state is inconsistent."""
         record, acceptor, leadership = self._acceptor.chosen, self._acceptor, self._leadership
         if record is not None:
             self._require(record.primary in ("", *record.copies), "the primary is a copy")
--- a/cranebank/control/consensus_types.py
+++ b/cranebank/control/consensus_types.py
@@ -1,4 +1,4 @@
-"""What the layers of the replicated configuration's core share: states, settings, the value, a primary's progress."""
+"""Types shared by the layers of the consensus replica: states, settings, the value and a primary's progress."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 from cranebank.control.evacuation_queue import EvacuationQueue
 
 CONSENSUS_FILE = "custody"
-"""Name of the file in the data folder."""
+"""Name of the replica's file in the data folder."""
 
 PUBLISHED_KEY = "handed"
-"""Key there of the newest committed configuration that this controller has published, spelt as earlier versions did."""
+"""Key of the newest committed configuration that this controller has published, as earlier versions named it."""
 
 
 class State(enum.Enum):
-    """What a replica is."""
+    """Role of a replica."""
 
-    WAITING = "waiting"  # restarted: what it granted before may still hold
+    WAITING = "waiting"  # restarted: leases that it granted before may still be valid
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     PRIMARY = "primary"
-    OUTSIDER = "outsider"  # no member of the newest record
+    OUTSIDER = "outsider"  # not a member in the newest record
 
 
 class ConsensusSettings(msgspec.Struct, frozen=True):
-    """`seeds` are IPs; `tolerance` is how many machines may be lost at once; `zones` names the zone of an IP.
+    """Settings of a replica.
 
-    Where zones or regions may be lost (``is_counted_in_machines`` is false), `tolerance` is any high number.
+    ``seeds`` are IPs; ``tolerance`` is the number of machines that may be lost at once; ``zones`` maps IPs to zones.
+    Where zones or regions may be lost (``is_counted_in_machines`` is false), ``tolerance`` is any high number.
     """
 
     ip: str
@@ -45,7 +46,7 @@
 
 
 class Value(msgspec.Struct, frozen=True):
-    """The document as one primary's term has it; within a term the revision only rises."""
+    """The replicated document under one primary's term; within a term the revision only increases."""
 
     term: int
     revision: int
@@ -55,24 +56,24 @@
 
     @property
     def age(self) -> tuple[int, int]:
-        """Later values have a higher one."""
+        """Sort key: later values have a higher one."""
         return self.term, self.revision
 
 
 NO_VALUE = Value(-1, 0, b"", b"")
 
 
-class WaitingWrite(msgspec.Struct):
-    """Keys that are being stored, and what to do once they are."""
+class PendingPersist(msgspec.Struct):
+    """A write to disk in progress: its keys, and the callbacks to run once they are durable."""
 
     keys: frozenset[str]
     since: float
-    then: list[Callable[[float], None]]
-    again_at: float | None = None
+    callbacks: list[Callable[[float], None]]
+    retry_at: float | None = None
 
 
 class PendingChange(msgspec.Struct):
-    """A write under way."""
+    """A configuration change in progress."""
 
     request: int
     deadline: float
@@ -80,27 +81,27 @@
 
 
 class Leadership:
-    """What a primary knows of its own term; gone when it ceases."""
+    """State of a primary during its own term; dropped when leadership ends."""
 
     def __init__(self, term: int, lease: HeldLease, now: float) -> None:
         self.term = term
         self.lease = lease
         self.since = now
         self.establish_by = now + lease.length_s
-        self.stamps: dict[str, ev.Stamp] = {}  # the newest of each voter, returned to it with the next ask
-        self.ask_at = now
-        self.held: dict[str, int] = {}  # highest revision that a replica told as durable in this term
-        self.first_sent: dict[str, tuple[int, float]] = {}  # revision, time
-        self.last_sent: dict[str, tuple[int, float]] = {}
+        self.stamps: dict[str, ev.Stamp] = {}  # newest stamp of each voter, returned with the next lease request
+        self.next_lease_request_at = now
+        self.held_revisions: dict[str, int] = {}  # highest revision that a replica reported as durable in this term
+        self.first_sent: dict[str, tuple[int, float]] = {}  # revision and time of its first Store, by replica
+        self.last_sent: dict[str, tuple[int, float]] = {}  # revision and time of the last Store, by replica
         self.committed: Value | None = None
         self.change: PendingChange | None = None
-        self.wanted_intents: tuple[OrderIntent, ...] | None = None  # None: the record's stay as they are
+        self.wanted_intents: tuple[OrderIntent, ...] | None = None  # None: keep the record's intents unchanged
         self.evacuations = EvacuationQueue()
 
     def forget_others(self, members: Iterable[str]) -> None:
-        """Drop what is known of replicas that are members no longer."""
+        """Drop the state of replicas that are no longer members."""
         group = set(members)
         self.lease.forget_others(group)
-        for table in (self.stamps, self.held, self.first_sent, self.last_sent):
+        for table in (self.stamps, self.held_revisions, self.first_sent, self.last_sent):
             for replica in table.keys() - group:
                 del table[replica]
--- a/cranebank/control/election.py
+++ b/cranebank/control/election.py
@@ -1,8 +1,8 @@
-"""A replica as a candidate and proposer: Paxos rounds for the next record, and giving up leadership.
+"""Candidate layer of the replica: Paxos rounds for the next record, and giving up leadership.
 
-Guarantees: only a copy of the data stands; others are asked for promises only when the own promise is durable; a
-record that may have been chosen already is completed before any other; a primary whose round meets another's record
-steps down.
+Guarantees: only a replica that holds a copy of the data becomes a candidate; other voters are asked for promises only
+after the own promise is durable; a record that may have been chosen already is completed before any other; a primary
+that finds another replica's record in its round steps down.
 """
 
 from __future__ import annotations
@@ -13,28 +13,27 @@
 from cranebank.control.consensus_types import State
 from cranebank.control.epochs import Ballot, EpochRecord, Proposal, choose_by_zone
 from cranebank.control.replica import ELECTION_TIMEOUT_S, SHORT_ELECTION_TIMEOUT_S
-from cranebank.control.voter import PHASE_AGAIN_S, Voter
+from cranebank.control.voter import PHASE_RETRY_INTERVAL_S, Voter
 
-SLOW_DISK_S = 0.3  # no candidacy where a write takes longer
-
-
-RETIRED_PAUSE_S = 2.4  # without a primary for so long, a copy that is about to end stands after all: nobody else can
+CANDIDACY_MAX_DISK_S = 0.3  # no candidacy while a write to disk has been pending for longer
+RETIRED_CANDIDACY_DELAY_S = 2.4
+"""A retiring copy becomes a candidate after so long without a primary: apparently no other copy can."""
 
 
 class Candidate(Voter):
-    """Proposer of records. Extended by ``primary.Primary``."""
+    """Candidate and proposer of records. Extended by ``primary.Primary``."""
 
     def _may_campaign(self) -> bool:
         now, record = self._now, self._acceptor.chosen
         if record is None or not self._is_member:
             return False
-        if self._is_retired and now < self._primary_heard + RETIRED_PAUSE_S:
+        if self._is_retired and now < self._primary_heard_at + RETIRED_CANDIDACY_DELAY_S:
             return False
         if self._state is not State.FOLLOWER and not (self._state is State.WAITING and self._was_primary):
             return False
         if now < max(self._election_at, self._no_campaign_before, self._voter_lease.until):
             return False
-        return self._disk_pending_s() < SLOW_DISK_S and self._holds_data(record)
+        return self._disk_pending_s() < CANDIDACY_MAX_DISK_S and self._holds_data(record)
 
     def _holds_data(self, record: EpochRecord) -> bool:
         return self._id in record.copies or not record.copies
@@ -48,40 +47,44 @@
         self._propose(msgspec.structs.replace(record, epoch=epoch, term=epoch, primary=self._id, copies=copies))
 
     def _first_copies(self, record: EpochRecord) -> tuple[str, ...]:
-        """Before the first primary nothing was ever taken, so every member holds all: one alone might not come back."""
+        """Return the copies of the first record.
+
+        No change was made before the first primary, so every member holds all data. The primary takes others along as
+        copies, since it might not come back.
+        """
         others = choose_by_zone(set(record.members) - {self._id}, [self._id], self._zones)
-        return (self._id, *others)[: self._target(record)]
+        return (self._id, *others)[: self._target_copies(record)]
 
-    def _step_down(self, why: str, rest_s: float) -> None:
-        self._no_campaign_before = self._now + rest_s
+    def _step_down(self, reason: str, pause_s: float) -> None:
+        self._no_campaign_before = self._now + pause_s
         if self._leadership is None:
             if self._state is State.CANDIDATE:
-                self._change(State.FOLLOWER, why)
+                self._change(State.FOLLOWER, reason)
             return
         term = self._leadership.term
-        self._change(State.FOLLOWER, why)
+        self._change(State.FOLLOWER, reason)
         for replica in self._members:
             self._send(replica, ev.Released(self._id, term))
 
-    # Rounds.
+    # Paxos rounds.
 
     def _propose(self, own: EpochRecord) -> None:
         record = self._acceptor.chosen
         assert record is not None
         self._proposal = Proposal(record, own, self._next_ballot(), self._now)
-        # Others are asked when the own promise is durable: after a restart this ballot must not be used again.
+        # The own promise must be durable before others are asked: after a restart this ballot must not be reused.
         self._send(self._id, ev.Prepare(self._id, record, self._proposal.ballot))
 
     def _next_ballot(self) -> Ballot:
         self._highest_round = max(self._highest_round, self._acceptor.promised[0]) + 1
         return self._highest_round, self._id
 
-    def _try_again(self, proposal: Proposal) -> None:
+    def _retry_proposal(self, proposal: Proposal) -> None:
         now = self._now
         if proposal.retry_at is not None and now >= proposal.retry_at:
             proposal.restart(self._next_ballot(), now)
             self._send(self._id, ev.Prepare(self._id, proposal.base, proposal.ballot))
-        elif now >= proposal.sent + PHASE_AGAIN_S:
+        elif now >= proposal.sent + PHASE_RETRY_INTERVAL_S:
             proposal.sent = now
             if proposal.record is None:
                 self._ask_promises(proposal)
@@ -102,16 +105,16 @@
         proposal = self._proposal
         if proposal is None or (message.epoch, message.ballot) != (proposal.base.epoch, proposal.ballot):
             return
-        is_enough = proposal.promised(message.sender, message.accepted)
+        has_majority = proposal.promised(message.sender, message.accepted)
         if message.sender == self._id and not proposal.prepared:
             proposal.prepared = True
             if proposal.record is None:
                 self._ask_promises(proposal)
         record = proposal.record
-        if is_enough and record is not None:
+        if has_majority and record is not None:
             if self._leadership is not None and (record.primary, record.term) != (self._id, self._leadership.term):
-                # Another's takeover may have been chosen; it is completed by whoever stands next.
-                self._step_down("another's record must be completed", 0.0)
+                # Another replica's takeover may have been chosen; the next candidate completes it.
+                self._step_down("another replica's record must be completed", 0.0)
                 return
             proposal.sent = self._now
             self._ask_accepts(proposal, record)
@@ -122,9 +125,9 @@
             return
         record = proposal.record
         if proposal.accepted(message.sender) and record is not None:
-            told = proposal.voters - {self._id}
+            others = proposal.voters - {self._id}
             self._learn(record, is_own=record is proposal.own)
-            for replica in sorted(told):
+            for replica in sorted(others):
                 self._send_record(replica)
 
     def _on_refused(self, message: ev.Refused) -> None:
@@ -133,6 +136,6 @@
             return
         self._highest_round = max(self._highest_round, message.promised[0])
         if message.promised > message.ballot and proposal.retry_at is None:
-            proposal.retry_at = self._now + self._between(
+            proposal.retry_at = self._now + self._random_between(
                 ELECTION_TIMEOUT_S if self._leadership is None else SHORT_ELECTION_TIMEOUT_S
             )
--- a/cranebank/control/epochs.py
+++ b/cranebank/control/epochs.py
@@ -1,8 +1,8 @@
-"""The epoch record and how it is agreed: one register, changed by Paxos rounds, each record naming the next voters.
+"""The epoch record and its agreement protocol: one register, changed by Paxos rounds.
 
-The change from one record to the next is an instance of single-decree Paxos. Its acceptors are the members of the
-record that is changed (its base), so a record that was chosen names who may change it, and no log is needed. Pure
-state without I/O; times are seconds of the steady clock.
+Each change of the record is an instance of single-decree Paxos. Its acceptors are the members of the record that is
+changed (the base), so a chosen record names the voters of the next change and no log is needed. Pure state without I/O;
+times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,24 +14,26 @@
 import msgspec
 
 Ballot = tuple[int, str]
-"""A round's number and its proposer's replica id; higher ones win."""
+"""Number of a round and replica id of its proposer; the higher ballot wins."""
 
 NO_BALLOT: Ballot = (0, "")
-REPLICAS_KEPT = 1024  # addresses of replicas that are remembered, beyond all that a group ever has at a time
+ADDRESS_CACHE_SIZE = 1024  # larger than the number of replicas that a group ever has at a time
 
 
 class OrderIntent(msgspec.Struct, frozen=True):
-    """A primary may order this backend to this stage, or has done so lately."""
+    """A primary may send, or has recently sent, this backend an order to change to this stage."""
 
     backend: str
     stage: str
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """Who is primary, who holds the data and who votes. `term` is the epoch at which the primary took over. `intents`
-    are the orders to backends that a primary may have sent lately, None where a version that records none wrote it.
-    ``evacuated`` are the zones to whose backends nothing more is sent, sorted; ``evacuation_number`` rises with each
-    change of them."""
+    """The primary, the copies (which hold the data) and the members (which vote).
+
+    ``term`` is the epoch at which the primary took over. ``intents`` are the orders to backends that a primary may have
+    sent recently, None if the record was written by a version without intents. ``evacuated`` are the zones whose
+    backends receive no more requests, sorted; ``evacuation_number`` increases with each change of them.
+    """
 
     epoch: int
     term: int
@@ -44,24 +46,24 @@
 
 
 def initial_record(seeds: Iterable[str]) -> EpochRecord:
-    """Return the record that everybody derives from the settings of the first start."""
+    """Return the record that every seed derives from the settings of the first start."""
     return EpochRecord(0, 0, "", (), tuple(sorted(set(seeds))), ())
 
 
-@lru_cache(maxsize=REPLICAS_KEPT)
+@lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def ip_of(replica: str) -> str:
-    """Return the address in a replica id ("IP" or "IP/HEX")."""
+    """Return the address part of a replica id ("IP" or "IP/HEX")."""
     return replica.split("/", 1)[0]
 
 
 def is_majority(voters: Iterable[str], members: Iterable[str]) -> bool:
-    """Tell whether those voters who are members are more than half of the members."""
+    """Return whether the voters include more than half of the members."""
     group = set(members)
     return 2 * len(group & set(voters)) > len(group)
 
 
 class DurableState(msgspec.Struct, frozen=True):
-    """What a replica stores of the register; `promised` and `accepted` belong to the change of `chosen`."""
+    """Durable part of the register; ``promised`` and ``accepted`` belong to the change of ``chosen``."""
 
     chosen: EpochRecord | None
     promised: Ballot
@@ -69,17 +71,17 @@
 
 
 class Acceptor:
-    """The voter's part of the register. Its state must be durable before any reply that follows from it."""
+    """Paxos acceptor. Its state must be durable before any reply that depends on it is sent."""
 
     def __init__(self, state: DurableState) -> None:
         self.chosen = state.chosen
         self.promised = state.promised
         self.accepted = state.accepted
-        self.members_since = self.epoch  # the members of the newest record are known not to have changed from here on
+        self.members_since = self.epoch  # earliest epoch from which the present members are known to be unchanged
 
     @property
     def state(self) -> DurableState:
-        """What is to be stored."""
+        """The state to store."""
         return DurableState(self.chosen, self.promised, self.accepted)
 
     @property
@@ -88,7 +90,7 @@
         return self.chosen.epoch if self.chosen is not None else -1
 
     def learn(self, record: EpochRecord) -> bool:
-        """Take a chosen record; tell whether it is newer than the known one (the votes then start afresh)."""
+        """Adopt a chosen record if it is newer than the known one, and reset the votes; return whether it was newer."""
         if record.epoch <= self.epoch:
             return False
         before = self.chosen
@@ -98,14 +100,14 @@
         return True
 
     def promise(self, ballot: Ballot) -> bool:
-        """Promise to take no lower ballot; tell whether that could be promised."""
+        """Promise to accept no lower ballot; return whether the promise was made."""
         if ballot < self.promised:
             return False
         self.promised = ballot
         return True
 
     def accept(self, ballot: Ballot, record: EpochRecord) -> bool:
-        """Accept a record unless a higher ballot was promised; tell whether it was accepted."""
+        """Accept a record unless a higher ballot was promised; return whether it was accepted."""
         if ballot < self.promised:
             return False
         self.promised, self.accepted = ballot, (ballot, record)
@@ -113,7 +115,10 @@
 
 
 class VoterLease:
-    """What a voter granted: until `until` it takes no ballot but the holder's. Not durable: a restart waits it out."""
+    """Lease that a voter granted: until ``until`` it accepts no ballot of another replica than the holder.
+
+    Not durable: after a restart the voter waits for a lease's length instead.
+    """
 
     def __init__(self, quarantine_until: float) -> None:
         self.holder = ""
@@ -123,52 +128,52 @@
         self.quarantine_until = quarantine_until
 
     def grant(self, holder: str, term: int, until: float) -> bool:
-        """Grant until a time; a term that its holder released is refused, as a late ask must not bind the voter."""
+        """Grant the lease until a time; refuse a released term, as a delayed request must not bind the voter."""
         if term <= self.released_term:
             return False
         self.holder, self.term, self.until = holder, term, max(until, self.until if holder == self.holder else until)
         return True
 
     def release(self, term: int) -> bool:
-        """The holder gave up this term; tell whether that was granted and news."""
+        """Mark a term as given up by its holder; return whether the voter's lease was granted for that term."""
         self.released_term = max(self.released_term, term)
         if self.term != term:
             return False
         self.until = float("-inf")
         return True
 
-    def superseded(self, record: EpochRecord) -> None:
-        """A record with another primary was chosen: its voters had waited for the older grants already."""
+    def end_if_superseded(self, record: EpochRecord) -> None:
+        """End the lease if the chosen record has another primary: its voters had waited for older grants already."""
         if record.primary != self.holder or record.term != self.term:
             self.until = float("-inf")
 
     def refuses(self, now: float, candidate: str, primary: str) -> bool:
-        """Tell whether a ballot must be refused. The primary of the chosen record is never kept out by a lease."""
+        """Return whether a ballot must be refused; a lease never blocks the primary of the chosen record."""
         if candidate == primary:
             return False
         return now < self.quarantine_until or (now < self.until and candidate != self.holder)
 
 
 class HeldLease:
-    """The primary's side: a majority's grants, counted from when each was asked for, less a margin."""
+    """The primary's lease: grants of a majority, each counted from the time of its request, less a safety margin."""
 
     def __init__(self, length_s: float, margin_s: float) -> None:
         self.length_s = length_s
         self._margin_s = margin_s
         self._asked: dict[int, float] = {}
         self._granted: dict[str, float] = {}
-        self._end: tuple[Sequence[str], float] | None = None  # of the lease, for these members; until a grant comes
+        self._end: tuple[Sequence[str], float] | None = None  # cached end of the lease for these members
         self.number = 0
 
     def ask(self, now: float) -> int:
-        """Note that grants are asked for now; return the number that the grants must name."""
+        """Record a request for grants at this time; return the number that the grants must name."""
         self.number += 1
         self._asked[self.number] = now
         self._asked.pop(self.number - 16, None)
         return self.number
 
     def granted(self, voter: str, number: int, now: float) -> None:
-        """Note a grant; a grant of an ask that is long forgotten counts for nothing."""
+        """Record a grant; a grant for a request that is no longer kept is ignored."""
         asked = self._asked.get(number)
         if asked is not None:
             self._end = None
@@ -176,11 +181,11 @@
 
     @staticmethod
     def _start(asked: float, received: float) -> float:
-        # The voter counts from when it received the ask: no earlier than it was asked, maybe long before `received`.
+        # The voter counts from its receipt of the request: not before it was sent, maybe long before `received`.
         return min(asked, received)
 
     def until(self, members: Sequence[str]) -> float:
-        """Return when the lease ends (seconds), -inf when no majority of these members granted it."""
+        """Return when the lease expires (seconds), -inf when no majority of these members granted it."""
         if self._end is None or self._end[0] != members:
             self._end = (members, self._computed_until(members))
         return self._end[1]
@@ -192,14 +197,14 @@
         return starts[needed - 1] + self.length_s - self._margin_s if len(starts) >= needed else float("-inf")
 
     def forget_others(self, members: Iterable[str]) -> None:
-        """Drop the grants of replicas that are members no longer."""
+        """Drop the grants of replicas that are no longer members."""
         group = set(members)
         self._end = None
         self._granted = {voter: start for voter, start in self._granted.items() if voter in group}
 
 
 class Proposal:
-    """The proposer's part of one change: its ballot, who promised and accepted, and the record it must now propose."""
+    """Proposer's state of one change: its ballot, the promises and acceptances, and the record that it must propose."""
 
     def __init__(self, base: EpochRecord, own: EpochRecord, ballot: Ballot, now: float) -> None:
         self.base = base
@@ -208,9 +213,9 @@
         self.restart(ballot, now)
 
     def restart(self, ballot: Ballot, now: float) -> None:
-        """Begin anew with a higher ballot; the own record stays the same, as it may have been accepted somewhere."""
+        """Restart with a higher ballot; the own record stays the same, as some voter may have accepted it."""
         self.ballot = ballot
-        self.prepared = False  # own promise durable, others may be asked
+        self.prepared = False  # the own promise is durable, so others may be asked
         self.record: EpochRecord | None = None
         self.promises: dict[str, tuple[Ballot, EpochRecord] | None] = {}
         self.accepts: set[str] = set()
@@ -218,7 +223,7 @@
         self.retry_at: float | None = None
 
     def promised(self, voter: str, accepted: tuple[Ballot, EpochRecord] | None) -> bool:
-        """Note a promise; tell whether the majority is reached by it, upon which `record` is to be accepted."""
+        """Record a promise; return whether it completes the majority, after which ``record`` is to be accepted."""
         if self.record is not None:
             return False
         self.promises[voter] = accepted
@@ -230,26 +235,28 @@
         return True
 
     def accepted(self, voter: str) -> bool:
-        """Note an acceptance; tell whether majorities of both the base's and the record's members have accepted."""
+        """Record an acceptance; return whether majorities of the base's and of the record's members have accepted."""
         self.accepts.add(voter)
         record = self.record
-        return record is not None and self.is_enough(self.accepts, self.base, record)
+        return record is not None and self.is_chosen_by(self.accepts, self.base, record)
 
     @staticmethod
-    def is_enough(voters: Iterable[str], base: EpochRecord, record: EpochRecord) -> bool:
-        """Tell whether these voters choose the record."""
+    def is_chosen_by(voters: Iterable[str], base: EpochRecord, record: EpochRecord) -> bool:
+        """Return whether these voters are enough to choose the record."""
         voters = set(voters)
         return is_majority(voters, base.members) and is_majority(voters, record.members)
 
     @property
     def voters(self) -> set[str]:
-        """All who are asked in the present phase."""
+        """All voters that are asked in the present phase."""
         return set(self.base.members) | (set(self.record.members) if self.record is not None else set())
 
 
 def choose_by_zone(candidates: Iterable[str], taken: Iterable[str], zones: Mapping[str, str]) -> list[str]:
-    """Order the candidates so that each is of a zone with the fewest of those before it and of the taken ones; by id
-    where zones are alike or unknown."""
+    """Order the candidates so that each is of a zone with the fewest of the taken ones and of those before it.
+
+    Candidates of equally represented or unknown zones are ordered by id.
+    """
     left = sorted(candidates)
     if len(left) <= 1:
         return left
--- a/cranebank/control/events.py
+++ b/cranebank/control/events.py
@@ -1,4 +1,4 @@
-"""Events, actions and messages of the custody. Messages are tagged and can be encoded with msgspec.msgpack."""
+"""Events, actions and messages of the consensus core. Messages are tagged and can be encoded with msgspec.msgpack."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from cranebank.control.call_table import EMPTY_TABLE, CallTable
 from cranebank.control.epochs import Ballot, EpochRecord, OrderIntent
 
-# Messages between controllers. `sender` is the replica id of who sends.
+# Messages between controllers.
 
 
 class Message(msgspec.Struct, frozen=True, tag=True):
-    """What one controller sends to another."""
+    """Base of messages between controllers; ``sender`` is the replica id of the sender."""
 
     sender: str
 
 
 class Prepare(Message, frozen=True, tag=True):
-    """Paxos phase 1 for the change of `base`."""
+    """Paxos phase 1 for the change of ``base``."""
 
     base: EpochRecord
     ballot: Ballot
 
 
 class Promise(Message, frozen=True, tag=True):
-    """Answer to Prepare: no lower ballot will be taken; `accepted` is what was accepted so far."""
+    """Answer to Prepare: no lower ballot will be accepted; ``accepted`` is the record accepted so far."""
 
     epoch: int
     ballot: Ballot
@@ -32,7 +32,7 @@
 
 
 class Accept(Message, frozen=True, tag=True):
-    """Paxos phase 2: change `base` to `record`."""
+    """Paxos phase 2: change ``base`` to ``record``."""
 
     base: EpochRecord
     ballot: Ballot
@@ -40,14 +40,14 @@
 
 
 class AcceptOk(Message, frozen=True, tag=True):
-    """Answer to Accept: it is durable here."""
+    """Answer to Accept: the acceptance is durable at the sender."""
 
     epoch: int
     ballot: Ballot
 
 
 class Refused(Message, frozen=True, tag=True):
-    """Answer to Prepare or Accept: a higher ballot was promised, or a lease or a restart's wait forbids it."""
+    """Answer to Prepare or Accept: a higher ballot was promised, or a lease or the wait after a restart forbids it."""
 
     epoch: int
     ballot: Ballot
@@ -55,23 +55,23 @@
 
 
 class Chosen(Message, frozen=True, tag=True):
-    """This record was chosen; also the answer to whoever shows that it knows an older one only."""
+    """This record was chosen; also the answer to a replica whose message shows an older one."""
 
     record: EpochRecord
 
 
 class Stamp(msgspec.Struct, frozen=True, array_like=True):
-    """A time (seconds) of the steady clock of one process; ``life`` is drawn at its start."""
+    """A time (seconds) of the monotonic clock of one process; ``incarnation`` is drawn at random at its start."""
 
-    life: int
+    incarnation: int
     at: float
 
 
 class AskLease(Message, frozen=True, tag=True):
-    """The primary asks for its lease; the grant names the number.
+    """The primary's request for its lease; the grant names the number.
 
     A primary that holds its lease returns the receiver's newest stamp (None when there is none, or when it holds no
-    lease) and tells the revision committed last.
+    lease) and reports the last committed revision.
     """
 
     record: EpochRecord
@@ -81,7 +81,8 @@
 
 
 class GrantLease(Message, frozen=True, tag=True):
-    """No other's ballot will be taken for the lease's length from the receipt of the ask, the stamp's time."""
+    """Answer to AskLease: no ballot of another replica is accepted for a lease's length from the stamp's time, when
+    the request was received."""
 
     term: int
     number: int
@@ -89,13 +90,13 @@
 
 
 class Released(Message, frozen=True, tag=True):
-    """The primary of this term has stopped for good; others may stand at once."""
+    """The primary of this term has given up leadership for good; others may become candidates at once."""
 
     term: int
 
 
 class Store(Message, frozen=True, tag=True):
-    """The primary's value, for a copy or for who is to become one."""
+    """The primary's value, for a copy or a member that is to become one."""
 
     record: EpochRecord
     revision: int
@@ -105,20 +106,20 @@
 
 
 class Stored(Message, frozen=True, tag=True):
-    """The value of this term and revision is durable here."""
+    """The value of this term and revision is durable at the sender."""
 
     term: int
     revision: int
 
 
 class Join(Message, frozen=True, tag=True):
-    """Sent by a replica that is no member, or hears no primary; `epoch` is the newest it knows, -1 for none."""
+    """Sent by a replica that is not a member, or hears no primary; ``epoch`` is its newest known, -1 for none."""
 
     epoch: int
 
 
 class Leaving(Message, frozen=True, tag=True):
-    """The sender's process is about to end, maybe for good: what it holds is to be taken over."""
+    """The sender's process is about to end, maybe for good: others should take over its duties."""
 
 
 AnyMessage = (
@@ -138,11 +139,11 @@
 )
 
 
-# Events: what the wiring tells the custody.
+# Events that the program passes to the core.
 
 
 class Tick(msgspec.Struct, frozen=True):
-    """Time has passed; to be told about every 50 ms."""
+    """Time has passed; to be sent about every 50 ms."""
 
 
 class Received(msgspec.Struct, frozen=True):
@@ -153,13 +154,13 @@
 
 
 class Persisted(msgspec.Struct, frozen=True):
-    """What was to be persisted under this token is durable."""
+    """The values of the Persist action with this token are durable."""
 
     token: int
 
 
 class PersistFailed(msgspec.Struct, frozen=True):
-    """What was to be persisted under this token is not durable; it will be tried again."""
+    """The values of the Persist action with this token are not durable; the core will retry."""
 
     token: int
 
@@ -171,7 +172,7 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """An operator's change, checked by the caller; `digest` is that of the request's body, told again by a repeat."""
+    """An operator's change, validated by the caller; ``digest`` identifies the call and its repetitions."""
 
     request: int
     base: int
@@ -188,13 +189,13 @@
 
 
 class SetIntents(msgspec.Struct, frozen=True):
-    """The orders to backends that the record is to name, if this is the primary. `Status.intents` tells when so."""
+    """The orders to backends that the record shall name, if this is the primary; see ``Status.intents``."""
 
     intents: tuple[OrderIntent, ...]
 
 
 class Evacuate(msgspec.Struct, frozen=True):
-    """Evacuate a zone, or take it back: the record is to say so. Answered as a write is."""
+    """Start or finish the evacuation of a zone, recorded in the epoch record. Answered like a write."""
 
     request: int
     zone: str
@@ -202,7 +203,7 @@
 
 
 class Retire(msgspec.Struct, frozen=True):
-    """The process will end soon: give up the primary's part and don't stand again."""
+    """The process will end soon: give up leadership and do not become a candidate again."""
 
 
 Event = Tick | Received | Persisted | PersistFailed | LinkDown | Write | ZoneReported | SetIntents | Evacuate | Retire
@@ -212,7 +213,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """It is in force and held by as many machines as must hold it."""
+    """The change is in force and durable on as many machines as required."""
 
 
 class Conflict(msgspec.Struct, frozen=True):
@@ -222,49 +223,49 @@
 
 
 class Busy(msgspec.Struct, frozen=True):
-    """Not taken up, and it never will be."""
+    """The change was not applied and never will be."""
 
 
 class NotPrimary(msgspec.Struct, frozen=True):
-    """Not taken up here; the primary's address, None when it isn't known."""
+    """The change was not applied here; ``primary_ip`` is the primary's address, None when unknown."""
 
     primary_ip: str | None
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """Not finished in time; it may come into force later."""
+    """The change did not finish in time; it may still come into force."""
 
 
 Result = Accepted | Conflict | Busy | NotPrimary | Unknown
 
 
-# Actions: what the custody wants done, in order.
+# Actions that the core requests, to be performed in order.
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send to this address, or drop it when there is no connection."""
+    """Send a message to this address, or drop it when there is no connection."""
 
     ip: str
     message: AnyMessage
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Make these values durable in the order of the tokens, then tell Persisted or PersistFailed."""
+    """Make these values durable in the order of the tokens, then pass Persisted or PersistFailed."""
 
     token: int
     values: dict[str, bytes]
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """The result of a write or an evacuation; one for each. To be answered only if `holds_lease` is still true, except
-    for refusals."""
+    """The result of a write or an evacuation, one for each. Except for refusals, the program answers the caller only
+    if ``holds_lease`` is still true."""
 
     request: int
     result: Result
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """This revision is in force and can't be lost any more; to be pushed to all proxys."""
+    """This revision is in force and durable; to be pushed to all proxies."""
 
     revision: int
     document: bytes
@@ -272,20 +273,20 @@
 
 
 class LeadershipGained(msgspec.Struct, frozen=True):
-    """From here on this controller acts as primary."""
+    """This controller acts as primary from now on."""
 
     epoch: int
 
 
 class LeadershipLost(msgspec.Struct, frozen=True):
-    """This controller acts as primary no longer."""
+    """This controller no longer acts as primary."""
 
 
 Action = Send | Persist | Answer | Committed | LeadershipGained | LeadershipLost
 
 
 class Status(msgspec.Struct, frozen=True):
-    """How things stand here; `primary` and `primary_ip` are empty when none is known."""
+    """Status of a replica; ``primary`` and ``primary_ip`` are empty when unknown."""
 
     id: str
     state: str
@@ -296,7 +297,7 @@
     copies: tuple[str, ...]
     members: tuple[str, ...]
     revision: int
-    term: int = -1  # the epoch at which that primary took over
-    intents: tuple[OrderIntent, ...] | None = None  # that the newest record names, and one that is proposed, too
-    evacuated: tuple[str, ...] = ()  # zones that the newest record known to be chosen names
-    evacuation_number: int = 0  # of that record
+    term: int = -1  # epoch at which that primary took over
+    intents: tuple[OrderIntent, ...] | None = None  # named by the newest record and also by a proposed one
+    evacuated: tuple[str, ...] = ()  # zones that the newest chosen record names
+    evacuation_number: int = 0  # number in that record
--- a/cranebank/control/primary.py
+++ b/cranebank/control/primary.py
@@ -1,9 +1,9 @@
-"""A replica as the primary: its lease, the replication of the value, and changes of copies and members.
+"""Primary layer of the replica: its lease, the replication of the value, and changes of copies and members.
 
-Guarantees: a value is committed, and only then answered, when every copy of the chosen record, and of one that is
-proposed, holds it durably under a lease that still runs; a copy that fails is replaced by one that holds the value, by
-a change of the record, before anything is answered without it; members change one record at a time
-(``membership.next_members``), and only where majorities of the old and of the new are present.
+Guarantees: a value is committed, and only then acknowledged, when every copy of the chosen record, and of a proposed
+one, holds it durably while the lease is valid; a failed copy is replaced by a member that holds the value, through a
+change of the record, before anything is acknowledged without it; members change one record at a time
+(``membership.next_members``), and only while majorities of the old and of the new members are reachable.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from cranebank.control import events as ev
 from cranebank.control.consensus_types import Leadership
-from cranebank.control.election import RETIRED_PAUSE_S, Candidate
+from cranebank.control.election import RETIRED_CANDIDACY_DELAY_S, Candidate
 from cranebank.control.epochs import EpochRecord, choose_by_zone, is_majority
 from cranebank.control.membership import View, next_members
-from cranebank.control.replica import SILENT_S
+from cranebank.control.replica import MEMBER_SILENCE_S
 
-ASK_S = 0.25  # between asks for the lease
-ACK_S = 0.4  # in which a copy must have stored a value
-STORE_AGAIN_S = 1.0  # between sendings of a value to one peer
-STUCK_DISK_S = 0.8  # a primary whose disk takes longer steps down
-STEP_DOWN_PAUSE_S = 2.0  # in which it leaves leadership to others, who need far less
+LEASE_REQUEST_INTERVAL_S = 0.25  # between requests for the lease
+STORE_ACK_TIMEOUT_S = 0.4  # within which a copy must have stored a value
+STORE_RETRY_INTERVAL_S = 1.0  # between transmissions of a value to one replica
+MAX_DISK_STALL_S = 0.8  # the primary steps down when a write to its disk takes longer
+STEP_DOWN_PAUSE_S = 2.0  # wait before it stands again; others need far less to take over
 
 
 class Primary(Candidate):
@@ -31,42 +31,44 @@
 
     @property
     def current(self) -> tuple[int, bytes, bytes] | None:
-        """Revision, document and digest in force (revision 0 before the first); None unless primary and known."""
+        """Committed revision, document and digest (revision 0 before the first); None unless primary and known."""
         if self._leadership is None or self._leadership.committed is None:
             return None
         value = self._leadership.committed
         return value.revision, value.document, value.digest
 
     def known_call(self, digest: bytes) -> int | None:
-        """Return the revision that a call put in force; None when that isn't known, or this isn't the primary."""
+        """Return the revision that a call put in force; None when unknown or when this is not the primary."""
         if self._leadership is None or self._leadership.committed is None:
             return None
         return self._leadership.committed.calls.revision_of(digest)
 
     def may_be_forgotten(self, revision: int) -> bool:
-        """Tell whether a call of this revision may have been taken, too long ago to be known; to be asked of a
-        primary whose committed value is known."""
+        """Return whether a call with this revision may have been applied and evicted from the call table.
+
+        Meaningful only on a primary whose committed value is known.
+        """
         if self._leadership is None or self._leadership.committed is None:
             return True
         return self._leadership.committed.calls.may_be_forgotten(revision)
 
-    # The lease, as held.
+    # Holding the lease.
 
     def _tick_primary(self) -> None:
         leadership, now = self._leadership, self._now
         record = self._acceptor.chosen
         assert leadership is not None and record is not None
-        if self._disk_pending_s() > STUCK_DISK_S:
+        if self._disk_pending_s() > MAX_DISK_STALL_S:
             self._step_down("own disk is stuck", STEP_DOWN_PAUSE_S)
-        elif self._is_retired and not self._must_lead_on():
-            self._step_down("retire", RETIRED_PAUSE_S)
+        elif self._is_retired and not self._must_stay_primary():
+            self._step_down("retire", RETIRED_CANDIDACY_DELAY_S)
         elif not self.holds_lease(now) and now >= leadership.establish_by:
-            # Voters that can still hear this one must not be kept from choosing another.
-            self._step_down("lease ran out", self._settings.lease_s / 2)
+            # Voters that still hear this primary must be free to choose another one.
+            self._step_down("lease expired", self._settings.lease_s / 2)
             self._election_at = max(self._election_at, now + self._election_timeout())
 
-    def _must_lead_on(self) -> bool:
-        """Tell whether a primary that is about to end must first make another member a copy: no other can follow."""
+    def _must_stay_primary(self) -> bool:
+        """Return whether a retiring primary must first make another member a copy, as no other can take over."""
         leadership, record = self._leadership, self._acceptor.chosen
         if leadership is None or record is None:
             return False
@@ -74,7 +76,9 @@
         if others & self._holders(leadership):
             return False
         return any(
-            not (self._is_away(member) or self._is_leaving(member)) for member in record.members if member != self._id
+            not (self._is_unreachable(member) or self._is_leaving(member))
+            for member in record.members
+            if member != self._id
         )
 
     def _lease_request(self, leadership: Leadership, record: EpochRecord, number: int, replica: str) -> ev.AskLease:
@@ -90,17 +94,22 @@
 
     # Replication of the value.
 
-    def _must_hold(self, record: EpochRecord) -> set[str]:
-        """All who may take over: by the chosen record, and by one that is proposed and may be chosen already."""
+    def _required_holders(self, record: EpochRecord) -> set[str]:
+        """Return all replicas that may take over: the copies of the chosen record and of a proposed one, which may be
+        chosen already."""
         proposal = self._proposal
         return set(record.copies) | (set(proposal.own.copies) if proposal is not None else set())
 
     def _holders(self, leadership: Leadership) -> set[str]:
-        holders = {replica for replica, revision in leadership.held.items() if revision == self._value.revision}
+        holders = {
+            replica for replica, revision in leadership.held_revisions.items() if revision == self._value.revision
+        }
         return holders | ({self._id} if self._value_durable else set())
 
     def _is_committable(self, leadership: Leadership, record: EpochRecord) -> bool:
-        return self._must_hold(record) <= self._holders(leadership) and len(record.copies) >= self._target(record)
+        return self._required_holders(record) <= self._holders(leadership) and len(
+            record.copies
+        ) >= self._target_copies(record)
 
     def _commit(self, leadership: Leadership) -> None:
         value = self._value
@@ -116,35 +125,35 @@
 
     def _on_stored(self, message: ev.Stored) -> None:
         if self._leadership is not None and message.term == self._leadership.term:
-            held = self._leadership.held
-            held[message.sender] = max(message.revision, held.get(message.sender, 0))
+            held_revisions = self._leadership.held_revisions
+            held_revisions[message.sender] = max(message.revision, held_revisions.get(message.sender, 0))
 
-    def _is_late(self, replica: str) -> bool:
-        """Tell whether a replica was sent the value long enough ago and hasn't stored it."""
+    def _is_store_overdue(self, replica: str) -> bool:
+        """Return whether a replica has not acknowledged the value within the timeout."""
         leadership = self._leadership
         sent = leadership.first_sent.get(replica) if leadership is not None else None
         return (
             leadership is not None
             and sent is not None
             and sent[0] == self._value.revision
-            and leadership.held.get(replica, -1) != sent[0]
-            and self._now - sent[1] > ACK_S
+            and leadership.held_revisions.get(replica, -1) != sent[0]
+            and self._now - sent[1] > STORE_ACK_TIMEOUT_S
         )
 
-    def _replacement_copies(self, leadership: Leadership, record: EpochRecord, good: list[str]) -> list[str]:
-        """Return the members, best first, of whom as many as are missing are to become copies."""
-        missing = self._target(record) - len(good)
+    def _replacement_copies(self, leadership: Leadership, record: EpochRecord, healthy: list[str]) -> list[str]:
+        """Return the members that should become copies in place of the missing ones, best first."""
+        missing = self._target_copies(record) - len(healthy)
         if missing <= 0:
             return []
         fit = [
             replica
             for replica in record.members
-            if replica not in record.copies and not (self._is_away(replica) or self._is_leaving(replica))
+            if replica not in record.copies and not (self._is_unreachable(replica) or self._is_leaving(replica))
         ]
         holders = self._holders(leadership)
-        ordered = choose_by_zone(fit, good, self._zones)
-        # A late one comes last, but it is tried again: it may be a message that was lost.
-        ordered.sort(key=lambda replica: (replica not in holders, self._is_late(replica)))
+        ordered = choose_by_zone(fit, healthy, self._zones)
+        # An overdue member is tried last, but is tried again: only a message may have been lost.
+        ordered.sort(key=lambda replica: (replica not in holders, self._is_store_overdue(replica)))
         return ordered[:missing]
 
     def _healthy_copies(self, record: EpochRecord) -> list[str]:
@@ -152,47 +161,47 @@
             replica
             for replica in record.copies
             if replica == self._id
-            or not (self._is_away(replica) or self._is_late(replica) or self._is_leaving(replica))
+            or not (self._is_unreachable(replica) or self._is_store_overdue(replica) or self._is_leaving(replica))
         ]
 
     def _send_stores(self, leadership: Leadership, record: EpochRecord) -> None:
         value, now = self._value, self._now
         holders = self._holders(leadership)
-        wanted = self._must_hold(record) | set(
+        wanted = self._required_holders(record) | set(
             self._replacement_copies(leadership, record, self._healthy_copies(record))
         )
         for replica in sorted(wanted - holders - {self._id}):
-            if self._is_away(replica):
+            if self._is_unreachable(replica):
                 continue
             last = leadership.last_sent.get(replica)
-            if last is not None and last[0] == value.revision and now < last[1] + STORE_AGAIN_S:
+            if last is not None and last[0] == value.revision and now < last[1] + STORE_RETRY_INTERVAL_S:
                 continue
             leadership.last_sent[replica] = (value.revision, now)
             if leadership.first_sent.get(replica, (-1, 0.0))[0] != value.revision:
                 leadership.first_sent[replica] = (value.revision, now)
-            # The copy keeps the value under this term, whoever's it was before.
+            # The copy stores the value under this term, whichever term it came from.
             message = ev.Store(self._id, record, value.revision, value.digest, value.document, value.calls)
             self._send(replica, message)
 
     # Changes of the record.
 
     def _changed_copies(self, leadership: Leadership, record: EpochRecord) -> EpochRecord | None:
-        """Return the record with copies that fail replaced by members that hold the value, never by fewer."""
-        good = self._healthy_copies(record)
-        target = self._target(record)
-        if len(good) == len(record.copies) and len(good) >= target:
+        """Return the record with failed copies replaced by members that hold the value, never with fewer copies."""
+        healthy = self._healthy_copies(record)
+        target = self._target_copies(record)
+        if len(healthy) == len(record.copies) and len(healthy) >= target:
             return None
         holders = self._holders(leadership)
-        copies = good + [
-            replica for replica in self._replacement_copies(leadership, record, good) if replica in holders
+        copies = healthy + [
+            replica for replica in self._replacement_copies(leadership, record, healthy) if replica in holders
         ]
         is_grown = len(copies) > len(record.copies) and set(record.copies) <= set(copies)
         if set(copies) == set(record.copies) or not (len(copies) >= target or is_grown):
             return None
-        return self._next(record, copies=tuple(copies))
+        return self._next_record(record, copies=tuple(copies))
 
     def _changed_members(self, record: EpochRecord) -> EpochRecord | None:
-        """Return the record with members replaced, added or removed, None when all is well."""
+        """Return the record with members replaced, added or removed, None when no change is needed."""
         view = View(
             record.members,
             record.copies,
@@ -206,33 +215,36 @@
 
     def _with_members(self, record: EpochRecord, members: Iterable[str | None]) -> EpochRecord | None:
         new = tuple(sorted(member for member in members if member is not None))
-        present = {replica for replica in {*record.members, *new} if self._silence_s(replica) <= SILENT_S}
+        present = {replica for replica in {*record.members, *new} if self._silence_s(replica) <= MEMBER_SILENCE_S}
         if not is_majority(present, new) or not is_majority(present, record.members):
-            return None  # it could not be completed, and until then nothing else can be changed
-        return self._next(record, members=new)
+            return None  # the change could not be completed, and would block all other changes of the record
+        return self._next_record(record, members=new)
 
     def _answer_evacuations(self, leadership: Leadership, record: EpochRecord) -> None:
-        """Answer the changes that the chosen record has. To be called only under the lease: then it is the newest, but
-        for one that is proposed here and may be chosen already."""
+        """Answer the evacuation changes that the chosen record contains.
+
+        To be called only under the lease: the chosen record is then the newest one, except for a record that is
+        proposed here and may be chosen already.
+        """
         if self._proposal is None:
             for request in leadership.evacuations.take_done(record.evacuated):
                 self._actions.append(ev.Answer(request, ev.Accepted()))
 
     def _changed_evacuations(self, leadership: Leadership, record: EpochRecord) -> EpochRecord | None:
-        """Return the record with all changes of evacuated zones that wait, None when it has them."""
+        """Return the record with all queued changes of the evacuated zones, None when it contains them already."""
         zones = leadership.evacuations.zones_after(record.evacuated)
         if zones == record.evacuated:
             return None
         leadership.evacuations.mark_proposed()
-        return self._next(record, evacuated=zones, evacuation_number=record.evacuation_number + 1)
+        return self._next_record(record, evacuated=zones, evacuation_number=record.evacuation_number + 1)
 
     def _changed_intents(self, leadership: Leadership, record: EpochRecord) -> EpochRecord | None:
-        """Return the record with the intents that are wanted, None when it has them."""
+        """Return the record with the wanted intents, None when it contains them already."""
         wanted = leadership.wanted_intents
         if wanted is None or wanted == record.intents:
             return None
-        return self._next(record, intents=wanted)
+        return self._next_record(record, intents=wanted)
 
     @staticmethod
-    def _next(record: EpochRecord, **changes: object) -> EpochRecord:
+    def _next_record(record: EpochRecord, **changes: object) -> EpochRecord:
         return msgspec.structs.replace(record, epoch=record.epoch + 1, **changes)
--- a/cranebank/control/voter.py
+++ b/cranebank/control/voter.py
@@ -1,9 +1,9 @@
-"""A replica as a voter: what it promises, accepts and learns, whom it grants a lease, which value it stores.
+"""Voter layer of the replica: Paxos acceptor, learner, grantor of leases and store of the value.
 
-Guarantees: a ballot is refused while a lease is granted to another or a restart's wait is not over, so a returning
-member with a high ballot disturbs no primary; a value is stored only from the primary of the newest record known; a
-removed id never votes again; contact with a majority is counted from this replica's own stamp, which the primary
-returned, never from the receipt of a message.
+Guarantees: a ballot is refused while a lease is granted to another replica or the wait after a restart is not over, so
+a returning member with a high ballot does not disturb the primary; a value is stored only from the primary of the
+newest known record; a removed id never votes again; contact with a majority is counted from this replica's own stamp,
+which the primary returned, never from the receipt of a message.
 """
 
 from __future__ import annotations
@@ -13,75 +13,78 @@
 from cranebank.control.epochs import EpochRecord, ip_of
 from cranebank.control.replica import SHORT_ELECTION_TIMEOUT_S, Replica
 
-PHASE_AGAIN_S = 0.1  # between tries of a Paxos phase towards those who haven't replied
-LEAVE_AGAIN_S = 0.1  # between tellings that this replica is about to end
+PHASE_RETRY_INTERVAL_S = 0.1  # between attempts of a Paxos phase, sent to the voters that have not replied
+LEAVING_INTERVAL_S = 0.1  # between Leaving messages of a retiring replica
 
 
 class Voter(Replica):
-    """Acceptor of records and values, and grantor of leases. Extended by ``election.Candidate``."""
+    """Acceptor of records and values and grantor of leases. Extended by ``election.Candidate``."""
 
     def in_contact(self, now: float) -> bool:
-        """Tell whether this replica knows of a majority's lease no older than a lease's length, by its own clock.
+        """Return whether this replica had contact with a lease holder within a lease's length, by its own clock.
 
-        True for the primary under its lease, and for a voter that was told within that time, in reply to what it sent
-        within that time, by a primary that held its lease. What was held up on the way does not count as fresh.
+        True for the primary under its lease, and for a voter to which a primary holding its lease has returned a stamp
+        that the voter sent within that time. A message that was delayed on its way does not count as recent contact.
         """
-        # A primary that has just taken over may not know the newest value to be committed yet.
+        # A primary that has just taken over may not know yet whether the newest value is committed.
         is_settled = self._leadership is not None and self._leadership.committed is not None
         return (is_settled and self.holds_lease(now)) or now < self._contact_at + self._settings.lease_s
 
     def is_current(self, now: float, revision: int) -> bool:
-        """Tell whether this revision was the newest committed one at some time within the last lease's length."""
+        """Return whether this revision was the newest committed one at some time within the last lease's length."""
         return self.in_contact(now) and revision >= self._newest_committed
 
     def may_shut_down(self, now: float) -> bool:
-        """Tell a replica that was told to retire whether it has handed over all that others can take from it.
+        """Return whether a retiring replica has handed over all duties that others can take over.
 
-        False while it is a copy that another member could relieve, or a member in whose place a newcomer could come.
-        That may stay so when others can't do their part: the caller bounds how long it waits.
+        False while it is a copy that another member could replace, or a member that a newcomer could replace. This may
+        last when the others cannot act, so the caller bounds its wait.
         """
         record = self._acceptor.chosen
         if record is None or not self._is_member:
             return True
-        relievers = [member for member in record.members if member not in record.copies]
-        if self._id in record.copies and not all(self._is_leaving(member) for member in relievers):
+        possible_replacements = [member for member in record.members if member not in record.copies]
+        if self._id in record.copies and not all(self._is_leaving(member) for member in possible_replacements):
             return False
         return not self._newcomers(now)
 
     # Records.
 
     def _learn(self, record: EpochRecord, is_own: bool = False) -> None:
-        """Take a chosen record if it is news; `is_own` when this very candidacy made it up and got it chosen."""
+        """Adopt a chosen record if it is newer; ``is_own`` when the current candidacy proposed it as its own record."""
         before = self._members
         if not self._acceptor.learn(record):
             return
         self._dirty.add("control")
-        self._voter_lease.superseded(record)
+        self._voter_lease.end_if_superseded(record)
         self._proposal = None
         if self._id not in record.members:
             self._change(State.OUTSIDER, "not a member")
             if self._id in before:
-                # A removed id never counts again, not even by a message that is still on its way.
-                self._id = self._fresh_id()
+                # A removed id must never count again, not even in a message that is still in flight.
+                self._id = self._new_id()
         elif self._leadership is not None and (record.primary, record.term) == (self._id, self._leadership.term):
             self._leadership.forget_others(record.members)
             self._leadership.establish_by = self._now + self._settings.lease_s
-            self._leadership.ask_at = self._now
+            self._leadership.next_lease_request_at = self._now
         elif self._state is State.CANDIDATE and is_own:
-            # One that was found and completed may be of an earlier life, which has acted and proposed more by it.
+            # A record that was only found and completed may be from an earlier process of this replica, which may have
+            # acted under it: this candidacy leads only under its own record.
             self._leadership = Leadership(record.term, self._new_lease(), self._now)
             self._change(State.PRIMARY, "chosen")
         else:
             self._election_at = self._now + (
-                self._between(SHORT_ELECTION_TIMEOUT_S) if record.primary == self._id else self._election_timeout()
+                self._random_between(SHORT_ELECTION_TIMEOUT_S)
+                if record.primary == self._id
+                else self._election_timeout()
             )
             if self._state is not State.WAITING:
                 if record.primary not in ("", self._id):
-                    self._election_at += self._settings.lease_s / 2  # its first ask is on the way
+                    self._election_at += self._settings.lease_s / 2  # its first lease request is in flight
                 self._change(State.FOLLOWER, "another record was chosen")
 
-    def _is_current(self, sender: str, base: EpochRecord) -> bool:
-        """Take a newer record that a message shows; tell its sender when it is the one that is behind."""
+    def _is_base_current(self, sender: str, base: EpochRecord) -> bool:
+        """Adopt ``base`` if it is newer; return False and send the newest record when the sender is behind."""
         self._learn(base)
         if base.epoch < self._acceptor.epoch:
             self._send_record(sender)
@@ -95,74 +98,79 @@
 
     def _on_prepare(self, message: ev.Prepare) -> None:
         base, sender = message.base, message.sender
-        if not self._is_current(sender, base) or self._id not in base.members:
+        if not self._is_base_current(sender, base) or self._id not in base.members:
             return
-        is_news = message.ballot != self._acceptor.promised
+        is_new = message.ballot != self._acceptor.promised
         if self._voter_lease.refuses(self._now, sender, base.primary) or not self._acceptor.promise(message.ballot):
             self._send(sender, ev.Refused(self._id, base.epoch, message.ballot, self._acceptor.promised))
             return
-        if is_news:
+        if is_new:
             self._dirty.add("control")
-            self._let_pass(sender)
+            self._defer_candidacy(sender)
         self._reply_durably(sender, ev.Promise(self._id, base.epoch, message.ballot, self._acceptor.accepted))
 
     def _on_accept(self, message: ev.Accept) -> None:
         base, sender, record = message.base, message.sender, message.record
-        if not self._is_current(sender, base) or self._id not in {*base.members, *record.members}:
+        if not self._is_base_current(sender, base) or self._id not in {*base.members, *record.members}:
             return
-        is_news = self._acceptor.accepted != (message.ballot, record)
+        is_new = self._acceptor.accepted != (message.ballot, record)
         if self._voter_lease.refuses(self._now, sender, base.primary) or not self._acceptor.accept(
             message.ballot, record
         ):
             self._send(sender, ev.Refused(self._id, base.epoch, message.ballot, self._acceptor.promised))
             return
-        if is_news:
+        if is_new:
             self._dirty.add("control")
-            self._let_pass(sender)
+            self._defer_candidacy(sender)
         self._reply_durably(sender, ev.AcceptOk(self._id, base.epoch, message.ballot))
 
     def _on_chosen(self, message: ev.Chosen) -> None:
         self._learn(message.record)
 
-    def _let_pass(self, sender: str) -> None:
-        """Another is standing; leave it the time to come through. Its repeats leave it no more: it may be one that
-        hears nobody, and would keep all others from standing for as long as that lasts."""
+    def _defer_candidacy(self, sender: str) -> None:
+        """Postpone the own candidacy so that another candidate can finish.
+
+        Only a new ballot does so, not its repetition: a candidate that receives nothing would otherwise prevent all
+        other candidacies for as long as it repeats its messages.
+        """
         if sender != self._id:
-            self._election_at = max(self._election_at, self._now + 3 * PHASE_AGAIN_S + self._election_timeout())
+            self._election_at = max(
+                self._election_at, self._now + 3 * PHASE_RETRY_INTERVAL_S + self._election_timeout()
+            )
 
-    # The lease, as granted.
+    # Granting the lease.
 
     def _on_ask_lease(self, message: ev.AskLease) -> None:
         record, sender = message.record, message.sender
-        if not self._is_current(sender, record) or sender != record.primary or self._id not in record.members:
+        if not self._is_base_current(sender, record) or sender != record.primary or self._id not in record.members:
             return
         accepted = self._acceptor.accepted
         if accepted is not None and accepted[1].primary != sender:
-            return  # another's takeover may be chosen by this very voter
+            return  # the takeover by another replica may be chosen with this voter's acceptance
         if not self._voter_lease.grant(sender, record.term, self._now + self._settings.lease_s):
             return
-        self._primary_heard = self._now
+        self._primary_heard_at = self._now
         self._election_at = self._voter_lease.until + self._election_timeout()
         if self._state is State.CANDIDATE:
             self._change(State.FOLLOWER, "granted a lease")
-        self._note_contact(message)
-        # The record that the lease is of must be durable, or a restart would not know whom it had granted.
-        stamp = ev.Stamp(self._life, self._now)
+        self._record_contact(message)
+        # The record must be durable first, or after a restart this voter would not know to whom it granted the lease.
+        stamp = ev.Stamp(self._incarnation, self._now)
         self._reply_durably(sender, ev.GrantLease(self._id, record.term, message.number, stamp))
 
-    def _note_contact(self, message: ev.AskLease) -> None:
-        """The ask returns this replica's own stamp: it was sent after that, by a primary that held its lease."""
+    def _record_contact(self, message: ev.AskLease) -> None:
+        """Record contact: a primary that held its lease has sent this replica's own stamp back."""
         stamp = message.stamp
-        if stamp is None or stamp.life != self._life:
+        if stamp is None or stamp.incarnation != self._incarnation:
             return
         self._contact_at = max(self._contact_at, stamp.at)
         self._newest_committed = max(self._newest_committed, message.committed)
 
     def _on_released(self, message: ev.Released) -> None:
         if self._voter_lease.release(message.term):
-            self._election_at = self._now + self._between(SHORT_ELECTION_TIMEOUT_S)
+            self._election_at = self._now + self._random_between(SHORT_ELECTION_TIMEOUT_S)
 
-    # The value, as stored.
+    # Storing the value.
 
     def _on_store(self, message: ev.Store) -> None:
         self._learn(message.record)
@@ -173,12 +181,14 @@
             return
         if value.age > self._value.age:
             self._set_value(value)
-        self._after.append(("value", self._sender_of(message.sender, ev.Stored(self._id, value.term, value.revision))))
+        self._on_durable.append(
+            ("value", self._sender_of(message.sender, ev.Stored(self._id, value.term, value.revision)))
+        )
 
     def _may_store(self, message: ev.Store) -> bool:
         record = self._acceptor.chosen
         if record is None or message.record.term < record.term:
-            # A primary of the past: its value would overwrite one that was answered since.
+            # The sender is a past primary: its value would overwrite one that was acknowledged since.
             self._send_record(message.sender)
             return False
         return message.sender == record.primary and self._is_member
@@ -191,9 +201,9 @@
             if self._value is value:
                 self._value_durable = True
 
-        self._after.append(("value", durable))
+        self._on_durable.append(("value", durable))
 
-    # Coming and going.
+    # Joining and leaving.
 
     def _on_join(self, message: ev.Join) -> None:
         if message.epoch < self._acceptor.epoch:
@@ -202,19 +212,21 @@
             return
         self._forget_earlier_requests(message.sender)
         if message.epoch >= self._acceptor.members_since or message.epoch < 0:
-            # Who knows older members may be one of them, and learns first that it was removed: its id counts no more.
+            # A replica with an older membership may be a removed member; it must first learn so and take a new id.
             self._join_requests[message.sender] = self._now
 
     def _forget_earlier_requests(self, newest: str) -> None:
-        """Drop the asks of earlier replicas of this machine: they are gone, and a group that takes one in has a member
-        that never speaks."""
+        """Drop the Join requests of earlier replicas of this machine.
+
+        These no longer exist: a group that admits one has a member that never responds.
+        """
         machine = [replica for replica in self._join_requests if ip_of(replica) == ip_of(newest)]
         for replica in machine:
             if replica != newest:
                 del self._join_requests[replica]
 
-    def _tell_leaving(self) -> None:
-        self._leave_at = self._now + LEAVE_AGAIN_S
+    def _announce_leaving(self) -> None:
+        self._next_leaving_at = self._now + LEAVING_INTERVAL_S
         for replica in self._members:
             self._send(replica, ev.Leaving(self._id))
 
--- a/tests/mutants_control.py
+++ b/tests/mutants_control.py
@@ -105,7 +105,7 @@
         Point.CUT_OFF,
         "a stamp of an earlier life counts as contact",
         "control/voter.py",
-        "if stamp is None or stamp.life != self._life:",
+        "if stamp is None or stamp.incarnation != self._incarnation:",
         "if stamp is None:",
         "test_consensus_replica.py::test_a_stamp_of_an_earlier_process_is_no_contact",
     ),
--- a/tests/mutants_stages.py
+++ b/tests/mutants_stages.py
@@ -161,8 +161,8 @@
         Point.LIVENESS,
         "an order counts as recorded while the record that drops it may be chosen",
         "control/consensus_replica.py",
-        "for intent in staying if intent in coming)",
-        "for intent in staying)",
+        "for intent in kept if intent in proposed)",
+        "for intent in kept)",
         "test_order_intents.py",
     ),
     Mutant(
--- a/tests/test_call_table.py
+++ b/tests/test_call_table.py
@@ -7,7 +7,7 @@
 
 from cranebank.control import call_table
 from cranebank.control import events as ev
-from cranebank.control.call_table import EMPTY_TABLE, CallTable, TakenCall
+from cranebank.control.call_table import EMPTY_TABLE, AppliedCall, CallTable
 
 FEW_CALLS = 3
 DISK_AND_LINK_S = 0.05  # within which a write is on the disk of its copy and answered
@@ -15,7 +15,7 @@
 
 @pytest.fixture(autouse=True)
 def _small_table(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(call_table, "MOST_CALLS", FEW_CALLS)
+    monkeypatch.setattr(call_table, "MAX_CALLS", FEW_CALLS)
 
 
 def digest_of(revision: int) -> bytes:
@@ -43,7 +43,7 @@
 
 def test_the_table_holds_the_newest_calls_and_tells_which_may_have_fallen_out() -> None:
     table = table_of(2, 3, 5)
-    assert (table.calls[0], table.forgotten) == (TakenCall(2, digest_of(2)), 0)
+    assert (table.calls[0], table.forgotten) == (AppliedCall(2, digest_of(2)), 0)
     assert not table.may_be_forgotten(1)
     table = table_of(2, 3, 5, 8, 9)
     assert [call.revision for call in table.calls] == [5, 8, 9]
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -403,10 +403,10 @@
     group.run(1.5)
     assert group.primary not in ("", old)
     group.stuck.clear()
-    for token in list(group.nodes[old]._waiting):
+    for token in list(group.nodes[old]._writes_in_flight):
         group.tell(old, ev.PersistFailed(token))
     group.run(1.0)
-    assert not group.nodes[old]._waiting and group.primary not in ("", old)
+    assert not group.nodes[old]._writes_in_flight and group.primary not in ("", old)
 
 
 def test_a_big_value_is_not_sent_again_within_a_second() -> None:
@@ -499,7 +499,7 @@
     assert record is not None
     follower = next(ip for ip in SEEDS if ip != group.primary)
     node = group.nodes[follower]
-    for life, is_own in ((node._life + 1, False), (node._life, True)):
+    for life, is_own in ((node._incarnation + 1, False), (node._incarnation, True)):
         group.cut.add(follower)
         group.run(2.0)
         assert not node.in_contact(group.now)
--- a/tests/test_consensus_simulated.py
+++ b/tests/test_consensus_simulated.py
@@ -121,7 +121,7 @@
                 message.calls,
             )
             self._dirty.add("value")
-            self._after.append(
+            self._on_durable.append(
                 ("value", self._sender_of(message.sender, ev.Stored(self._id, message.record.term, message.revision)))
             )
 
@@ -155,8 +155,8 @@
 
 
 class TakesHeldUpAsksForContact(ConsensusReplica):
-    def _note_contact(self, message: ev.AskLease) -> None:
-        super()._note_contact(msgspec.structs.replace(message, stamp=ev.Stamp(self._life, self._now)))
+    def _record_contact(self, message: ev.AskLease) -> None:
+        super()._record_contact(msgspec.structs.replace(message, stamp=ev.Stamp(self._incarnation, self._now)))
 
 
 class InContactBeforeItIsSettled(ConsensusReplica):
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -112,7 +112,7 @@
 
 
 def _forgotten_calls_refused(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(call_table, "MOST_CALLS", 20)
+    patch.setattr(call_table, "MAX_CALLS", 20)
     patch.setattr(CallTable, "may_be_forgotten", lambda self, revision: False)
 
 
--- a/tests/test_evacuation_record.py
+++ b/tests/test_evacuation_record.py
@@ -11,7 +11,7 @@
 
 from cranebank.control import events as ev
 from cranebank.control.epochs import DurableState, EpochRecord, OrderIntent
-from cranebank.control.evacuation_queue import MOST_WAITING, EvacuationQueue
+from cranebank.control.evacuation_queue import MAX_WAITING, EvacuationQueue
 
 FIRST = 1000  # the request of the evacuation that a story begins with
 LATER_S = 4.0  # in which whoever waits is answered
@@ -119,7 +119,7 @@
     group = ready()
     node = group.nodes[group.primary]
     assert node.record is not None
-    node._propose(node._next(node.record, evacuated=("a",), evacuation_number=1))
+    node._propose(node._next_record(node.record, evacuated=("a",), evacuation_number=1))
     evacuate(group, 1, "a", False)
     assert group.answers == {}, "the proposed record may be chosen already"
     group.run(0.2)
@@ -161,11 +161,11 @@
     group = ready()
     evacuate(group, 0, "a", ip=next(ip for ip in SEEDS if ip != group.primary))
     assert group.answers[0] == ev.NotPrimary(group.primary)
-    for request in range(1, MOST_WAITING + 3):
+    for request in range(1, MAX_WAITING + 3):
         evacuate(group, request, f"z{request}")
     assert [request for request, result in group.answers.items() if result == ev.Busy()] == [65, 66]
     group.run(0.5)
-    assert sum(result == ev.Accepted() for result in group.answers.values()) == MOST_WAITING
+    assert sum(result == ev.Accepted() for result in group.answers.values()) == MAX_WAITING
 
 
 def test_intents_and_evacuations_keep_each_other() -> None:
@@ -206,8 +206,8 @@
     queue.add(ev.Evacuate(1, "a", True), 1.0)
     queue.mark_proposed()
     queue.add(ev.Evacuate(2, "b", True), 1.5)
-    assert queue.take_late(0.9) == []
-    assert queue.take_late(2.0) == [(1, ev.Unknown()), (2, ev.Busy())]
+    assert queue.take_overdue(0.9) == []
+    assert queue.take_overdue(2.0) == [(1, ev.Unknown()), (2, ev.Busy())]
     assert queue.zones_after(()) == ()
 
 
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -202,7 +202,7 @@
 def test_memory_is_flat_and_the_file_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The table of calls taken is kept short, so that it is full by the 100th change: its bound has tests of its own,
     and its filling would hide a leak."""
-    monkeypatch.setattr("cranebank.control.call_table.MOST_CALLS", FEW_CALLS)
+    monkeypatch.setattr("cranebank.control.call_table.MAX_CALLS", FEW_CALLS)
     traced = dict.fromkeys(range(0, CHANGES + 1, SAMPLED_EVERY), 0)
     largest_file = 0
 
--- a/tests/test_order_intents.py
+++ b/tests/test_order_intents.py
@@ -62,7 +62,7 @@
     group.run(0.1)
     node = group.nodes[primary]
     assert node.record is not None
-    node._propose(node._next(node.record))  # a change of members or copies is under way
+    node._propose(node._next_record(node.record))  # a change of members or copies is under way
     group.tell(primary, ev.SetIntents(()))
     assert intents(group, primary) == ()
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -12,12 +12,12 @@
 from cranebank.control.consensus_replica import ConsensusReplica
 from cranebank.control.epochs import EpochRecord, Proposal, ip_of
 from cranebank.control.membership import STANDBY_REPLACEMENT_S, View, group_size, next_members
-from cranebank.control.replica import LEAVING_FRESH_S
+from cranebank.control.replica import LEAVING_TTL_S
 
 NEW = "10.0.0.99"
 GRACE_S = 4.0  # within which a process that was told to end has ended
 IN_STEP_S = 2.0  # after the newcomer's start: half of the least that the operators' pages allow
-PHASE_AGAIN_S = 3.0  # from the further losses to an acknowledged write
+RECOVERY_TIMEOUT_S = 3.0  # from the further losses to an acknowledged write
 SIZES = {1: 3, 2: 5, 3: 7}  # members by tolerance
 
 
@@ -96,7 +96,7 @@
     """Lose these for good, without a word: the group acknowledges a write soon, and what was acknowledged is there."""
     for ip in lost:
         group.stop(ip, wipe=True)
-    end = group.now + PHASE_AGAIN_S
+    end = group.now + RECOVERY_TIMEOUT_S
     request = 100
     while group.now < end:
         group.run(0.1)
@@ -165,7 +165,7 @@
     group = whole(1)
     leaving = victim_of(group, "witness")
     group.tell(leaving, ev.Retire())
-    group.run(2 * LEAVING_FRESH_S)
+    group.run(2 * LEAVING_TTL_S)
     assert ip_of(group.nodes[leaving].id) in map(ip_of, record_of(group).members)
     group.start(NEW)
     group.run(0.7)  # less than any silence of which a member is replaced
@@ -245,7 +245,7 @@
     group.run(0.2)
     assert 2 not in group.answers, "acknowledged without the next copy"
     group.stuck.clear()
-    for token in list(group.nodes[next_copy]._waiting):
+    for token in list(group.nodes[next_copy]._writes_in_flight):
         group.tell(next_copy, ev.PersistFailed(token))
     group.run(0.5)
     assert group.answers[2] == ev.Accepted()
--- a/tests/test_zones_apart.py
+++ b/tests/test_zones_apart.py
@@ -23,7 +23,7 @@
 
 
 def test_a_group_left_to_one_zone_over_a_bridge_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "_may_be", lambda *_: True)
+    monkeypatch.setattr(membership, "_is_allowed", lambda *_: True)
     broken = [breach for seed in ZONE_WIPED_OVER_A_BRIDGE for breach in play("apart", seed).breaches]
     assert any(breach.startswith("recovery") for breach in broken)
 
