--- a/cranebank/control/configuration.py
+++ b/cranebank/control/configuration.py
@@ -1,7 +1,7 @@
-"""Reading and checking of the operator's configurations: pure functions over bytes.
+"""Parsing and validation of the operator's configurations: pure functions over bytes.
 
-A configuration is kept as the operator sent it: fields that aren't known here are neither checked nor dropped, since
-pages may grow. Only what makes a configuration unusable is refused, with a typed error that names the key.
+A configuration is kept as the operator sent it: unknown fields are neither checked nor dropped, since the schema may
+grow. Only faults that make a configuration unusable are refused, with a typed error that names the key.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import msgspec
 import voluptuous as vol
 
-SLOW_BYTES = 100_000  # above this, a check takes long enough to be done beside the event loop
+SLOW_BYTES = 100_000  # larger bodies are validated in a thread, as the check would block the event loop for too long
 
 _decoder = msgspec.json.Decoder()
 _encoder = msgspec.json.Encoder()
@@ -21,7 +21,7 @@
 
 
 class InvalidConfiguration(Exception):
-    """A configuration that can't be in force: ``code`` names the fault, ``key`` where it is, ``expected`` what was."""
+    """Raised for an unusable configuration: ``code`` names the fault, ``key`` its place, ``expected`` a valid value."""
 
     def __init__(self, code: str, key: str, expected: str) -> None:
         super().__init__(f"{code}: {key}: expected {expected}")
@@ -29,14 +29,14 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """A checked configuration, whole; ``document`` is its JSON."""
+    """A complete, validated configuration; ``document`` is its JSON."""
 
     revision: int
     document: bytes
 
 
 class _Fault(vol.Invalid):  # type: ignore[misc,unused-ignore]
-    """A fault with a code of its own, found by a check below."""
+    """A validation error with its own code, raised by the validators below."""
 
     def __init__(self, code: str, expected: str, path: list[object] | None = None) -> None:
         super().__init__(f"expected {expected}", path)
@@ -77,7 +77,7 @@
     return value
 
 
-def _named(values: list[Document]) -> list[Document]:
+def _with_unique_names(values: list[Document]) -> list[Document]:
     seen: set[str] = set()
     for index, value in enumerate(values):
         if value["name"] in seen:
@@ -99,18 +99,22 @@
     extra=vol.ALLOW_EXTRA,
 )
 _SERVICE = vol.Schema({vol.Required("name"): _name}, extra=vol.ALLOW_EXTRA)
-_WHOLE = vol.Schema(
+_CONFIGURATION = vol.Schema(
     {
         vol.Required("revision"): _revision,
-        vol.Required("routes"): vol.All([_ROUTE], _named),
-        vol.Required("services"): vol.All([_SERVICE], _named),
+        vol.Required("routes"): vol.All([_ROUTE], _with_unique_names),
+        vol.Required("services"): vol.All([_SERVICE], _with_unique_names),
         "limits": dict,
     },
     extra=vol.ALLOW_EXTRA,
 )
 _ITEM = vol.Schema({vol.Required("name"): _name}, extra=vol.ALLOW_EXTRA)
 _AMENDMENT = vol.Schema(
-    {vol.Required("revision"): _revision, "upsert": {str: vol.All([_ITEM], _named)}, "remove": {str: [_name]}},
+    {
+        vol.Required("revision"): _revision,
+        "upsert": {str: vol.All([_ITEM], _with_unique_names)},
+        "remove": {str: [_name]},
+    },
     extra=vol.ALLOW_EXTRA,
 )
 
@@ -122,7 +126,7 @@
     return text
 
 
-def _conform(schema: Any, value: object) -> None:
+def _validate(schema: Any, value: object) -> None:
     try:
         schema(value)
     except vol.MultipleInvalid as error:
@@ -148,7 +152,7 @@
 
 def _check_routes(document: Document) -> None:
     services = {service["name"] for service in document["services"]}
-    places: set[tuple[str, str]] = set()
+    hosts_and_prefixes: set[tuple[str, str]] = set()
     for index, route in enumerate(document["routes"]):
         key = f"routes[{index}]"
         if "target" in route:
@@ -157,39 +161,39 @@
         elif "branches" not in route:
             raise InvalidConfiguration("missing", f"{key}.target", "a target or branches")
         if "branches" in route:
-            for place, branch in enumerate(route["branches"]):
+            for branch_index, branch in enumerate(route["branches"]):
                 if branch["target"] not in services:
                     raise InvalidConfiguration(
-                        "unknown_service", f"{key}.branches[{place}].target", "the name of a service"
+                        "unknown_service", f"{key}.branches[{branch_index}].target", "the name of a service"
                     )
             if (route["branches"] or "target" not in route) and not sum(
                 branch["share"] for branch in route["branches"]
             ) > 0:
                 raise InvalidConfiguration("no_share", f"{key}.branches", "shares with a sum above 0")
-        place_key = (route["hostname"].lower(), route["path_prefix"])
-        if place_key in places:
+        host_and_prefix = (route["hostname"].lower(), route["path_prefix"])
+        if host_and_prefix in hosts_and_prefixes:
             raise InvalidConfiguration("route_twice", f"{key}.path_prefix", "one route for a host and prefix")
-        places.add(place_key)
+        hosts_and_prefixes.add(host_and_prefix)
 
 
 def _check_whole(document: Document, current_revision: int) -> int:
-    _conform(_WHOLE, document)
+    _validate(_CONFIGURATION, document)
     _check_routes(document)
-    return _check_rise(document["revision"], current_revision)
+    return _check_revision_rises(document["revision"], current_revision)
 
 
-def _check_rise(revision: int, current_revision: int) -> int:
+def _check_revision_rises(revision: int, current_revision: int) -> int:
     if revision <= current_revision:
         raise InvalidConfiguration("revision", "revision", f"an integer above {current_revision}")
     return revision
 
 
 def check(body: bytes, current_revision: int) -> Configuration:
-    """A whole configuration as the operator sent it. Raises InvalidConfiguration."""
+    """Validate a complete configuration as the operator sent it. Raises InvalidConfiguration."""
     return Configuration(_check_whole(_read(body), current_revision), body)
 
 
-def _names(values: object, key: str) -> list[Document]:
+def _named_items(values: object, key: str) -> list[Document]:
     if not isinstance(values, list):
         raise InvalidConfiguration("shape", key, "a list of named items")
     for index, value in enumerate(values):
@@ -199,20 +203,20 @@
 
 
 def amend(current_document: bytes, body: bytes) -> Configuration:
-    """The current configuration with named items added, replaced (where they stood) or removed, checked as a whole.
+    """Return the current configuration with named items added, replaced in place or removed, validated as a whole.
 
     Raises InvalidConfiguration.
     """
     amendment = _read(body)
-    _conform(_AMENDMENT, amendment)
+    _validate(_AMENDMENT, amendment)
     document = _read(current_document)
     current_revision: int = document["revision"]
     for key, names in amendment.get("remove", {}).items():
         gone = set(names)
-        document[key] = [item for item in _names(document.get(key, []), key) if item["name"] not in gone]
+        document[key] = [item for item in _named_items(document.get(key, []), key) if item["name"] not in gone]
     for key, items in amendment.get("upsert", {}).items():
         fresh = {item["name"]: item for item in items}
-        document[key] = [fresh.pop(item["name"], item) for item in _names(document.get(key, []), key)]
+        document[key] = [fresh.pop(item["name"], item) for item in _named_items(document.get(key, []), key)]
         document[key] += fresh.values()
     document["revision"] = amendment["revision"]
     revision = _check_whole(document, current_revision)
@@ -220,7 +224,7 @@
 
 
 def revision_of(body: bytes) -> int:
-    """The revision that a call names, or 0 where it can't be read: only for telling calls sent again."""
+    """Return the revision that a call names, 0 if it is unreadable; used only to recognise repeated calls."""
     try:
         return _revision(_read(body).get("revision"))
     except (InvalidConfiguration, _Fault):
@@ -228,5 +232,5 @@
 
 
 def digest_of(call: str, base: int, body: bytes) -> bytes:
-    """What a call is known by when it is sent again unchanged."""
+    """Return the digest by which an unchanged repetition of a call is recognised."""
     return hashlib.blake2b(body, digest_size=16, person=f"{call[:4]}{base}".encode()[:16]).digest()
--- a/cranebank/control/registry.py
+++ b/cranebank/control/registry.py
@@ -1,7 +1,7 @@
-"""Which backends there are, as their heartbeats and leaves tell: the core, free of I/O.
+"""Registry of backends, built from their heartbeats and leaves: the core, free of I/O.
 
-Every controller takes heartbeats; ``membership.backends`` says which of two records holds, so no agreement is needed.
-What a restarted controller lost is rebuilt from the records of proxies and of the other controllers.
+Every controller accepts heartbeats; ``membership.backends`` defines which of two records is newer, so no agreement is
+needed. After a restart a controller rebuilds its registry from the records of proxies and of the other controllers.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from cranebank.membership.warm_up import Limits
 from cranebank.transport.messages import Backend
 
-ENDING_PHASES = frozenset({"draining", "gone"})  # phases that are never taken back
-LIVING = frozenset({"ready", "draining"})  # phases of backends that beat
-TOMBSTONE_S = 60.0  # how long ends and losses are remembered
-TOMBSTONES_MOST = 20_000
-STRAYS_MOST = 4096  # backends that proxies were told to be lost while they were unknown here, the newest
-MAX_COUNT = 2**63 - 1  # of a heartbeat's whole numbers: all of them go out in messages, which hold no larger ones
-LARGEST_FIGURE = 2.0**40
-LARGEST_PORT = 65_535
-COLD_NEWS_S = 0.1  # a backend that is cold for so much longer than was known is news
+ENDING_PHASES = frozenset({"draining", "gone"})  # phases that are never revoked
+LIVE_PHASES = frozenset({"ready", "draining"})  # phases of backends that send heartbeats
+TOMBSTONE_S = 60.0  # how long records of backends that are gone or lost are kept
+MAX_TOMBSTONES = 20_000
+MAX_STRAYS = 4096  # backends reported as lost to a proxy while unknown here; the newest are kept
+MAX_COUNT = 2**63 - 1  # of the integers in a heartbeat: they are sent on in messages, which hold no larger ones
+MAX_FIGURE = 2.0**40
+MAX_PORT = 65_535
+MIN_COLD_EXTENSION_S = 0.1  # a backend that stays cold for so much longer than known counts as changed
 MS_PER_S = 1000.0
-REJOIN_GRACE_S = 2.5  # after a time without most other controllers: until their news of who was heard has come again
+REJOIN_GRACE_S = 2.5  # after contact with most controllers is back: until their reports of heartbeats have arrived
 
 
 class BadHeartbeat(Exception):
-    """A heartbeat that can't be read; ``code``, ``key`` and ``expected`` say why."""
+    """Raised for an invalid heartbeat; ``code``, ``key`` and ``expected`` give the reason."""
 
     def __init__(self, key: str, expected: str) -> None:
         super().__init__(f"{key}: expected {expected}")
@@ -38,7 +38,7 @@
 
 
 class Heartbeat(msgspec.Struct):
-    """The body of a heartbeat; fields that aren't known are skipped."""
+    """The body of a heartbeat; unknown fields are ignored."""
 
     target: str
     address: str
@@ -46,8 +46,8 @@
     call_seq: Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
     zone: str = ""
     stage: str = ""
-    capacity: Annotated[float, msgspec.Meta(le=LARGEST_FIGURE)] = 1
-    cold_left_ms: Annotated[float, msgspec.Meta(le=LARGEST_FIGURE)] = 0
+    capacity: Annotated[float, msgspec.Meta(le=MAX_FIGURE)] = 1
+    cold_left_ms: Annotated[float, msgspec.Meta(le=MAX_FIGURE)] = 0
     models: list[Any] = []
 
 
@@ -55,7 +55,7 @@
 
 
 def read_heartbeat(backend_id: str, body: bytes) -> Backend:
-    """The record that a heartbeat tells. Raises BadHeartbeat."""
+    """Return the record in the body of a heartbeat. Raises BadHeartbeat."""
     try:
         beat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -81,48 +81,50 @@
 
 
 def _is_port(text: str) -> bool:
-    is_number = text.isascii() and text.isdigit() and len(text) <= len(str(LARGEST_PORT))
-    return is_number and 0 < int(text) <= LARGEST_PORT
+    is_number = text.isascii() and text.isdigit() and len(text) <= len(str(MAX_PORT))
+    return is_number and 0 < int(text) <= MAX_PORT
 
 
 class Registry:
-    """All records, who was heard when, and what is news for others. Times are a steady clock's seconds."""
+    """All records, the times of their heartbeats, and changes not yet reported. Times are monotonic seconds."""
 
     def __init__(self, now: float, beat_s: float) -> None:
         self._lost_after = 3.5 * beat_s + 1
-        self._quiet_until = now + 3 * beat_s + 1  # nothing expires before
+        self._quiet_until = now + 3 * beat_s + 1  # no record expires before
         self._young_until = self._quiet_until
         self._in_touch = True
         self.records: dict[str, Backend] = {}
-        self._heard: dict[str, float] = {}  # by any controller
-        self._heard_seq: dict[
-            str, int
-        ] = {}  # call_seq of heartbeats that others heard; what they said isn't known here
-        self._own: dict[str, float] = {}  # by this one, since it last told the others
-        self._ended: dict[str, float] = {}  # when gone or lost, in order
-        self._at: dict[str, str] = {}  # address: id of who was last said to have it
-        self._news: dict[str, Backend] = {}
-        self.limits: Limits = {}  # of the services whose cold backends bear few requests
+        self._heard: dict[str, float] = {}  # time of the newest heartbeat at any controller
+        # call_seq of the newest heartbeat at another controller, whose content is unknown here
+        self._heard_seq: dict[str, int] = {}
+        self._own: dict[str, float] = {}  # heartbeats received here and not yet reported to other controllers
+        self._ended: dict[str, float] = {}  # time at which a record became gone or lost, in order
+        self._id_by_address: dict[str, str] = {}  # backend last known at an address
+        self._changed: dict[str, Backend] = {}
+        self.limits: Limits = {}  # of the services that limit requests to cold backends
         self._cold_until: dict[str, float] = {}  # of backends of these services
-        self._strays: dict[str, int] = {}  # call_seq of those that a proxy was told to be lost though unknown here
-        self.wrong_losses = 0  # reports of heartbeats from before their backend was held for lost here
+        self._strays: dict[str, int] = {}  # call_seq of backends reported as lost to a proxy because unknown here
+        self.wrong_losses = 0  # reports of heartbeats that were older than the loss of their backend here
 
     def heartbeat(self, now: float, backend_id: str, body: bytes) -> Backend:
-        """Take a heartbeat; the record that now holds. Raises BadHeartbeat."""
+        """Process a heartbeat and return the backend's record after it. Raises BadHeartbeat."""
         record = read_heartbeat(backend_id, body)
         old = self.records.get(backend_id)
         if old is None or record.call_seq >= old.call_seq:
             self._heard[backend_id] = self._own[backend_id] = now
-        before = self._at.get(record.address)
+        before = self._id_by_address.get(record.address)
         if old is None and before is not None and before != backend_id:
-            self._lose(now, before)  # the address has passed to a new incarnation: the old one can't be there
+            self._lose(now, before)  # another backend has this address now, so the earlier one no longer exists
         self._apply(now, record)
         self._correct_stray(backend_id)
         return self.records[backend_id]
 
     def leave(self, now: float, backend_id: str) -> Backend:
-        """It says that it ends; the record that now holds. One never heard of here may be ready elsewhere: its end is
-        recorded by its id alone, so that it can be told to all others."""
+        """Process a backend's leave and return its record after it.
+
+        A backend that is unknown here may be ready at other controllers, so its end is recorded by id alone and
+        reported to them.
+        """
         old = self.records.get(backend_id)
         if old is None:
             self._apply(now, Backend(backend_id, "", "", "", "", 1, "gone", 0))
@@ -131,23 +133,28 @@
         return self.records[backend_id]
 
     def merge(self, now: float, records: Iterable[Backend]) -> None:
-        """Records from another controller. What it has older than here, and differently, is told again."""
+        """Merge records from another controller; report records again of which it holds an older, different state."""
         for record in records:
             old = self.records.get(record.id)
             if not self._apply(now, record) and old is not None and old.phase != record.phase:
-                self._news[old.id] = self._as_heard(old)
+                self._changed[old.id] = self._as_heard(old)
             self._correct_stray(record.id)
 
     def restore(self, now: float, records: Iterable[Backend]) -> None:
-        """What this controller knew in its life before, from its disk. Whoever was heard since knows better; who does
-        not beat again is lost as usual."""
+        """Load the records that an earlier process of this controller stored on disk.
+
+        Newer records replace them; a backend that sends no more heartbeats is lost as usual.
+        """
         for record in records:
             self._apply(now, record)
 
     def merge_proxy_records(self, now: float, records: Iterable[Backend], hears_all: bool) -> list[Backend]:
-        """Records from a proxy that has just come. What is unknown here is learnt while this controller is young, or
-        doesn't hear all others (``hears_all`` is false): it is lost as usual if nobody hears it. Else this controller
-        knows better, and returns it as lost, for that proxy alone. What the proxy holds for lost is hearsay."""
+        """Merge the records of a proxy that has just connected; return the strays, for that proxy alone.
+
+        An unknown backend is adopted while this controller has only just started, or does not hear all others
+        (``hears_all`` is false); it is lost as usual if no controller receives its heartbeats. Otherwise it is a stray,
+        returned as lost. Records that the proxy considers lost are ignored, as they are not first-hand.
+        """
         stray: list[Backend] = []
         knows_all = hears_all and now >= self._young_until
         for record in records:
@@ -162,57 +169,63 @@
         return stray
 
     def _note_stray(self, record: Backend) -> None:
-        told = max(record.call_seq, self._strays.pop(record.id, 0))
-        self._strays[record.id] = told
-        while len(self._strays) > STRAYS_MOST:
+        call_seq = max(record.call_seq, self._strays.pop(record.id, 0))
+        self._strays[record.id] = call_seq
+        while len(self._strays) > MAX_STRAYS:
             del self._strays[next(iter(self._strays))]
 
     def _correct_stray(self, backend_id: str) -> None:
-        """One that a proxy was told to be lost beats: that is news, though for all others nothing may have changed."""
+        """Report a stray that sends heartbeats: a proxy was told that it is lost, even if no other process was."""
         record = self.records.get(backend_id)
         if backend_id not in self._strays or record is None:
             return
         newest = self._as_heard(record)
-        if record.phase not in LIVING:
+        if record.phase not in LIVE_PHASES:
             del self._strays[backend_id]
         elif newest.call_seq > self._strays[backend_id]:
             del self._strays[backend_id]
-            self._news[backend_id] = newest
+            self._changed[backend_id] = newest
 
     def heard(self, now: float, heard: Iterable[tuple[str, int, int]]) -> tuple[str, ...]:
-        """Another controller heard these: id, call_seq, age in ms. Returns the ids whose records it should send: this
-        one has none, or holds them for lost though they beat."""
-        asks: list[str] = []
+        """Process heartbeats that another controller received: id, call_seq, age in ms.
+
+        Returns the ids whose records that controller should send: those unknown here, or lost here although they send
+        heartbeats.
+        """
+        requested: list[str] = []
         for backend_id, call_seq, age_ms in heard:
             old, at = self.records.get(backend_id), now - age_ms / 1000
             if old is None:
-                asks.append(backend_id)
+                requested.append(backend_id)
             elif old.phase == "lost" and call_seq > old.call_seq:
-                asks.append(backend_id)
+                requested.append(backend_id)
                 self.wrong_losses += at <= self._ended[backend_id]
-            elif old.phase in LIVING and call_seq >= self._as_heard(old).call_seq:
+            elif old.phase in LIVE_PHASES and call_seq >= self._as_heard(old).call_seq:
                 self._heard[backend_id] = max(self._heard.get(backend_id, 0.0), at)
                 self._heard_seq[backend_id] = call_seq
                 self._correct_stray(backend_id)
-        return tuple(asks)
+        return tuple(requested)
 
     def records_of(self, ids: Iterable[str]) -> tuple[Backend, ...]:
-        """The records of these backends, as far as there are any."""
+        """Return the records of those backends that are known."""
         return tuple(record for backend_id in ids if (record := self.records.get(backend_id)) is not None)
 
     def pop_heard(self, now: float) -> tuple[tuple[str, int, int], ...]:
-        """Who was heard here since last asked, for the other controllers."""
-        told = tuple(
+        """Return the heartbeats received here since the last call, to report to the other controllers."""
+        heard = tuple(
             (backend_id, self.records[backend_id].call_seq, max(0, int((now - at) * 1000)))
             for backend_id, at in self._own.items()
             if backend_id in self.records
         )
         self._own.clear()
-        return told
+        return heard
 
     def expire(self, now: float, in_touch: bool = True) -> list[Backend]:
-        """Records whose heartbeats ceased, now lost. Nothing expires while this controller is out of touch with most
-        of the others (``in_touch`` is false): who beats may be heard by them."""
+        """Mark backends without recent heartbeats as lost, and return their records.
+
+        Nothing expires while this controller has no contact with most of the others (``in_touch`` is false), since they
+        may receive the heartbeats.
+        """
         if in_touch and not self._in_touch:
             self._quiet_until = max(self._quiet_until, now + REJOIN_GRACE_S)
         self._in_touch = in_touch
@@ -226,23 +239,25 @@
 
     @property
     def heard_at(self) -> Mapping[str, float]:
-        """When the newest heartbeat of each backend that isn't over was received, by any controller."""
+        """Time of the newest heartbeat of each live backend, received by any controller."""
         return self._heard
 
     def is_current(self, now: float) -> bool:
-        """Whether a backend that isn't known here is known not to be there: most controllers have been heard for long
-        enough since this one started, and since it last was without them."""
+        """Return whether the registry is complete, so that an unknown backend does not exist.
+
+        That is so once most controllers have been heard for long enough since this one started or last lost contact.
+        """
         return self._in_touch and now >= self._quiet_until
 
     def zone_returned(self, now: float, zone: str) -> None:
-        """A zone is taken back from an evacuation: its backends may have turned cold shortly before."""
+        """Mark the backends of a zone as cold after its evacuation: they may have turned cold shortly before."""
         for record in self.records.values():
             limit = self.limits.get(record.target)
-            if limit is not None and record.zone == zone and record.phase in LIVING:
+            if limit is not None and record.zone == zone and record.phase in LIVE_PHASES:
                 self._keep_cold(now, record.id, now + limit.cold_s)
 
     def cold(self, now: float) -> list[ColdBackend]:
-        """The backends that are cold, of services with a limit."""
+        """Return the cold backends of services with a limit."""
         self._cold_until = {backend_id: until for backend_id, until in self._cold_until.items() if until > now}
         return [
             ColdBackend(backend_id, limit, until)
@@ -253,7 +268,7 @@
         ]
 
     def as_of(self, now: float, records: Iterable[Backend]) -> tuple[Backend, ...]:
-        """Records as they are to be told now: how long a backend is cold still is kept apart from its record."""
+        """Return the records with the remaining cold time as of now, which is stored apart from the records."""
         if not self._cold_until:
             return tuple(records)
         return tuple(
@@ -261,13 +276,13 @@
         )
 
     def changes(self) -> tuple[Backend, ...]:
-        """The records that are news since last asked."""
-        news = tuple(self._news.values())
-        self._news.clear()
-        return news
+        """Return the records that changed since the last call."""
+        changed = tuple(self._changed.values())
+        self._changed.clear()
+        return changed
 
     def has_ended(self, records: Iterable[Backend]) -> bool:
-        """Whether each of these that drains or is gone does so here too."""
+        """Return whether each of these backends that is draining or gone is so here, too."""
         return all(
             (known := self.records.get(record.id)) is not None and known.phase in ENDING_PHASES
             for record in records
@@ -275,27 +290,27 @@
         )
 
     def endings(self) -> tuple[Backend, ...]:
-        """The records of all that drain or are gone, the last minute's."""
+        """Return the records of backends that are draining or, within the last minute, gone."""
         return tuple(record for record in self.records.values() if record.phase in ENDING_PHASES)
 
     def all_records(self) -> tuple[Backend, ...]:
-        """All records, ends of the last minute too."""
+        """Return all records, including backends that ended within the last minute."""
         return tuple(self.records.values())
 
     def _lose(self, now: float, backend_id: str) -> bool:
         old = self.records.get(backend_id)
-        if old is None or old.phase not in LIVING:
+        if old is None or old.phase not in LIVE_PHASES:
             return False
-        phase = "gone" if old.phase == "draining" else "lost"  # a drain is never taken back
+        phase = "gone" if old.phase == "draining" else "lost"  # a drain is never revoked
         return self._apply(now, msgspec.structs.replace(self._as_heard(old), phase=phase))
 
     def _as_heard(self, record: Backend) -> Backend:
-        """The record with the number of the newest heartbeat, whoever heard it: it contradicts a loss of before."""
+        """Return the record with the call_seq of its newest heartbeat anywhere, which overrides an earlier loss."""
         call_seq = self._heard_seq.get(record.id, record.call_seq)
         return msgspec.structs.replace(record, call_seq=call_seq) if call_seq > record.call_seq else record
 
     def _apply(self, now: float, record: Backend) -> bool:
-        """The one function that changes a record."""
+        """Apply a record; return whether it replaced the old one. The only function that changes records."""
         old = self.records.get(record.id)
         is_taken = self._replace(now, old, replace_cold_left(record, 0.0))
         if record.cold_left_ms > 0 and (old is None or record.call_seq >= old.call_seq):
@@ -304,25 +319,25 @@
 
     def _observe_cold(self, now: float, record: Backend) -> None:
         known = self.records.get(record.id)
-        if known is not None and known.phase in LIVING and known.target in self.limits:
+        if known is not None and known.phase in LIVE_PHASES and known.target in self.limits:
             self._keep_cold(now, record.id, now + record.cold_left_ms / MS_PER_S)
 
     def _keep_cold(self, now: float, backend_id: str, until: float) -> None:
-        if until > max(now, self._cold_until.get(backend_id, now)) + COLD_NEWS_S:
+        if until > max(now, self._cold_until.get(backend_id, now)) + MIN_COLD_EXTENSION_S:
             self._cold_until[backend_id] = until
-            self._news[backend_id] = self.records[backend_id]
+            self._changed[backend_id] = self.records[backend_id]
 
     def _replace(self, now: float, old: Backend | None, record: Backend) -> bool:
-        """Put the record in the place of the old one, unless that is the newer."""
+        """Replace the old record, unless it is newer."""
         if not newer(self._as_heard(old) if old is not None and record.phase == "lost" else old, record):
             return False
-        if old is not None and not record.address:  # an end told by a controller that knew the id alone
+        if old is not None and not record.address:  # an end reported by a controller that knew only the id
             record = msgspec.structs.replace(old, phase=record.phase)
         elif old is not None and record.call_seq < old.call_seq:
             record = msgspec.structs.replace(record, call_seq=old.call_seq)
         self.records[record.id] = record
         if is_material_change(old, record):
-            self._news[record.id] = record
+            self._changed[record.id] = record
         if record.phase in {"gone", "lost"}:
             self._heard.pop(record.id, None)
             self._heard_seq.pop(record.id, None)
@@ -330,20 +345,20 @@
             if old is None or old.phase != record.phase:
                 self._ended.pop(record.id, None)
                 self._ended[record.id] = now
-            if self._at.get(record.address) == record.id:
-                del self._at[record.address]
+            if self._id_by_address.get(record.address) == record.id:
+                del self._id_by_address[record.address]
         else:
             self._ended.pop(record.id, None)
             self._heard.setdefault(record.id, now)
-            self._at[record.address] = record.id
+            self._id_by_address[record.address] = record.id
         return True
 
     def _forget(self, now: float) -> None:
         while self._ended:
             oldest = next(iter(self._ended))
-            if len(self._ended) <= TOMBSTONES_MOST and now - self._ended[oldest] < TOMBSTONE_S:
+            if len(self._ended) <= MAX_TOMBSTONES and now - self._ended[oldest] < TOMBSTONE_S:
                 return
             del self._ended[oldest]
             self._cold_until.pop(oldest, None)
             self.records.pop(oldest, None)
-            self._news.pop(oldest, None)
+            self._changed.pop(oldest, None)
--- a/cranebank/control/warm_up.py
+++ b/cranebank/control/warm_up.py
@@ -1,22 +1,23 @@
-"""Leases of permits for requests to cold backends, as one controller gives them out: the core, free of I/O.
-
-Guarantee: the permits for one backend that any proxies may use within one second are ``most`` or fewer, summed over all
-controllers, where ``most`` = floor(min(warmup_per_s x PERMIT_REUSE_INTERVAL_S, warmup_per_s x cold_over + cold_slack)).
-Since one permit stands for one request a second at most, and for one in PERMIT_REUSE_INTERVAL_S in the long run
-(``membership/warm_up.py``), requests under permits stay within the rule's bound, and within warmup_per_s on average.
-
-- Each controller leases its own share only, of which no other has to know: ``most`` divided by the number of known
-  controllers. As many count at least as bear the tolerated losses (twice those and one), and three at least: one that
-  has just come and knows few takes no more. The rest goes one each to the lowest addresses (as text), where this
-  controller knows as many as count.
-- A lease is bound to the proxy's clock as the proxy told it last, so it ends ``lease_s`` after that telling, however
-  late the message with the permits comes or the proxy looks at it. A frozen proxy, link or controller can't stretch it.
-- This controller leases the same permits anew only ``lease_s + PERMIT_RELEASE_DELAY_S`` after it gave them: the last
+"""Leases of permits for requests to cold backends, as issued by one controller: the core, free of I/O.
+
+Guarantee: at most ``most`` permits for one backend are usable by all proxies within one second, summed over all
+controllers, where ``most`` =
+floor(min(warmup_per_s x PERMIT_REUSE_INTERVAL_S, warmup_per_s x cold_over + cold_slack)). Since one permit allows at
+most one request a second, and one per PERMIT_REUSE_INTERVAL_S in the long run (``membership/warm_up.py``), requests
+under permits stay within the rule's bound, and within warmup_per_s on average.
+
+- Each controller leases only its own share, without coordination: ``most`` divided by the number of known controllers.
+  The divisor is at least the group size for the tolerated losses (twice their number plus one) and at least three, so
+  that a controller that has just started and knows few others takes no larger share. The remainder goes to the lowest
+  addresses (as text), one permit each, if this controller knows as many controllers as the divisor.
+- A lease is bound to the proxy's clock as last reported by the proxy, so it ends ``lease_s`` after that report, however
+  late the message with the permits arrives or the proxy reads it. A frozen proxy, link or controller cannot extend it.
+- This controller leases the same permits again only ``lease_s + PERMIT_RELEASE_DELAY_S`` after it issued them: the last
   request under the earlier lease was then written more than a second before.
-- A controller that starts gives out nothing until all leases of an earlier life are over; the same span covers one
-  that takes the place of a dead one.
-- A takeover of the lead changes nothing: leader or not, each controller leases its share. A cut takes permits away
-  (those of a controller without proxies), and never adds any.
+- A controller that starts issues no permits until all leases of an earlier process are over; the same time covers a
+  controller that replaces a failed one.
+- A takeover changes nothing: each controller leases its share, primary or not. A network partition removes permits
+  (those of a controller without proxies) and never adds any.
 """
 
 from __future__ import annotations
@@ -34,13 +35,13 @@
 )
 from cranebank.transport.messages import WarmUpPermits
 
-CONTROLLERS_LEAST = 3  # that count, however few are known
-CLOCK_MAX_AGE_S = 1.0  # a proxy whose clock was told longer ago gets no permits: two of its heartbeats are missing
-WORTH_S = 0.1  # what is cold for less gets no permits
+MIN_CONTROLLERS = 3  # smallest divisor of the permits, however few controllers are known
+CLOCK_MAX_AGE_S = 1.0  # a proxy whose clock was reported longer ago gets no permits: it has missed two heartbeats
+MIN_COLD_S = 0.1  # a backend that is cold for less gets no permits
 
 
 class ColdBackend(NamedTuple):
-    """A backend that is cold until a time of this controller's clock."""
+    """A backend that is cold until a time of this controller's clock, and the limit of its service."""
 
     id: str
     limit: WarmUpLimit
@@ -48,7 +49,7 @@
 
 
 class RateBound(NamedTuple):
-    """The rule's figures: requests a second stay within ``warmup_per_s x over + slack``."""
+    """Bound on requests within one second: ``warmup_per_s x over + slack``."""
 
     over: float
     slack: float
@@ -60,42 +61,44 @@
 
 
 def max_permits(limit: WarmUpLimit, bound: RateBound) -> int:
-    """The permits for one backend, over all controllers: no more than its rate allows over the time that a permit is in
-    use, and no more than the rule's bound allows within one second."""
+    """Return the number of permits for one backend over all controllers.
+
+    It exceeds neither what the backend's rate allows over the duration of a permit, nor the bound within one second.
+    """
     return int(min(limit.per_s * PERMIT_REUSE_INTERVAL_S, limit.per_s * bound.over + bound.slack))
 
 
 class PermitIssuer:
-    """The permits of one controller. Times are a steady clock's seconds."""
+    """Issuer of the permits of one controller. Times are seconds of a monotonic clock."""
 
     def __init__(self, now: float, random: Random, ip: str, tolerated_losses: int, bound: RateBound) -> None:
         self._random, self._ip, self._bound = random, ip, bound
-        self._controllers_least = max(2 * tolerated_losses + 1, CONTROLLERS_LEAST)
+        self._min_controllers = max(2 * tolerated_losses + 1, MIN_CONTROLLERS)
         self._quiet_until = now + MAX_PERMIT_LEASE_S + PERMIT_RELEASE_DELAY_S
-        self._clocks: dict[Hashable, _Clock] = {}  # of the proxies that are linked
-        self._leased: dict[str, float] = {}  # by backend: when its permits may be leased anew
+        self._clocks: dict[Hashable, _Clock] = {}  # of the linked proxies
+        self._leased: dict[str, float] = {}  # time from which a backend's permits may be leased again
 
     def report_clock(self, now: float, link: Hashable, clock: float) -> None:
-        """The proxy on this link told its clock."""
+        """Record the clock that the proxy on this link reported."""
         self._clocks[link] = _Clock(now, clock)
 
     def forget(self, link: Hashable) -> None:
-        """A link is over; what was leased over it runs out."""
+        """Drop the clock of a closed link; permits leased over it expire."""
         self._clocks.pop(link, None)
 
     def share(self, limit: WarmUpLimit, controllers: Set[str]) -> int:
-        """This controller's permits for one backend, where these controllers are known."""
+        """Return this controller's number of permits for one backend, given the known controllers."""
         most = max_permits(limit, self._bound)
         known = sorted(controllers | {self._ip})
-        count = max(len(known), self._controllers_least)
-        has_rest = len(known) >= self._controllers_least and known.index(self._ip) < most % count
+        count = max(len(known), self._min_controllers)
+        has_rest = len(known) >= self._min_controllers and known.index(self._ip) < most % count
         return most // count + has_rest
 
     def hand_out(
         self, now: float, cold: Iterable[ColdBackend], controllers: Set[str]
     ) -> list[tuple[Hashable, WarmUpPermits]]:
-        """Lease the permits of those cold backends whose permits are not leased, to proxies drawn by lot: by link,
-        the message to send."""
+        """Lease the permits of cold backends that have none leased to randomly drawn proxies; return the messages to
+        send, with their links."""
         if now < self._quiet_until:
             return []
         self._leased = {backend: until for backend, until in self._leased.items() if until > now}
@@ -105,12 +108,12 @@
         out: list[tuple[Hashable, WarmUpPermits]] = []
         for backend in cold:
             share = self.share(backend.limit, controllers)
-            if share > 0 and backend.id not in self._leased and backend.until - now >= WORTH_S:
+            if share > 0 and backend.id not in self._leased and backend.until - now >= MIN_COLD_S:
                 out += self._lease(now, backend, self._draw(links, share))
         return out
 
     def _draw(self, links: list[Hashable], count: int) -> Counter[Hashable]:
-        """So many permits over the links, as evenly as can be."""
+        """Distribute a number of permits over the links as evenly as possible, the remainder at random."""
         each, rest = divmod(count, len(links))
         drawn = Counter(dict.fromkeys(links, each) if each else {})
         drawn.update(self._random.sample(links, rest))
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -13,8 +13,8 @@
 from cranebank.control.delivery import (
     BACKUP_PUSH_DELAY_S,
     CONTROLLER_PUSH_DELAY_S,
-    NEIGHBOURS,
-    WELCOME_S,
+    MAX_NEIGHBOURS,
+    WELCOME_INTERVAL_S,
     Delivery,
     PendingAcks,
 )
@@ -248,9 +248,9 @@
         join(delivery, 10, number)
     assert sum(isinstance(message, Welcome) for _, message in delivery.pop_messages()) == 12
     delivery.tick(10)
-    delivery.tick(10 + WELCOME_S / 2)
+    delivery.tick(10 + WELCOME_INTERVAL_S / 2)
     assert delivery.pop_messages() == []
-    delivery.tick(10 + WELCOME_S)
+    delivery.tick(10 + WELCOME_INTERVAL_S)
     rounds = [message for _, message in delivery.pop_messages() if isinstance(message, Welcome)]
     assert len(rounds) == 12
     assert {message.proxies for message in rounds} == {12}
@@ -326,18 +326,18 @@
 
 def test_nobody_is_named_its_own_neighbour() -> None:
     delivery = made()
-    for number in range(NEIGHBOURS + 30):
+    for number in range(MAX_NEIGHBOURS + 30):
         join(delivery, 10, number)
     delivery.tick(10)
     delivery.pop_messages()
-    delivery.tick(10 + WELCOME_S)
+    delivery.tick(10 + WELCOME_INTERVAL_S)
     for link, message in delivery.pop_messages():
         assert isinstance(message, Welcome)
-        assert len(set(message.neighbours)) == NEIGHBOURS and f"10.0.0.{link}" not in message.neighbours
+        assert len(set(message.neighbours)) == MAX_NEIGHBOURS and f"10.0.0.{link}" not in message.neighbours
 
 
 def test_changes_that_a_silent_proxy_never_acknowledges_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(delivery_module, "MOST_PENDING", 3)
+    monkeypatch.setattr(delivery_module, "MAX_PENDING", 3)
     delivery = made(1)
     awaited = [delivery.await_revision(revision) for revision in range(1, 9)]
     pushed = [delivery.push_backends((backend(str(number)),)) for number in range(8)]
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -289,7 +289,7 @@
 
 
 def test_backends_that_proxies_were_told_to_be_lost_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registry_module, "STRAYS_MOST", 3)
+    monkeypatch.setattr(registry_module, "MAX_STRAYS", 3)
     registry = Registry(0, BEAT_S)
     strays = [msgspec.structs.replace(PROXY_RECORDS[0], id=f"a{number}") for number in range(10)]
     registry.merge_proxy_records(QUIET_S + 1, strays, hears_all=True)
@@ -313,7 +313,7 @@
     assert phases(registry) == {"i": "gone"}
     registry.expire(11 + TOMBSTONE_S)
     assert phases(registry) == {}
-    monkeypatch.setattr(registry_module, "TOMBSTONES_MOST", 3)
+    monkeypatch.setattr(registry_module, "MAX_TOMBSTONES", 3)
     for number in range(9):
         registry.heartbeat(100, str(number), beat(1, address=f"10.0.0.{number}:80"))
         registry.leave(100, str(number))
