--- a/cranebank/control/load_table.py
+++ b/cranebank/control/load_table.py
@@ -1,7 +1,7 @@
-"""What proxies ask of each stage of each service, as they told it last: the core, free of I/O.
+"""Load of each stage of each service, from the proxies' last reports: the core, free of I/O.
 
-Every controller keeps it, so that one that becomes primary knows the load at once. A proxy tells its load with each of
-its heartbeats; one that is silent, or whose link is over, counts no longer.
+Every controller keeps this table, so that a new primary knows the load at once. A proxy reports its load with each of
+its heartbeats; the report of a silent or disconnected proxy no longer counts.
 """
 
 from __future__ import annotations
@@ -10,30 +10,30 @@
 
 from cranebank.transport.messages import StageLoad
 
-VALID_S = 2.0  # a proxy's load counts for so long: some of its heartbeats may be late
+LOAD_TTL_S = 2.0  # how long a proxy's report counts: some of its heartbeats may be late
 
 
 class LoadTable:
-    """By link, so bounded by the proxies that are linked and by what one tells. Times are a steady clock's seconds."""
+    """Reports by link, so bounded by the linked proxies and by the size of a report. Times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self._told: dict[Hashable, tuple[float, tuple[StageLoad, ...]]] = {}
+        self._reports: dict[Hashable, tuple[float, tuple[StageLoad, ...]]] = {}
 
     def report(self, now: float, link: Hashable, loads: tuple[StageLoad, ...]) -> None:
-        """A proxy tells its load."""
+        """Replace the report of the proxy on this link."""
         if loads:
-            self._told[link] = now, loads
+            self._reports[link] = now, loads
         else:
-            self._told.pop(link, None)
+            self._reports.pop(link, None)
 
     def forget(self, link: Hashable) -> None:
-        """A link is over."""
-        self._told.pop(link, None)
+        """Drop the report of a closed link."""
+        self._reports.pop(link, None)
 
     def total(self, now: float) -> dict[str, StageLoad]:
-        """The load of each service, summed over the proxies."""
-        self._told = {link: told for link, told in self._told.items() if now - told[0] <= VALID_S}
-        return _sum(load for _, loads in self._told.values() for load in loads)
+        """Return the load of each service, summed over the proxies."""
+        self._reports = {link: report for link, report in self._reports.items() if now - report[0] <= LOAD_TTL_S}
+        return _sum(load for _, loads in self._reports.values() for load in loads)
 
 
 def _sum(loads: Iterable[StageLoad]) -> dict[str, StageLoad]:
--- a/cranebank/control/stage_events.py
+++ b/cranebank/control/stage_events.py
@@ -1,4 +1,4 @@
-"""What the stage balancer is told, and what it asks for: its inputs, events and actions."""
+"""Inputs, events and actions of the stage balancer."""
 
 from __future__ import annotations
 
@@ -12,21 +12,24 @@
 
 
 class Stage(StrEnum):
-    """The part of a request that a backend does."""
+    """The part of a request that a backend processes."""
 
     PREFILL = "prefill"
     DECODE = "decode"
 
     @property
     def other(self) -> Stage:
-        """The stage that a backend of this one can be ordered to."""
+        """The stage to which a backend of this stage can be ordered."""
         return Stage.DECODE if self is Stage.PREFILL else Stage.PREFILL
 
 
 class Authority(msgspec.Struct, frozen=True):
-    """Whether this controller is the primary by a lease that runs now, the epoch at which it took over, and the newest
-    epoch, which is the fence of its orders. ``recorded``: the orders that the replicated record names, stage by
-    backend; None where it was written by a version that names none."""
+    """Authority of this controller to send orders.
+
+    ``holds_lease``: it is the primary under a valid lease; ``term``: the epoch at which it took over; ``fence``: the
+    newest epoch, the fencing number of its orders; ``recorded``: the orders that the replicated record names, stage by
+    backend, None if the record was written by a version without them.
+    """
 
     holds_lease: bool
     term: int = -1
@@ -35,14 +38,14 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service that requests are routed to; a change of a backend's stage takes ``switch_s``."""
+    """A routed service; a backend takes ``switch_s`` to change its stage."""
 
     name: str
     switch_s: float = 1.0
 
 
 class Order(msgspec.Struct, frozen=True):
-    """The body of ``POST /api/order``. ``expected`` is the number of orders that the backend has taken so far."""
+    """The body of ``POST /api/order``. ``expected`` is the number of orders that the backend has accepted so far."""
 
     stage: str
     owner: str
@@ -55,9 +58,9 @@
 
 
 class Observation(msgspec.Struct, frozen=True):
-    """How things stand now: the services by name, the registry's records by the backend's id, and when the newest
-    heartbeat of each was received by any controller. ``is_registry_current``: a backend that has no record isn't there.
-    ``loads``: what proxies ask of each service's stages, as far as it is known.
+    """A snapshot of the services by name, the registry's records by backend id, and the times of their newest
+    heartbeats at any controller. ``is_registry_current``: a backend without a record does not exist. ``loads``: the
+    load of each service's stages by the proxies' reports, as far as known.
     """
 
     authority: Authority
@@ -69,14 +72,14 @@
 
 
 class Connected(msgspec.Struct, frozen=True):
-    """The connection for an order stands; ``authority`` as it is now. Where no Transmit is the answer, it is closed."""
+    """The connection for an order is open; ``authority`` is the present one. Without Transmit, it is closed again."""
 
     number: int
     authority: Authority
 
 
 class NotConnected(msgspec.Struct, frozen=True):
-    """There is no connection: nothing was sent."""
+    """The connection failed; nothing was sent."""
 
     number: int
 
@@ -89,7 +92,7 @@
 
 
 class Unanswered(msgspec.Struct, frozen=True):
-    """No whole answer to an order came in time: it may have been taken."""
+    """No complete answer to an order came in time; the backend may have accepted it."""
 
     number: int
 
@@ -115,21 +118,21 @@
 
 
 class Connect(msgspec.Struct, frozen=True):
-    """Connect to a backend, and tell Connected or NotConnected."""
+    """Connect to a backend, then pass Connected or NotConnected."""
 
     number: int
     backend: Backend
 
 
 class Transmit(msgspec.Struct, frozen=True):
-    """Write this order on the connection, with nothing awaited before; tell Answered or Unanswered."""
+    """Write this order on the connection without awaiting anything before; then pass Answered or Unanswered."""
 
     number: int
     order: Order
 
 
 class AskReport(msgspec.Struct, frozen=True):
-    """Ask a backend for its report; tell Reported or Unreported."""
+    """Request a backend's report, then pass Reported or Unreported."""
 
     number: int
     backend: Backend
--- a/cranebank/control/stage_order.py
+++ b/cranebank/control/stage_order.py
@@ -1,4 +1,4 @@
-"""The order to one backend to change its stage: its states, and how long it may last. No clock, no I/O."""
+"""States and time limits of an order to a backend to change its stage. No clock, no I/O."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from cranebank.control.stage_events import Stage
 from cranebank.transport.messages import Backend
 
-FINISH_S = 10.0  # for what runs at a backend to reach its end before the switch begins
+DRAIN_TIMEOUT_S = 10.0  # for running requests of a backend to finish before it switches
 
 
 class OrderState(Enum):
-    """Of the order to one backend; a backend without one is idle."""
-
-    INTENDED = "intended"  # a successor does not know of it yet: nothing may be sent
-    CONNECTING = "connecting"  # the replicated record names it; nothing was sent
-    SENT = "sent"  # no answer yet
-    UNKNOWN = "unknown"  # it may have been taken
-    REPORTING = "reporting"  # the backend is asked what became of it
-    SWITCHING = "switching"  # it was taken; the heartbeats show the old stage still
+    """State of an order to a backend; a backend without an order is idle."""
+
+    INTENDED = "intended"  # not in the replicated record yet, so a successor would not know it: must not be sent
+    CONNECTING = "connecting"  # named by the replicated record, not sent
+    SENT = "sent"  # not answered yet
+    UNKNOWN = "unknown"  # the backend may have accepted it
+    REPORTING = "reporting"  # the backend's report was requested to learn the outcome
+    SWITCHING = "switching"  # accepted; the heartbeats still show the old stage
     OVER = "over"
 
 
@@ -33,10 +33,10 @@
     OrderState.OVER: frozenset(),
 }
 
-AWAITED = frozenset({OrderState.SENT, OrderState.REPORTING, OrderState.SWITCHING})
-ACCEPTED = frozenset({200, 202})  # it holds already, or is being done
-OUTDATED_FENCE = 412  # the backend has seen a higher one: another controller has become primary since
-REFUSED = frozenset({400, 404, 405, OUTDATED_FENCE, 421})  # it was not taken, and would not be if it were sent again
+AWAITING_STATES = frozenset({OrderState.SENT, OrderState.REPORTING, OrderState.SWITCHING})
+ACCEPTED_STATUSES = frozenset({200, 202})  # the backend has this stage already, or switches to it
+OUTDATED_FENCE_STATUS = 412  # the backend has seen a higher fence: another controller has become primary since
+REFUSED_STATUSES = frozenset({400, 404, 405, OUTDATED_FENCE_STATUS, 421})  # refused, and a repetition would be, too
 
 
 class BackendOrder:
@@ -47,14 +47,14 @@
     def __init__(self, number: int, now: float, backend: Backend, stage: Stage, switch_s: float) -> None:
         self.number, self.backend, self.stage, self.switch_s = number, backend, stage, switch_s
         self.state = OrderState.INTENDED
-        self.fence = -1  # that it was sent with
+        self.fence = -1  # with which the order was sent
         self.began_at = self.changed_at = now
 
     @property
     def overdue_s(self) -> float:
-        """After so long a switch should be over."""
-        return self.switch_s + FINISH_S
+        """Seconds within which a switch should be complete."""
+        return self.switch_s + DRAIN_TIMEOUT_S
 
     def blocks(self, now: float) -> bool:
-        """Whether no other backend of the service is ordered meanwhile."""
+        """Return whether this order still counts against the concurrent orders of its service."""
         return now - self.began_at < self.overdue_s
--- a/tests/mutants_control.py
+++ b/tests/mutants_control.py
@@ -221,7 +221,7 @@
         Point.OTHER,
         "a wait that ends late counts again",
         "control/stage_balancer.py",
-        "if order.state is awaited_in:",
+        "if order.state is expected_state:",
         "if True:",
         "test_stage_balancer.py",
     ),
--- a/tests/test_order_intents.py
+++ b/tests/test_order_intents.py
@@ -13,7 +13,7 @@
 
 from cranebank.control import events as ev
 from cranebank.control.epochs import DurableState, EpochRecord, OrderIntent, initial_record
-from cranebank.control.order_intents import MOST_INTENTS, OrderIntents
+from cranebank.control.order_intents import MAX_INTENTS, OrderIntents
 from cranebank.control.stage_events import Stage
 from cranebank.control.stage_order import BackendOrder
 from cranebank.fleetlab import model as m
@@ -118,7 +118,7 @@
         if kind == "term":
             holder = 1 - holder
             holders[holder].begin_term(now, recorded)
-        elif kind == "send" and holders[holder].is_turn(now, f"i-{number}"):
+        elif kind == "send" and holders[holder].may_order(now, f"i-{number}"):
             holders[holder].sent(now, order(number, now))
             former, at = last.get(f"i-{number}", (holder, float("-inf")))
             assert former == holder or now - at >= WAIT_S - 1e-9
@@ -130,19 +130,19 @@
     known = OrderIntents(WAIT_S)
     known.begin_term(10.0, None)
     assert known.wanted(10.0 + WAIT_S - 0.1, ()) is None
-    assert not known.is_turn(10.0 + WAIT_S - 0.1, "i-1")
+    assert not known.may_order(10.0 + WAIT_S - 0.1, "i-1")
     assert known.wanted(10.0 + WAIT_S, ()) == ()
 
 
 def test_the_intents_are_bounded() -> None:
     known = OrderIntents(WAIT_S)
     known.begin_term(0.0, {})
-    orders = [order(number, 0.0) for number in range(MOST_INTENTS)]
+    orders = [order(number, 0.0) for number in range(MAX_INTENTS)]
     assert known.has_room(0.0, orders[1:])
     assert not known.has_room(0.0, orders)
     for one in orders:
         known.sent(0.0, one)
-    assert len(known.wanted(WAIT_S - 0.1, ()) or ()) == MOST_INTENTS
+    assert len(known.wanted(WAIT_S - 0.1, ()) or ()) == MAX_INTENTS
     assert known.wanted(WAIT_S + 0.1, ()) == ()
 
 
--- a/tests/test_stage_balancer.py
+++ b/tests/test_stage_balancer.py
@@ -7,15 +7,15 @@
 
 from cranebank.control import stage_balancer
 from cranebank.control.stage_balancer import (
+    CONCURRENT_ORDERS_DIVISOR,
     CONFIRM_LOAD_S,
     CONFIRM_S,
-    CONNECT_LIMIT_S,
-    ORDERED_SHARE,
-    RECORD_LIMIT_S,
-    REFUSED_S,
-    REPORT_AFTER_S,
-    UNATTENDED_S,
-    UNFIT_S,
+    CONNECT_TIMEOUT_S,
+    MAX_UNATTENDED_S,
+    RECORD_TIMEOUT_S,
+    REFUSED_BACKOFF_S,
+    REPORT_DELAY_S,
+    UNREACHABLE_BACKOFF_S,
     BalancerSettings,
     StageBalancer,
 )
@@ -35,7 +35,7 @@
     Unanswered,
     Unreported,
 )
-from cranebank.control.stage_order import FINISH_S, OrderState
+from cranebank.control.stage_order import DRAIN_TIMEOUT_S, OrderState
 from cranebank.control.stage_policy import ServiceStages
 from cranebank.invariants import violations
 from cranebank.programs.settings import Bounds, NodeSettings
@@ -191,11 +191,11 @@
 def test_whom_a_former_primary_may_have_ordered_is_left_alone_until_its_orders_are_old() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.recorded = {"i-1": "decode", "i-2": "decode"}
-    reports = [action for action in bench.pass_time(REPORT_AFTER_S + LOOK_S) if isinstance(action, AskReport)]
+    reports = [action for action in bench.pass_time(REPORT_DELAY_S + LOOK_S) if isinstance(action, AskReport)]
     for report in reports:
         bench.tell(Reported(report.number, "prefill", False, 0))
     assert {report.backend.id for report in reports} == {"i-1", "i-2"}, "what became of the orders is asked at once"
-    asked_s = REPORT_AFTER_S + LOOK_S
+    asked_s = REPORT_DELAY_S + LOOK_S
     assert bench.pass_time(WAIT_S - asked_s - LOOK_S) == []
     assert bench.connect()
     bench.check()
@@ -204,7 +204,7 @@
 def test_an_order_of_a_former_primary_that_is_under_way_is_not_sent_again() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.recorded = {"i-1": "decode"}
-    (report,) = bench.pass_time(REPORT_AFTER_S + LOOK_S)
+    (report,) = bench.pass_time(REPORT_DELAY_S + LOOK_S)
     assert isinstance(report, AskReport)
     assert bench.tell(Reported(report.number, "prefill", True, 1)) == []
     assert set(bench.balancer.held(bench.now)) == {"i-1"}
@@ -218,7 +218,7 @@
 def test_where_a_former_primary_ordered_in_vain_another_backend_is_ordered_without_the_wait() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.recorded = {"i-1": "decode"}
-    (report,) = bench.pass_time(REPORT_AFTER_S + LOOK_S)
+    (report,) = bench.pass_time(REPORT_DELAY_S + LOOK_S)
     bench.tell(Reported(report.number, "prefill", False, 0))
     (connect,) = bench.pass_time(CONFIRM_S + 2 * LOOK_S)
     assert isinstance(connect, Connect) and connect.backend.id == "i-2"
@@ -238,7 +238,7 @@
 def test_an_order_is_not_sent_before_the_record_names_it() -> None:
     bench = Bench(backend("i-1", "prefill"))
     bench.records_intents = False
-    assert bench.pass_time(CONFIRM_S + RECORD_LIMIT_S - LOOK_S) == []
+    assert bench.pass_time(CONFIRM_S + RECORD_TIMEOUT_S - LOOK_S) == []
     assert bench.state() is OrderState.INTENDED
     bench.pass_time(2 * LOOK_S)
     assert bench.balancer.counts["not recorded"] == 1
@@ -291,7 +291,7 @@
 def test_an_order_that_took_long_to_connect_is_abandoned() -> None:
     bench = Bench(backend("i-1", "prefill"))
     connect = bench.connect()
-    bench.now += CONNECT_LIMIT_S + LOOK_S
+    bench.now += CONNECT_TIMEOUT_S + LOOK_S
     assert bench.tell(Connected(connect.number, PRIMARY)) == []
 
 
@@ -366,7 +366,7 @@
     assert isinstance(second, Connect)
     assert second.backend.id == "i-2"
     bench.tell(NotConnected(second.number))
-    assert bench.pass_time(UNFIT_S - 2 * LOOK_S) == []
+    assert bench.pass_time(UNREACHABLE_BACKOFF_S - 2 * LOOK_S) == []
     (third,) = bench.pass_time(3 * LOOK_S)
     assert isinstance(third, Connect)
     assert third.backend.id == "i-2"
@@ -376,7 +376,7 @@
 def test_a_backend_that_refused_is_asked_again_in_the_end() -> None:
     bench = Bench(backend("i-1", "prefill"))
     bench.tell(Answered(bench.transmit().number, 421))
-    assert bench.pass_time(REFUSED_S - 2 * LOOK_S) == []
+    assert bench.pass_time(REFUSED_BACKOFF_S - 2 * LOOK_S) == []
     assert bench.pass_time(3 * LOOK_S)
 
 
@@ -384,7 +384,7 @@
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     first = bench.transmit()
     bench.tell(Answered(first.number, 412))
-    assert bench.pass_time(REFUSED_S + 10.0) == [], "neither there nor at any other backend"
+    assert bench.pass_time(REFUSED_BACKOFF_S + 10.0) == [], "neither there nor at any other backend"
     bench.authority = Authority(True, PRIMARY.term, PRIMARY.fence + 1)
     connect = bench.connect()
     (order,) = bench.tell(Connected(connect.number, bench.authority))
@@ -414,7 +414,7 @@
     number = bench.transmit().number
     bench.tell(Answered(number, status) if status else Unanswered(number))
     assert bench.state() is OrderState.UNKNOWN
-    assert bench.pass_time(REPORT_AFTER_S - LOOK_S) == []
+    assert bench.pass_time(REPORT_DELAY_S - LOOK_S) == []
     (ask,) = bench.pass_time(LOOK_S)
     assert ask == AskReport(number, bench.records["i-1"])
     bench.tell(Reported(number, "prefill", True, 1))
@@ -426,7 +426,7 @@
     bench = Bench(backend("i-1", "prefill"))
     number = bench.transmit().number
     bench.tell(Unanswered(number))
-    bench.pass_time(REPORT_AFTER_S)
+    bench.pass_time(REPORT_DELAY_S)
     bench.tell(Reported(number, "prefill", False, 3))
     again = bench.transmit()
     assert again.number != number
@@ -437,15 +437,15 @@
     bench = Bench(backend("i-1", "prefill"))
     number = bench.transmit().number
     bench.tell(Unanswered(number))
-    assert len(bench.pass_time(REPORT_AFTER_S)) == 1
+    assert len(bench.pass_time(REPORT_DELAY_S)) == 1
     bench.tell(Unreported(number))
-    assert len(bench.pass_time(REPORT_AFTER_S)) == 1
+    assert len(bench.pass_time(REPORT_DELAY_S)) == 1
 
 
 def test_a_backend_that_says_nothing_for_long_lets_another_be_ordered() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.tell(Answered(bench.transmit().number, 202))
-    actions = bench.pass_time(SWITCH_S + FINISH_S + REPORT_AFTER_S + 2 * LOOK_S)
+    actions = bench.pass_time(SWITCH_S + DRAIN_TIMEOUT_S + REPORT_DELAY_S + 2 * LOOK_S)
     assert [type(action) for action in actions] == [Connect, AskReport]
     assert isinstance(actions[0], Connect) and actions[0].backend.id == "i-2"
     bench.check()
@@ -480,7 +480,7 @@
 def test_an_order_whose_connection_is_never_told_of_is_given_up() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.connect()
-    (connect,) = bench.pass_time(CONNECT_LIMIT_S + 2 * LOOK_S)
+    (connect,) = bench.pass_time(CONNECT_TIMEOUT_S + 2 * LOOK_S)
     assert isinstance(connect, Connect) and connect.backend.id == "i-2"
 
 
@@ -490,7 +490,7 @@
     bench.silent = {"i-1"}
     bench.pass_time(WAIT_S + 1.0)
     bench.put(backend("i-1", "prefill", "gone", 2))
-    bench.pass_time(UNATTENDED_S + 1.0)
+    bench.pass_time(MAX_UNATTENDED_S + 1.0)
     bench.put(backend("i-2", "prefill"))
     assert bench.pass_time(CONFIRM_S - LOOK_S) == []
     assert bench.connect()
@@ -514,7 +514,7 @@
     (transmit,) = bench.tell(Connected(first.number, PRIMARY))
     assert isinstance(transmit, Transmit)
     bench.tell(Answered(transmit.number, 503))
-    bench.pass_time(REPORT_AFTER_S)
+    bench.pass_time(REPORT_DELAY_S)
     bench.tell(Reported(transmit.number, "prefill", False, 0))
     assert bench.state() is None
     assert bench.connect().backend.id != first.backend.id
@@ -528,8 +528,8 @@
     number = bench.transmit().number
     if late is Unreported:
         bench.tell(Unanswered(number))
-        bench.pass_time(REPORT_AFTER_S)
-    bench.now += SWITCH_S + FINISH_S + 1.0
+        bench.pass_time(REPORT_DELAY_S)
+    bench.now += SWITCH_S + DRAIN_TIMEOUT_S + 1.0
     bench.look()
     assert bench.state() is OrderState.UNKNOWN
     bench.tell(late(number))
@@ -561,7 +561,7 @@
 def test_a_stage_that_gets_no_order_in_time_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(StageBalancer, "_begin", lambda *_: None)
     bench = Bench(backend("i-1", "prefill"))
-    bench.pass_time(WAIT_S + UNATTENDED_S + 1.0)
+    bench.pass_time(WAIT_S + MAX_UNATTENDED_S + 1.0)
     assert bench.balancer.violations["a stage that is needed gets an order in time"]
 
 
@@ -590,7 +590,7 @@
     monkeypatch.setattr(StageBalancer, "_begin", lambda *_: None)
     bench, name = Bench(backend("i-1", "prefill")), "a stage that is needed gets an order in time"
     before = violations().get(name, 0)
-    bench.pass_time(WAIT_S + UNATTENDED_S + 1.0)
+    bench.pass_time(WAIT_S + MAX_UNATTENDED_S + 1.0)
     assert violations()[name] - before == bench.balancer.violations[name] > 0
 
 
@@ -621,7 +621,7 @@
     (connect,) = bench.pass_time(CONFIRM_LOAD_S + LOOK_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-2"
-    assert bench.balancer.held(bench.now) == {"i-2": pytest.approx(SWITCH_S + FINISH_S, abs=2 * LOOK_S)}
+    assert bench.balancer.held(bench.now) == {"i-2": pytest.approx(SWITCH_S + DRAIN_TIMEOUT_S, abs=2 * LOOK_S)}
     (transmit,) = bench.tell(Connected(connect.number, PRIMARY))
     assert isinstance(transmit, Transmit)
     assert transmit.order.stage == "prefill"
@@ -636,7 +636,7 @@
     bench = Bench(backend("i-1", "prefill"), *(backend(f"i-{number}", "decode") for number in (2, 3, 4)))
     bench.silent = {"i-2", "i-3", "i-4"}
     bench.loads = {"s": StageLoad("s", 1.5, 0.6)}
-    assert bench.pass_time(WAIT_S + 2 * UNATTENDED_S) == []
+    assert bench.pass_time(WAIT_S + 2 * MAX_UNATTENDED_S) == []
     bench.check()
 
 
@@ -656,8 +656,8 @@
     bench = Bench(*names)
     bench.loads = {"s": StageLoad("s", 20.0, 7.0)}
     bench.pass_time(CONFIRM_LOAD_S - LOOK_S)
-    begun = [action for action in bench.pass_time(CONNECT_LIMIT_S + LOOK_S) if isinstance(action, Connect)]
-    assert len({connect.backend.id for connect in begun}) == len(begun) == 34 // ORDERED_SHARE
+    begun = [action for action in bench.pass_time(CONNECT_TIMEOUT_S + LOOK_S) if isinstance(action, Connect)]
+    assert len({connect.backend.id for connect in begun}) == len(begun) == 34 // CONCURRENT_ORDERS_DIVISOR
     for connect in begun:
         take(bench, connect)
     bench.loads = {"s": StageLoad("s", 8.8, 5.0)}  # 12 prefill backends are too busy with it, and 13 are not
--- a/tests/test_stage_load.py
+++ b/tests/test_stage_load.py
@@ -10,7 +10,7 @@
 
 from cranebank.control.consensus import ConsensusCore
 from cranebank.control.delivery import Delivery
-from cranebank.control.load_table import VALID_S, LoadTable
+from cranebank.control.load_table import LOAD_TTL_S, LoadTable
 from cranebank.control.registry import Registry
 from cranebank.control.stage_events import Stage
 from cranebank.control.stage_order import BackendOrder
@@ -93,8 +93,8 @@
 def test_a_silent_proxy_counts_no_longer() -> None:
     table = LoadTable()
     table.report(0.0, "a", (StageLoad("s", 0.5, 0.25),))
-    assert table.total(VALID_S) != {}
-    assert table.total(VALID_S + 0.1) == {}
+    assert table.total(LOAD_TTL_S) != {}
+    assert table.total(LOAD_TTL_S + 0.1) == {}
     table.report(9.0, "a", (StageLoad("s", 0.5, 0.25),))
     table.report(9.1, "a", ())
     assert table.total(9.1) == {}
--- a/tests/test_stage_policy.py
+++ b/tests/test_stage_policy.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from cranebank.control.stage_events import Stage
-from cranebank.control.stage_policy import LEFT_LEAST, Need, ServiceStages, needed_stage
+from cranebank.control.stage_policy import MIN_REMAINING, Need, ServiceStages, needed_stage
 from cranebank.transport.messages import Backend, StageLoad
 
 LOADS = st.floats(0.0, 40.0)
@@ -92,7 +92,7 @@
         other = need.stage.other
         if not need.is_urgent:
             moved.add(need.stage)
-            assert counts[other] > LEFT_LEAST[other]
+            assert counts[other] > MIN_REMAINING[other]
         counts[need.stage] += 1
         counts[other] -= 1
         assert len(moved) <= 1, "moved there and back"
