--- a/cranebank/control/api_calls.py
+++ b/cranebank/control/api_calls.py
@@ -1,4 +1,4 @@
-"""The calls of an HTTP API as a table: typed requests and responses, refusals, and which handler takes which call."""
+"""Table of the calls of an HTTP API: typed requests and responses, refusals, and the lookup of handlers."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 import msgspec
 
-ARGUMENT = "{id}"  # what a path may end with: it stands for the call's argument
+ARGUMENT = "{id}"  # placeholder for the call's argument at the end of a path
 _ARGUMENT_TEXT = re.compile(r"[^/]{1,200}")
 
 
 class Request(msgspec.Struct):
-    """A call, read in full. ``argument`` is what stood for ``{id}`` in the path."""
+    """A completely received call. ``argument`` is the part of the path that matched ``{id}``."""
 
     method: str
     path: str
@@ -22,7 +22,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """An answer; its body is JSON unless said otherwise."""
+    """An answer; its body is JSON unless ``content_type`` names another type."""
 
     status: int
     body: bytes = b"{}"
@@ -31,7 +31,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """The body of an answer that isn't a success."""
+    """The body of an unsuccessful answer."""
 
     code: str
     key: str = ""
@@ -42,7 +42,7 @@
 
 
 class Call(msgspec.Struct, frozen=True):
-    """A row of the table of calls."""
+    """A row of the call table."""
 
     method: str
     path: str  # may end with {id}
@@ -53,12 +53,12 @@
 def refusal(
     status: int, code: str, key: str = "", expected: str = "", *, headers: tuple[tuple[str, str], ...] = ()
 ) -> Response:
-    """An answer that says what was wrong."""
+    """Return an unsuccessful answer with a Fault as its body."""
     return Response(status, msgspec.json.encode(Fault(code, key, expected)), headers)
 
 
 class ApiTable:
-    """The calls, by path and method."""
+    """Calls by path and method."""
 
     def __init__(self, calls: Iterable[Call]) -> None:
         self._fixed: dict[str, dict[str, Call]] = {}
@@ -75,7 +75,7 @@
                 self._fixed.setdefault(call.path, {})[call.method] = call
 
     def find(self, method: str, path: str) -> tuple[Call, str] | Response:
-        """The call and its argument, or the refusal."""
+        """Return the call and its argument, or a refusal if there is no such call."""
         argument = ""
         methods = self._fixed.get(path)
         if methods is None:
--- a/cranebank/control/tally_api.py
+++ b/cranebank/control/tally_api.py
@@ -1,7 +1,7 @@
-"""The calls of applications on tallies. Every controller takes them, also one without a majority.
+"""Calls of applications on tallies. Every controller accepts them, even without a majority.
 
-429 and 503 promise that nothing was done. An add that isn't known to be durable in time is answered by 504: it may
-count, and the caller sends it again with the same id, to whichever controller.
+429 and 503 guarantee that nothing was done. An add that is not known to be durable in time is answered by 504: it may
+count, and the caller repeats it with the same id, at any controller.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from cranebank.control.api_calls import Call, Request, Response, refusal
 from cranebank.control.tallies.replica import LimitReached
 
-BODY_BYTES = 4 << 10
-MOST_AMOUNT = 2**53
-MOST_ID = 64
-RETRY_S = "0.2"
+MAX_BODY_BYTES = 4 << 10
+MAX_AMOUNT = 2**53
+MAX_ID_LENGTH = 64
+RETRY_AFTER_S = "0.2"
 
-_RETRY = (("Retry-After", RETRY_S),)
+_RETRY = (("Retry-After", RETRY_AFTER_S),)
 _INVALID_FIELD = re.compile(r"(?P<expected>.*) - at `\$\.(?P<key>.*)`")
 _MISSING_FIELD = re.compile(r"Object missing required field `(?P<key>[^`]*)`")
 
@@ -27,30 +27,30 @@
 class AmendBody(msgspec.Struct, frozen=True):
     """The body of an add."""
 
-    id: Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_ID)]
-    actor: Annotated[int, msgspec.Meta(gt=-MOST_AMOUNT, lt=MOST_AMOUNT)]  # the amount
+    id: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_ID_LENGTH)]
+    actor: Annotated[int, msgspec.Meta(gt=-MAX_AMOUNT, lt=MAX_AMOUNT)]  # the amount
 
 
 class TallyPlane(Protocol):
-    """What the calls need of the program."""
+    """Functions of the control program that the call handlers use."""
 
     async def amend(self, tally: str, call_id: str, amount: int) -> bool | LimitReached:
-        """Add once by this id; whether that is durable in time, or the bound because of which nothing was done."""
+        """Add an amount once per call id; return whether it is durable in time, or the bound that refused it."""
 
     def total(self, tally: str) -> int | None:
-        """The sum of a tally; None where it can't be told yet."""
+        """Return the sum of a tally, None if it is not known yet."""
 
 
 class TallyApi:
-    """What the calls do."""
+    """Handlers of the calls."""
 
     def __init__(self, plane: TallyPlane) -> None:
         self._plane = plane
 
     def calls(self) -> tuple[Call, ...]:
-        """All calls: method, path, most bytes of a body, handler."""
+        """Return all calls: method, path, largest body in bytes, handler."""
         return (
-            Call("POST", "/api/Tallies.Amend/{id}", BODY_BYTES, self.amend),
+            Call("POST", "/api/Tallies.Amend/{id}", MAX_BODY_BYTES, self.amend),
             Call("GET", "/api/Tallies.Read/{id}", 0, self.read),
         )
 
@@ -69,7 +69,7 @@
                 return refusal(504, "unclear", "id", "the same call again")
 
     async def read(self, request: Request) -> Response:
-        """The total of a tally."""
+        """Return the total of a tally."""
         total = self._plane.total(request.argument)
         if total is None:
             return refusal(503, "starting", headers=_RETRY)
@@ -77,7 +77,7 @@
 
 
 def _invalid(text: str) -> Response:
-    """The refusal of a body, which names the key and what was expected there."""
+    """Return the refusal of a body, which names the key and the expected value."""
     if invalid := _INVALID_FIELD.fullmatch(text):
         return refusal(400, "invalid", invalid["key"], invalid["expected"])
     if missing := _MISSING_FIELD.match(text):
--- a/cranebank/control/web.py
+++ b/cranebank/control/web.py
@@ -1,7 +1,7 @@
-"""A small HTTP/1.1 server for the calls of backends and operators, on asyncio and httptools.
+"""Small HTTP/1.1 server for the calls of backends and operators, on asyncio and httptools.
 
-Calls are declared in one table (``operator_api.py``). A connection serves one request at a time; heads, bodies and the
-time that either may take are bounded.
+Calls are declared in one table (``operator_api.py``). A connection serves one request at a time; the sizes of heads and
+bodies and the time to receive them are bounded.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from cranebank import background
 from cranebank.control.api_calls import ApiTable, Call, Request, Response, refusal
 
-HEAD_BYTES = 16 << 10
-IDLE_S = 60.0
-READ_S = 20.0  # for a whole request
-MOST_CONNECTIONS = 1500
-LINGER_S = 1.0  # how long what follows a refused head is read and dropped
+MAX_HEAD_BYTES = 16 << 10
+IDLE_TIMEOUT_S = 60.0
+READ_TIMEOUT_S = 20.0  # for a complete request
+MAX_CONNECTIONS = 1500
+LINGER_S = 1.0  # how long bytes after a refused request are read and dropped
 
 
 class Connection(asyncio.Protocol):
-    """One client. States: reading a request, answering it, closing."""
+    """Connection of one client. States: reading a request, answering it, closing."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -38,30 +38,30 @@
         self._call: Call | None = None
         self._keep, self._closing_after = True, False
         self._task: asyncio.Task[None] | None = None
-        self._held = bytearray()  # bytes of the next request that came while one is answered
+        self._held = bytearray()  # bytes of the next request, received while the present one is answered
         self._closing = False
-        self.since = 0.0  # when the present request began, or the connection fell idle
+        self.since = 0.0  # when the present request began, or the connection became idle
         self.in_request = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client came."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by inheritance
+        """Register the connection of a new client."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's transport does not inherit from asyncio.Transport
         self._transport = transport
         self._begin()
         self._server.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The client went; a call that is under way runs to its end."""
+        """Unregister the connection; a call in progress runs to its end."""
         self._transport = None
         self._server.closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of requests."""
+        """Parse bytes of requests."""
         if self._closing:
             return
         if self._task is not None:
             self._held += data
-            if len(self._held) > HEAD_BYTES and self._transport is not None:
+            if len(self._held) > MAX_HEAD_BYTES and self._transport is not None:
                 self._transport.pause_reading()
             return
         if not self.in_request:
@@ -72,7 +72,7 @@
             self._refuse(refusal(400, "upgrade", "Upgrade", "plain HTTP/1.1"))
             return
         except httptools.HttpParserCallbackError:
-            logger.opt(exception=True).error("a callback of the parser")
+            logger.opt(exception=True).error("HTTP parser callback failed; aborting the connection")
             self.abort()
             return
         except httptools.HttpParserError as error:
@@ -80,47 +80,47 @@
             return
         if not self._head_done and self._task is None:
             self._head_bytes += len(data)
-            if self._head_bytes > HEAD_BYTES:
-                self._refuse(refusal(431, "head", "", f"{HEAD_BYTES} bytes at most"))
+            if self._head_bytes > MAX_HEAD_BYTES:
+                self._refuse(refusal(431, "head", "", f"{MAX_HEAD_BYTES} bytes at most"))
 
     def eof_received(self) -> bool:
-        """The client sends no more; an answer under way is still written."""
+        """Close after the answer in progress, if any, as the client sends no more."""
         self._closing_after = True
         return self._task is not None
 
     def abort(self) -> None:
-        """End it now."""
+        """Abort the connection at once."""
         self._closing = True
         if self._transport is not None:
             self._transport.abort()
 
     def end_when_idle(self) -> None:
-        """Close if nothing is under way; else the answer under way is the last."""
+        """Close the connection if it is idle; otherwise the answer in progress is its last one."""
         if self._task is None and not self.in_request and not self._closing:
             self._close()
 
     @property
     def is_answering(self) -> bool:
-        """Whether a call is under way."""
+        """Whether a call is in progress."""
         return self._task is not None
 
-    # What httptools calls.
+    # Callbacks of httptools.
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the request's target."""
+        """Collect a part of the request's target."""
         self._url += url
         self._head_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head."""
+        """Collect a header field."""
         self._head_bytes += len(name) + len(value) + 4
         self._headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """The head is whole: what is to be refused is refused before its body comes."""
+        """Look up the call, and refuse a request before its body arrives if its head shows that it is invalid."""
         self._head_done = True
-        if self._head_bytes > HEAD_BYTES:
-            self._refuse(refusal(431, "head", "", f"{HEAD_BYTES} bytes at most"))
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._refuse(refusal(431, "head", "", f"{MAX_HEAD_BYTES} bytes at most"))
             return
         self._method = self._parser.get_method().decode("latin-1")
         self._path = self._url.partition(b"?")[0].decode("latin-1")
@@ -136,7 +136,7 @@
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Collect a part of the body."""
         if self._closing or self._call is None:
             return
         self._body += body
@@ -144,10 +144,10 @@
             self._refuse(refusal(413, "body", "", f"{self._call.body_bytes} bytes at most"))
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """Start the handler of a complete request."""
         if self._closing or self._call is None:
             return
-        if self._task is not None:  # a second request in the same bytes: one at a time
+        if self._task is not None:  # a second request in the same bytes: only one is served at a time
             self._closing_after = True
             return
         request = Request(self._method, self._path, self._argument, self._headers, bytes(self._body))
@@ -172,7 +172,7 @@
             logger.opt(exception=True).error("{} {}", request.method, request.path)
             response = refusal(500, "internal")
         keep = self._keep and not self._closing_after and not self._server.is_stopping
-        self._write(response, keep)  # nothing is awaited between the handler's last look and this
+        self._write(response, keep)  # nothing is awaited between the handler's last check of the lease and this write
         self._task = None
         if not keep:
             self._close()
@@ -198,7 +198,7 @@
         self._transport.write("\r\n".join((*lines, "", "")).encode("latin-1") + response.body)
 
     def _refuse(self, response: Response) -> None:
-        """Answer now and close; what still comes is read and dropped for a while, so that the answer isn't lost."""
+        """Answer now and close; further bytes are read and dropped for a while, so that the answer is not lost."""
         if self._closing:
             return
         self._closing = True
@@ -216,7 +216,7 @@
 
 
 class Server:
-    """The listening end and its connections."""
+    """Listening socket and its connections."""
 
     def __init__(self, calls: Iterable[Call], now: Callable[[], float]) -> None:
         self.table, self.now = ApiTable(calls), now
@@ -225,36 +225,38 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, ip: str, port: int) -> None:
-        """Listen."""
+        """Listen on an address."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Connection(self), ip, port, reuse_address=True, backlog=512)
 
     @property
     def port(self) -> int:
-        """The port listened on."""
+        """Port of the listening socket."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     def opened(self, connection: Connection) -> None:
-        """A client came; beyond the bound the longest idle one gives way."""
-        if len(self._connections) >= MOST_CONNECTIONS:
+        """Register a connection; above the limit the connection that has been idle for longest is aborted."""
+        if len(self._connections) >= MAX_CONNECTIONS:
             idle = [known for known in self._connections if not known.is_answering]
             (min(idle, key=lambda known: known.since) if idle else connection).abort()
         self._connections.add(connection)
 
     def closed(self, connection: Connection) -> None:
-        """A client went."""
+        """Unregister a connection."""
         self._connections.discard(connection)
 
     def sweep(self) -> None:
-        """Close those that were idle, or at one request, for too long."""
+        """Abort connections that have been idle, or reading one request, for too long."""
         now = self.now()
         for connection in list(self._connections):
-            if not connection.is_answering and now - connection.since > (READ_S if connection.in_request else IDLE_S):
+            if not connection.is_answering and now - connection.since > (
+                READ_TIMEOUT_S if connection.in_request else IDLE_TIMEOUT_S
+            ):
                 connection.abort()
 
     def stop(self) -> None:
-        """Take no new connections; calls under way are answered, and their connections closed."""
+        """Accept no new connections; answer calls in progress and close their connections."""
         self.is_stopping = True
         if self._server is not None:
             self._server.close()
@@ -263,10 +265,10 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no call is under way."""
+        """Whether no call is in progress."""
         return not any(connection.is_answering or connection.in_request for connection in self._connections)
 
     def abort(self) -> None:
-        """End all connections."""
+        """Abort all connections."""
         for connection in list(self._connections):
             connection.abort()
