--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -1,7 +1,7 @@
-"""A simulated network, disks and clocks under controllers and two operators, with a judge over what is seen.
+"""Simulation of controllers and two operators over simulated networks, disks and clocks, checked by a judge.
 
-One seed is one schedule: `python -m tests.simulated_control --schedules 10000`. Nothing sleeps; a second here is a
-number. The judge knows only what operators, watchers of commits and holders of fences see.
+Each seed is one schedule: `python -m tests.simulated_control --schedules 10000`. Time is simulated; nothing sleeps. The
+judge sees only the answers to operators, the committed revisions and the fences of lease holders.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 FAULTS_S = 14.0
 RECOVER_S = 5.0
-ALLOWED_S = 4.0  # the least that the operators' pages allow before a further loss
+ALLOWED_S = 4.0  # shortest time that the operators' guide allows between two losses
 CATCH_UP_S = ALLOWED_S / 2
 CONTACT_S = 1.2 * 1.01 + 0.001  # a lease's length by the slowest clock
 TICK_S = 0.05
-GRACE_S = 4.0  # in which a process that was told to end does so
+GRACE_S = 4.0  # time for a retiring process to end
 _MESSAGE = msgspec.msgpack.Decoder(ev.AnyMessage)
 
 
 class Violation(Exception):
-    """A rule was broken; the text says which and how."""
+    """Raised when a rule is violated; the text names the rule and the values."""
 
 
 class Judge:
-    """The rules. `acknowledged` holds for each base the one change that was taken on it."""
+    """Checker of the rules. ``acknowledged`` has, for each base, the only change that was acknowledged on it."""
 
     def __init__(self) -> None:
         self.acknowledged: dict[int, tuple[int, bytes]] = {}
@@ -48,11 +48,11 @@
         self.fence = -1
         self.fence_owner: object = None
         self.acks = 0
-        self.history: list[tuple[float, int]] = []  # when which revision was acknowledged as the newest
+        self.history: list[tuple[float, int]] = []  # time and revision of each newest acknowledgement
         self.cases: dict[str, int] = {}
 
     def reached(self, case: str) -> None:
-        """Count that a schedule has truly come to a case."""
+        """Count that a schedule has reached a case."""
         self.cases[case] = self.cases.get(case, 0) + 1
 
     def acknowledge(self, now: float, base: int, revision: int, digest: bytes) -> None:
@@ -82,14 +82,14 @@
             raise Violation(f"{revision} refused though it was committed")
         self.refused.add(revision)
 
-    def claims_contact(self, now: float, life: Life) -> None:
-        """A replica that counts as in contact knows all that was acknowledged up to a lease's length ago."""
+    def check_contact(self, now: float, process: Process) -> None:
+        """Check that a replica in contact knows every change acknowledged at least a lease's length ago."""
         acknowledged = next((revision for at, revision in reversed(self.history) if at <= now - CONTACT_S), 0)
-        if life.replica.is_current(life.machine.clock(now), acknowledged - 1):
-            raise Violation(f"{life.machine.ip} takes what is older than {acknowledged} for current")
+        if process.replica.is_current(process.machine.clock(now), acknowledged - 1):
+            raise Violation(f"{process.machine.ip} considers revisions older than {acknowledged} current")
 
-    def repeated(self, attempt: Attempt, result: ev.Result, is_other_term: bool) -> None:
-        """A call that was acknowledged was sent again as it was."""
+    def check_repeat(self, attempt: Attempt, result: ev.Result, is_other_term: bool) -> None:
+        """Check the answer to the repetition of an acknowledged call."""
         if isinstance(result, ev.Conflict):
             raise Violation(f"{attempt.revision} was acknowledged, and refused when it was sent again")
         if isinstance(result, ev.Accepted):
@@ -99,14 +99,14 @@
             if is_other_term:
                 self.reached("repeat acknowledged by a later primary")
 
-    def acts(self, holders: list[Life]) -> None:
+    def check_holders(self, holders: list[Process]) -> None:
         if len(holders) > 1:
-            raise Violation(f"two hold the lease: {[life.machine.ip for life in holders]}")
-        for life in holders:
-            fence = life.replica.fence()
-            if fence < self.fence or (fence == self.fence and self.fence_owner is not life):
+            raise Violation(f"two hold the lease: {[process.machine.ip for process in holders]}")
+        for process in holders:
+            fence = process.replica.fence()
+            if fence < self.fence or (fence == self.fence and self.fence_owner is not process):
                 raise Violation(f"fence {fence} used after {self.fence}")
-            self.fence, self.fence_owner = fence, life
+            self.fence, self.fence_owner = fence, process
 
     def read(self, revision: int, digest: bytes) -> None:
         if revision < self.newest:
@@ -115,25 +115,25 @@
             raise Violation(f"read {revision} with another content")
 
 
-class Life:
-    """One process; what belongs to an earlier one of the same machine reaches it no longer."""
+class Process:
+    """A process of a machine; events for an earlier process of the machine do not reach it."""
 
     def __init__(self, machine: Machine, replica: ConsensusReplica) -> None:
         self.machine = machine
         self.replica = replica
         self.disk_free_at = 0.0
         self.unsynced: deque[tuple[int, dict[str, bytes]]] = deque()
-        self.held_up: list[ev.Event] = []
+        self.deferred_events: list[ev.Event] = []
         self.next_tick = 0.0
 
 
 class Machine:
-    """A machine with its disk and its steady clock, which has its own start and a rate of its own."""
+    """A machine with its disk and its monotonic clock, which has its own offset and rate."""
 
     def __init__(self, ip: str, random: Random) -> None:
         self.ip = ip
         self.disk: dict[str, bytes] = {}
-        self.life: Life | None = None
+        self.process: Process | None = None
         self.offset = random.uniform(0, 1000)
         self.rate = random.uniform(0.995, 1.005)
         self.frozen_until = 0.0
@@ -145,7 +145,7 @@
         self.late_out_until = 0.0
         self.late_in_until = 0.0
         self.late_s = 0.0
-        self.cut_pairs: dict[str, float] = {}  # address that is not reached from here, until when
+        self.cut_pairs: dict[str, float] = {}  # time until which an address cannot be reached from here
         self.troubled_until = 0.0
         self.is_removed = False
 
@@ -154,19 +154,19 @@
 
 
 class Attempt:
-    """One change of an operator and its tries."""
+    """A change of an operator and its attempts to send it."""
 
     def __init__(self, base: int, revision: int, digest: bytes) -> None:
         self.base = base
         self.revision = revision
         self.digest = digest
         self.tries = 0
-        self.is_open = False  # some try may still come into force
+        self.is_open = False  # some earlier try may still come into force
         self.term = -1  # of the primary that acknowledged it
 
 
 class World:
-    """All of it. `kind` is the custody under test, or a subclass with a planted fault."""
+    """The whole simulation. ``kind`` is the replica class under test, or a subclass with a planted fault."""
 
     def __init__(self, seed: int, kind: type[ConsensusReplica] = ConsensusReplica) -> None:
         self.seed = seed
@@ -183,15 +183,15 @@
         self._revision = 0
         count = self.random.choice([3, 3, 3, 4, 5, 5, 7])
         self.tolerance = 1 if count < 5 else self.random.choice([1, 2])
-        self.loss = self.random.choice([0.0, 0.0, 0.01, 0.05])
-        self.doubled = self.random.choice([0.0, 0.02])
-        self.jumbled = self.random.choice([0.0, 0.0, 0.05])
-        self.trigger = self.random.choice([0.0, 0.003, 0.01, 0.03])
+        self.loss_probability = self.random.choice([0.0, 0.0, 0.01, 0.05])
+        self.duplicate_probability = self.random.choice([0.0, 0.02])
+        self.reorder_probability = self.random.choice([0.0, 0.0, 0.05])
+        self.action_fault_probability = self.random.choice([0.0, 0.003, 0.01, 0.03])
         ips = [f"10.0.{number}.1" for number in range(count)]
         self.seeds = tuple(ips[:3])
         self.machines = {ip: Machine(ip, self.random) for ip in ips}
         self._next_ip = count
-        self.beyond_until = 0.0
+        self.beyond_tolerance_until = 0.0
         for ip in ips:
             self.trouble(self.machines[ip], 0.3)
             self.at(self.random.uniform(0, 0.3), partial(self.start, self.machines[ip]))
@@ -219,124 +219,124 @@
     # Machines.
 
     def start(self, machine: Machine) -> None:
-        if machine.life is not None or machine.is_removed:
+        if machine.process is not None or machine.is_removed:
             return
         is_first = self.now < 0.4 and machine.ip in self.seeds
         settings = ConsensusSettings(machine.ip, self.seeds, is_first, self.tolerance)
         replica = self.kind(settings, dict(machine.disk), self.random, machine.clock(self.now))
-        machine.life = Life(machine, replica)
+        machine.process = Process(machine, replica)
         self.note(f"{machine.ip} starts as {replica.id}")
-        self._tick(machine.life)
+        self._tick(machine.process)
 
-    def _tick(self, life: Life) -> None:
-        if life.machine.life is life:
-            self.tell(life, ev.Tick())
-            self.at(self.random.uniform(TICK_S, TICK_S * 1.1), partial(self._tick, life))
+    def _tick(self, process: Process) -> None:
+        if process.machine.process is process:
+            self.tell(process, ev.Tick())
+            self.at(self.random.uniform(TICK_S, TICK_S * 1.1), partial(self._tick, process))
 
-    def tell(self, life: Life, event: ev.Event) -> None:
-        machine = life.machine
-        if machine.life is not life:
+    def tell(self, process: Process, event: ev.Event) -> None:
+        machine = process.machine
+        if machine.process is not process:
             return
         if self.now < machine.frozen_until:
-            if not isinstance(event, ev.Tick) or not any(isinstance(one, ev.Tick) for one in life.held_up):
-                life.held_up.append(event)
+            if not isinstance(event, ev.Tick) or not any(isinstance(one, ev.Tick) for one in process.deferred_events):
+                process.deferred_events.append(event)
             return
-        for action in life.replica.handle(machine.clock(self.now), event):
-            self._do(life, action)
-        self._look()
+        for action in process.replica.handle(machine.clock(self.now), event):
+            self._do(process, action)
+        self._check_state()
 
-    def thaw(self, life: Life) -> None:
-        if life.machine.life is life and self.now >= life.machine.frozen_until:
-            events, life.held_up = life.held_up, []
+    def thaw(self, process: Process) -> None:
+        if process.machine.process is process and self.now >= process.machine.frozen_until:
+            events, process.deferred_events = process.deferred_events, []
             for event in events:
-                self.tell(life, event)
+                self.tell(process, event)
 
-    def _look(self) -> None:
+    def _check_state(self) -> None:
         holders = []
         for machine in self.machines.values():
-            life = machine.life
-            if life is None:
+            process = machine.process
+            if process is None:
                 continue
-            if life.replica.holds_lease(machine.clock(self.now)):
-                holders.append(life)
-            if life.replica.in_contact(machine.clock(self.now)):
-                self.judge.claims_contact(self.now, life)
-        self.judge.acts(holders)
-        for life in holders:
-            current = life.replica.current
-            if current is not None and self.now >= life.machine.frozen_until:
+            if process.replica.holds_lease(machine.clock(self.now)):
+                holders.append(process)
+            if process.replica.in_contact(machine.clock(self.now)):
+                self.judge.check_contact(self.now, process)
+        self.judge.check_holders(holders)
+        for process in holders:
+            current = process.replica.current
+            if current is not None and self.now >= process.machine.frozen_until:
                 self.judge.read(current[0], current[2])
 
-    def _do(self, life: Life, action: ev.Action) -> None:
-        self._strike(life, action)
+    def _do(self, process: Process, action: ev.Action) -> None:
+        self._inject_around_action(process, action)
         if isinstance(action, ev.Send):
-            self._send(life, action)
+            self._send(process, action)
         elif isinstance(action, ev.Persist):
-            self._persist(life, action)
+            self._persist(process, action)
         elif isinstance(action, ev.Committed):
-            self.note(f"{life.machine.ip} committed {action.revision}")
+            self.note(f"{process.machine.ip} committed {action.revision}")
             self.judge.commit(action.revision, action.digest)
         elif isinstance(action, ev.Answer):
-            self._answer(life, action)
+            self._answer(process, action)
         else:
-            self.note(f"{life.machine.ip} {action} {life.replica.record}")
+            self.note(f"{process.machine.ip} {action} {process.replica.record}")
 
     # Network.
 
-    def _send(self, life: Life, action: ev.Send) -> None:
-        machine = life.machine
+    def _send(self, process: Process, action: ev.Send) -> None:
+        machine = process.machine
         target = self.machines.get(action.ip)
-        if target is None or self.now < machine.cut_out_until or self.random.random() < self.loss:
+        if target is None or self.now < machine.cut_out_until or self.random.random() < self.loss_probability:
             return
         if self.now < machine.cut_pairs.get(action.ip, 0.0):
             return
         encoded = msgspec.msgpack.encode(action.message)
-        for _ in range(2 if self.random.random() < self.doubled else 1):
+        for _ in range(2 if self.random.random() < self.duplicate_probability else 1):
             delay = self.random.uniform(0.0003, 0.002)
             if self.now < machine.late_out_until:
                 delay += machine.late_s
             if self.now < target.late_in_until:
                 delay += target.late_s
-            if self.random.random() < self.jumbled:
+            if self.random.random() < self.reorder_probability:
                 delay += self.random.choice([0.01, 0.2, 1.0])
             self.at(delay, partial(self._arrive, machine.ip, target, encoded))
 
     def _arrive(self, sender: str, target: Machine, encoded: bytes) -> None:
-        if target.life is not None and self.now >= target.cut_in_until:
-            self.tell(target.life, ev.Received(sender, _MESSAGE.decode(encoded)))
+        if target.process is not None and self.now >= target.cut_in_until:
+            self.tell(target.process, ev.Received(sender, _MESSAGE.decode(encoded)))
 
     def _links_down(self, ip: str) -> None:
         for machine in self.machines.values():
-            if machine.ip != ip and machine.life is not None:
-                self.at(self.random.uniform(0.0003, 0.002), partial(self.tell, machine.life, ev.LinkDown(ip)))
+            if machine.ip != ip and machine.process is not None:
+                self.at(self.random.uniform(0.0003, 0.002), partial(self.tell, machine.process, ev.LinkDown(ip)))
 
     # Disks.
 
-    def _persist(self, life: Life, action: ev.Persist) -> None:
-        machine = life.machine
+    def _persist(self, process: Process, action: ev.Persist) -> None:
+        machine = process.machine
         slow = 60 if self.now < machine.slow_until else 1
-        begin = max(self.now, life.disk_free_at, machine.stuck_until)
-        life.disk_free_at = begin + self.random.uniform(0.002, 0.007) * slow
-        life.unsynced.append((action.token, action.values))
-        self.at(life.disk_free_at - self.now, partial(self._persisted, life))
-
-    def _persisted(self, life: Life) -> None:
-        machine = life.machine
-        if machine.life is not life:
+        begin = max(self.now, process.disk_free_at, machine.stuck_until)
+        process.disk_free_at = begin + self.random.uniform(0.002, 0.007) * slow
+        process.unsynced.append((action.token, action.values))
+        self.at(process.disk_free_at - self.now, partial(self._persisted, process))
+
+    def _persisted(self, process: Process) -> None:
+        machine = process.machine
+        if machine.process is not process:
             return
-        token, values = life.unsynced.popleft()
+        token, values = process.unsynced.popleft()
         if self.now < machine.refuses_until:
-            self.tell(life, ev.PersistFailed(token))
+            self.tell(process, ev.PersistFailed(token))
         else:
             machine.disk.update(values)
-            self.tell(life, ev.Persisted(token))
+            self.tell(process, ev.Persisted(token))
 
     def _end(self, machine: Machine) -> None:
-        life, machine.life = machine.life, None
-        if life is not None and self.now >= machine.refuses_until:
-            # Some of what wasn't told as stored may have got to the disk, in its order.
-            for _ in range(self.random.randrange(len(life.unsynced) + 1)):
-                machine.disk.update(life.unsynced.popleft()[1])
+        process, machine.process = machine.process, None
+        if process is not None and self.now >= machine.refuses_until:
+            # Some writes that were not confirmed yet may have reached the disk, in order.
+            for _ in range(self.random.randrange(len(process.unsynced) + 1)):
+                machine.disk.update(process.unsynced.popleft()[1])
 
     # Faults.
 
@@ -344,15 +344,15 @@
         machine.troubled_until = max(machine.troubled_until, until + CATCH_UP_S)
         troubled = [one for one in self.machines.values() if self.now < one.troubled_until]
         if len(troubled) > self.tolerance:
-            # More are lost than must be borne: no disk may be lost before all of these are back and in step.
-            # There is no primary then that could repair at once: the whole time that the pages allow.
+            # More machines are lost than tolerated: no disk may be lost before all of these are back and in step.
+            # Meanwhile there is no primary that could repair at once, so this takes the whole allowed time.
             back_at = max(one.troubled_until for one in troubled)
-            self.beyond_until = max(self.beyond_until, back_at + ALLOWED_S - CATCH_UP_S)
+            self.beyond_tolerance_until = max(self.beyond_tolerance_until, back_at + ALLOWED_S - CATCH_UP_S)
 
     def may_lose(self, machine: Machine) -> bool:
-        """Tell whether the disk of this machine may be lost now, by the tolerance."""
+        """Return whether the tolerance allows the loss of this machine's disk now."""
         others = [one for one in self.machines.values() if one is not machine and self.now < one.troubled_until]
-        return self.now > self.beyond_until and len(others) < self.tolerance
+        return self.now > self.beyond_tolerance_until and len(others) < self.tolerance
 
     def fault(self) -> None:
         if self._is_over:
@@ -366,7 +366,7 @@
         kinds = [
             self._kill,
             self._kill,
-            self._power,
+            self._lose_power,
             self._wipe,
             self._wipe,
             self._freeze,
@@ -374,39 +374,39 @@
             self._cut,
             self._cut,
             self._cut_pair,
-            self._late,
+            self._delay_messages,
             self._slow_disk,
             self._refusing_disk,
             self._stuck_disk,
             self._replace,
             self._retire,
             self._all_killed,
-            self._final,
+            self._final_power_loss,
             self._restarts_beside_a_cut,
             self._cut_then_wipe,
         ]
         kind = self.random.choice(kinds)
-        self._hit(kind, machine)
+        self._inject(kind, machine)
 
-    def _strike(self, life: Life, action: ev.Action) -> None:
-        """Let a fault hit around the moments that count: a vote, a takeover, a value stored, a write answered."""
-        if self._is_over or self.random.random() >= self.trigger:
+    def _inject_around_action(self, process: Process, action: ev.Action) -> None:
+        """Inject a fault at random around critical actions: a vote, a takeover, a stored value, an answered write."""
+        if self._is_over or self.random.random() >= self.action_fault_probability:
             return
-        struck = life.machine
+        victim = process.machine
         if isinstance(action, ev.Send):
             if not isinstance(action.message, ev.Promise | ev.Accept | ev.AcceptOk | ev.Chosen | ev.Store | ev.Stored):
                 return
-            struck = self.random.choice([struck, self.machines.get(action.ip, struck)])
+            victim = self.random.choice([victim, self.machines.get(action.ip, victim)])
         elif not isinstance(action, ev.LeadershipGained) and not (
             isinstance(action, ev.Answer) and isinstance(action.result, ev.Accepted)
         ):
             return
         kind = self.random.choice(
-            [self._kill, self._power, self._power, self._wipe, self._cut, self._cut_pair, self._cut_then_wipe]
+            [self._kill, self._lose_power, self._lose_power, self._wipe, self._cut, self._cut_pair, self._cut_then_wipe]
         )
-        self.at(self.random.choice([0.0001, 0.004, 0.1]) * self.random.random(), partial(self._hit, kind, struck))
+        self.at(self.random.choice([0.0001, 0.004, 0.1]) * self.random.random(), partial(self._inject, kind, victim))
 
-    def _hit(self, kind: Callable[[Machine], bool], machine: Machine) -> None:
+    def _inject(self, kind: Callable[[Machine], bool], machine: Machine) -> None:
         if not self._is_over and not machine.is_removed:
             self.note(f"strikes {kind.__name__} on {machine.ip}")
             if kind(machine):
@@ -422,12 +422,12 @@
         self._restart(machine, self.random.choice([0.05, 0.5, 2.5]) * self.random.uniform(0.5, 1.5))
         return True
 
-    def _killed(self, machine: Machine) -> None:
+    def _end_retired(self, machine: Machine) -> None:
         self._kill(machine)
         if self._is_over:
             self.start(machine)
 
-    def _power(self, machine: Machine) -> bool:
+    def _lose_power(self, machine: Machine) -> bool:
         self._end(machine)
         self._restart(machine, self.random.choice([0.03, 0.4, 2.0]) * self.random.uniform(0.5, 1.5))
         return True
@@ -444,8 +444,8 @@
         length = self.random.choice([0.3, 1.0, 2.0, 4.0]) * self.random.uniform(0.8, 1.2)
         machine.frozen_until = max(machine.frozen_until, self.now + length)
         self.trouble(machine, machine.frozen_until)
-        if machine.life is not None:
-            self.at(machine.frozen_until - self.now + 1e-9, partial(self.thaw, machine.life))
+        if machine.process is not None:
+            self.at(machine.frozen_until - self.now + 1e-9, partial(self.thaw, machine.process))
         return True
 
     def _cut(self, machine: Machine) -> bool:
@@ -472,8 +472,8 @@
         self.trouble(machine, until)
         return True
 
-    def _late(self, machine: Machine) -> bool:
-        """All that this machine sends, or gets, comes late."""
+    def _delay_messages(self, machine: Machine) -> bool:
+        """Delay all messages that this machine sends, or all that it receives."""
         until = self.now + self.random.uniform(0.3, 3.0)
         if self.random.random() < 0.5:
             machine.late_in_until = until
@@ -482,11 +482,11 @@
         machine.late_s = self.random.choice([0.05, 0.2, 0.6, 1.1])
         self.trouble(machine, until)
         if self.random.random() < 0.3:
-            self.at(self.random.uniform(0.2, 2.0), partial(self._hit, self._cut, machine))
+            self.at(self.random.uniform(0.2, 2.0), partial(self._inject, self._cut, machine))
         return True
 
     def _restarts_beside_a_cut(self, machine: Machine) -> bool:
-        """The primary and a copy are cut off from each other while others restart in a moment."""
+        """Cut the primary and a copy off from each other while the others restart quickly."""
         primary = self.primary()
         record = primary.replica.record if primary is not None else None
         if primary is None or record is None or len(record.copies) < 2:
@@ -497,21 +497,21 @@
         self.trouble(other, until)
         for one in self.machines.values():
             if one not in (primary.machine, other) and not one.is_removed:
-                self.at(self.random.uniform(1.2, 3.0), partial(self._hit, self._blink, one))
+                self.at(self.random.uniform(1.2, 3.0), partial(self._inject, self._quick_restart, one))
         return True
 
-    def _blink(self, machine: Machine) -> bool:
+    def _quick_restart(self, machine: Machine) -> bool:
         self._end(machine)
         self._restart(machine, 0.02)
         return True
 
     def _cut_then_wipe(self, machine: Machine) -> bool:
-        """A machine is cut off for long, and at the end of that its disk is lost."""
+        """Cut a machine off for long, and wipe its disk at the end of the cut."""
         length = self.random.uniform(4.5, 7.0)
         machine.cut_in_until = max(machine.cut_in_until, self.now + length)
         machine.cut_out_until = max(machine.cut_out_until, self.now + length)
         self.trouble(machine, self.now + length)
-        self.at(length - 0.05, partial(self._hit, self._wipe, machine))
+        self.at(length - 0.05, partial(self._inject, self._wipe, machine))
         return True
 
     def _slow_disk(self, machine: Machine) -> bool:
@@ -536,55 +536,55 @@
         self._next_ip += 1
         self.machines[new.ip] = new
         self.trouble(new, self.now)
-        if self.random.random() < 0.5:  # without a word
+        if self.random.random() < 0.5:  # without retiring
             self._remove(machine)
             self.at(self.random.uniform(0.0, 1.0), partial(self.start, new))
         else:
             self.start(new)
             self.trouble(machine, self.now + 4.0)
-            self.at(self.random.uniform(0.5, 3.0), partial(self._retire_for_good, machine))
+            self.at(self.random.uniform(0.5, 3.0), partial(self._retire_and_remove, machine))
         return True
 
-    def _retire_for_good(self, machine: Machine) -> None:
-        if machine.life is not None:
-            self.tell(machine.life, ev.Retire())
-        self._when_handed_over(machine.life, self.now + GRACE_S, partial(self._remove, machine))
+    def _retire_and_remove(self, machine: Machine) -> None:
+        if machine.process is not None:
+            self.tell(machine.process, ev.Retire())
+        self._when_handed_over(machine.process, self.now + GRACE_S, partial(self._remove, machine))
 
     def _remove(self, machine: Machine) -> None:
         self._end(machine)
         machine.is_removed = True
         machine.disk = {}
-        # It is lost until the rest have made up for it.
+        # It counts as lost until the others have replaced it.
         self.trouble(machine, self.now)
         self._links_down(machine.ip)
 
     def _retire(self, machine: Machine) -> bool:
-        if machine.life is None:
+        if machine.process is None:
             return False
-        self.tell(machine.life, ev.Retire())
-        self._when_handed_over(machine.life, self.now + GRACE_S, partial(self._killed, machine))
+        self.tell(machine.process, ev.Retire())
+        self._when_handed_over(machine.process, self.now + GRACE_S, partial(self._end_retired, machine))
         return True
 
-    def _when_handed_over(self, life: Life | None, until: float, then: Callable[[], None]) -> None:
-        """End as the program does: when the replica may end, or when its grace is over."""
-        if life is None or life.machine.life is not life:
+    def _when_handed_over(self, process: Process | None, until: float, then: Callable[[], None]) -> None:
+        """End a process as the program does: when the replica may shut down, or after its grace period."""
+        if process is None or process.machine.process is not process:
             then()
-        elif self.now >= until or life.replica.may_shut_down(life.machine.clock(self.now)):
+        elif self.now >= until or process.replica.may_shut_down(process.machine.clock(self.now)):
             self.at(self.random.uniform(0.01, 0.3), then)
         else:
-            self.at(0.02, partial(self._when_handed_over, life, until, then))
+            self.at(0.02, partial(self._when_handed_over, process, until, then))
 
     def _all_killed(self, machine: Machine) -> bool:
         if not all(one.disk for one in self.machines.values() if not one.is_removed):
-            return False  # before the first start is on the disks, this is the loss of a majority of them
+            return False  # before the first start is stored on all disks, this would be the loss of a majority of them
         for one in self.machines.values():
             if not one.is_removed:
                 self._end(one)
                 self._restart(one, self.random.uniform(0.05, 1.0))
         return True
 
-    def _final(self, machine: Machine) -> bool:
-        """All lose power, and as many lose their disks as may be."""
+    def _final_power_loss(self, machine: Machine) -> bool:
+        """All machines lose power, and as many lose their disks as tolerated."""
         lost = self.random.sample([one for one in self.machines.values() if not one.is_removed], self.tolerance)
         if self.now < CATCH_UP_S or any(self.now < one.troubled_until for one in self.machines.values()):
             return False
@@ -605,23 +605,23 @@
             machine.cut_in_until = machine.cut_out_until = 0.0
             machine.late_in_until = machine.late_out_until = 0.0
             machine.cut_pairs.clear()
-            if machine.life is not None:
-                machine.life.disk_free_at = min(machine.life.disk_free_at, self.now + 0.05)
-                self.thaw(machine.life)
+            if machine.process is not None:
+                machine.process.disk_free_at = min(machine.process.disk_free_at, self.now + 0.05)
+                self.thaw(machine.process)
             else:
                 self.start(machine)
 
     # Operators.
 
-    def primary(self) -> Life | None:
+    def primary(self) -> Process | None:
         for machine in self.machines.values():
-            life = machine.life
+            process = machine.process
             if (
-                life is not None
+                process is not None
                 and self.now >= machine.frozen_until
-                and life.replica.holds_lease(machine.clock(self.now))
+                and process.replica.holds_lease(machine.clock(self.now))
             ):
-                return life
+                return process
         return None
 
     def new_attempt(self, base: int) -> Attempt:
@@ -632,7 +632,7 @@
         return Attempt(base, revision, self.random.randbytes(4))
 
     def repeat(self) -> None:
-        """Send again, as it was, a call that was acknowledged some time ago, to any controller."""
+        """Repeat, at any controller, a call that was acknowledged some time ago."""
         if self._acknowledged:
             attempt = self.random.choice(self._acknowledged[-8:] + self._acknowledged[:2])
             present = [ip for ip, machine in self.machines.items() if not machine.is_removed]
@@ -645,21 +645,23 @@
         self._number += 1
         request = self._number
         self._requests[request] = (operator, attempt)
-        life = self.machines[ip].life
-        if life is not None:
+        process = self.machines[ip].process
+        if process is not None:
             write = ev.Write(request, attempt.base, attempt.revision, b"doc" + attempt.digest, attempt.digest)
-            self.at(self.random.uniform(0.001, 0.003), partial(self.tell, life, write))
+            self.at(self.random.uniform(0.001, 0.003), partial(self.tell, process, write))
         return request
 
-    def _answer(self, life: Life, action: ev.Answer) -> None:
+    def _answer(self, process: Process, action: ev.Answer) -> None:
         result = action.result
-        self.note(f"{life.machine.ip} answers {action.request}: {result}")
-        if isinstance(result, ev.Accepted | ev.Conflict) and not life.replica.holds_lease(life.machine.clock(self.now)):
+        self.note(f"{process.machine.ip} answers {action.request}: {result}")
+        if isinstance(result, ev.Accepted | ev.Conflict) and not process.replica.holds_lease(
+            process.machine.clock(self.now)
+        ):
             return
         operator, attempt = self._requests[action.request]
-        term = life.replica.record.term if life.replica.record is not None else -1
+        term = process.replica.record.term if process.replica.record is not None else -1
         if operator is None:
-            self.judge.repeated(attempt, result, term != attempt.term)
+            self.judge.check_repeat(attempt, result, term != attempt.term)
             return
         if isinstance(result, ev.Accepted):
             self.judge.acknowledge(self.now, attempt.base, attempt.revision, attempt.digest)
@@ -673,45 +675,45 @@
         self.at(self.random.uniform(0.1, 2.0), self.fault)
         self.run_until(FAULTS_S)
         self.heal()
-        self._recovers()
+        self._check_recovery()
         if self.seed % 3 == 0:
             # The final fault, with the group whole.
             self.run_until(self.now + CATCH_UP_S)
-            self.beyond_until = 0.0
+            self.beyond_tolerance_until = 0.0
             for machine in self.machines.values():
                 machine.troubled_until = 0.0
             self._is_over = False
-            self._hit(self._final, next(iter(self.machines.values())))
+            self._inject(self._final_power_loss, next(iter(self.machines.values())))
             self._is_over = True
             self.run_until(self.now + 1.0)
-            self._recovers()
+            self._check_recovery()
         return self
 
-    def _recovers(self) -> None:
-        """Time passes without faults; the group must be whole, and take writes, at the end of it."""
+    def _check_recovery(self) -> None:
+        """Run without faults; at the end the group must be complete and acknowledge writes."""
         acks = self.judge.acks
         self.run_until(self.now + RECOVER_S)
-        life = self.primary()
-        if life is None or life.replica.current is None:
+        process = self.primary()
+        if process is None or process.replica.current is None:
             raise Violation(f"no recovery: {[self._describe(one) for one in self.machines.values()]}")
         if self.judge.acks == acks:
             raise Violation("no write was acknowledged after the faults")
-        record = life.replica.record
+        record = process.replica.record
         assert record is not None
         if len(record.copies) < min(len(record.members), self.tolerance + 1):
             raise Violation(f"too few copies: {record}")
-        present = {one.life.replica.id for one in self.machines.values() if one.life is not None}
+        present = {one.process.replica.id for one in self.machines.values() if one.process is not None}
         wanted = max(3, 2 * self.tolerance + 1)
         if len(set(record.members) & present) < min(wanted, len(present)) or len(record.members) != wanted:
             raise Violation(f"{wanted} members wanted: {record} of {present}")
 
     def _describe(self, machine: Machine) -> str:
-        life = machine.life
-        return f"{machine.ip}: {'down' if life is None else life.replica.status(machine.clock(self.now))}"
+        process = machine.process
+        return f"{machine.ip}: {'down' if process is None else process.replica.status(machine.clock(self.now))}"
 
 
 class Operator:
-    """Changes the configuration again and again; often both read the same base and send at once."""
+    """Changes the configuration repeatedly; often both operators read the same base and send at the same time."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -722,8 +724,8 @@
     def step(self) -> None:
         world = self.world
         if self.attempt is None:
-            life = world.primary()
-            current = life.replica.current if life is not None else None
+            process = world.primary()
+            current = process.replica.current if process is not None else None
             if current is None:
                 world.at(0.1, self.step)
                 return
@@ -731,7 +733,7 @@
             other = next(one for one in world.operators if one is not self)
             if other.attempt is None and world.random.random() < 0.4:
                 other.attempt = world.new_attempt(current[0])
-                other.hint = life.machine.ip if life is not None else None
+                other.hint = process.machine.ip if process is not None else None
         attempt = self.attempt
         attempt.tries += 1
         ips = [ip for ip, machine in world.machines.items() if not machine.is_removed]
@@ -745,9 +747,9 @@
     def _give_up(self, request: int, tries: int) -> None:
         if self.request == request:
             self.request = -1
-            self._again()
+            self._schedule_step()
 
-    def _again(self) -> None:
+    def _schedule_step(self) -> None:
         if self.attempt is not None and self.attempt.tries > 10:
             self.attempt = None
         self.world.at(self.world.random.uniform(0.01, 0.3), self.step)
@@ -765,11 +767,11 @@
             self.attempt = None
         elif isinstance(result, ev.NotPrimary):
             self.hint = result.primary_ip
-        self._again()
+        self._schedule_step()
 
 
 def play(seed: int, kind: type[ConsensusReplica] = ConsensusReplica) -> str:
-    """Play one schedule; return "" or what was broken."""
+    """Play one schedule; return the violated rule, "" if there is none."""
     world = World(seed, kind)
     try:
         world.run()
@@ -779,7 +781,7 @@
 
 
 def main() -> int:
-    """Play many schedules; print those that broke a rule."""
+    """Play many schedules; print those that violated a rule."""
     parser = argparse.ArgumentParser(description="Play the consensus replicas against random faults.")
     parser.add_argument("--schedules", type=int, default=300)
     parser.add_argument("--first", type=int, default=0, help="seed of the first schedule")
--- a/tests/test_consensus_simulated.py
+++ b/tests/test_consensus_simulated.py
@@ -1,4 +1,4 @@
-"""Many schedules of random faults against the custody, and planted faults that the same schedules must find."""
+"""Many schedules of random faults against consensus replicas, and planted faults that the same schedules must find."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from cranebank.control.epochs import NO_BALLOT, DurableState, EpochRecord, HeldLease, initial_record
 
 SCHEDULES = 300
-IN_ONE_TEST = 20
+SCHEDULES_PER_TEST = 20
 
 
-@pytest.mark.parametrize("first", range(0, SCHEDULES, IN_ONE_TEST))
+@pytest.mark.parametrize("first", range(0, SCHEDULES, SCHEDULES_PER_TEST))
 def test_no_schedule_breaks_a_rule(first: int) -> None:
-    broken = [found for seed in range(first, first + IN_ONE_TEST) if (found := play(seed))]
+    broken = [found for seed in range(first, first + SCHEDULES_PER_TEST) if (found := play(seed))]
     assert broken == []
 
 
-# Seeds of longer runs that broke a rule once.
+# Seeds of longer runs that once violated a rule.
 @pytest.mark.parametrize("seed", [468, 615, 758, 1523, 1751, 2080, 2572, 2758, 3161])
 def test_a_schedule_that_broke_a_rule_once_holds(seed: int) -> None:
     assert play(seed) == ""
@@ -36,21 +36,21 @@
     kinds = {kind for world in worlds for kind in world.faults}
     assert kinds == {
         "_kill",
-        "_power",
+        "_lose_power",
         "_wipe",
         "_freeze",
         "_cut",
         "_cut_pair",
-        "_late",
+        "_delay_messages",
         "_slow_disk",
         "_refusing_disk",
         "_stuck_disk",
         "_replace",
         "_retire",
         "_all_killed",
-        "_final",
+        "_final_power_loss",
         "_restarts_beside_a_cut",
-        "_blink",
+        "_quick_restart",
         "_cut_then_wipe",
     }
     assert sum(world.judge.acks for world in worlds) > 1000
@@ -165,7 +165,7 @@
 
 
 def found(kind: type[ConsensusReplica], first: int, count: int) -> str:
-    """Return what the first schedule that finds the plant says, "" when none does."""
+    """Return the violation in the first schedule that finds the planted fault, "" when none does."""
     for seed in range(first, first + count):
         try:
             World(seed, kind).run()
--- a/tests/test_restarts_over_changes.py
+++ b/tests/test_restarts_over_changes.py
@@ -1,7 +1,7 @@
-"""Members restarted, wiped and replaced at random points among 1,000 changes: one message brings them in step.
+"""Members restarted, wiped and replaced at random points during 1,000 changes: one message brings them up to date.
 
-The custody's cores run under the simulated network, disks and clocks of `simulated_control`, whose judge also sees to
-it that nobody leads with an older value than the acknowledged one.
+The consensus replicas run over the simulated network, disks and clocks of `simulated_control`, whose judge also checks
+that no primary has an older value than the acknowledged one.
 """
 
 from __future__ import annotations
@@ -12,88 +12,90 @@
 from random import Random
 
 import pytest
-from simulated_control import CATCH_UP_S, Life, Machine, Violation, World
+from simulated_control import CATCH_UP_S, Machine, Process, Violation, World
 
 from cranebank.control import events as ev
 from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings, InvariantBroken
 
 CHANGES = 1000
-FAULTS = 60  # at least so many, one by one
+FAULTS = 60  # at least so many, one after the other
 LONGEST_S = 2000.0
 REPAIR_LOOK_S = 0.02
 SEEDS = (3, 7, 12)
 
 
-class InStep:
-    """A member that started: what was acknowledged then, and when it held that."""
+class Catchup:
+    """A started member: the newest acknowledged revision at its start, and when the member was up to date."""
 
-    def __init__(self, life: Life, case: str, newest: int, started: float) -> None:
-        self.life, self.case, self.newest, self.started = life, case, newest, started
-        self.began_with = life.replica.status(0.0).revision
+    def __init__(self, process: Process, case: str, newest: int, started: float) -> None:
+        self.process, self.case, self.newest, self.started = process, case, newest, started
+        self.began_with = process.replica.status(0.0).revision
         self.took_s: float | None = None
         self.place = ""
-        self.first_value: int | None = None  # the revision that it took first
+        self.first_value: int | None = None  # the first revision that it received
 
 
 class LongWorld(World):
-    """Changes without end, and one member at a time restarted, wiped or replaced."""
+    """Continuous changes while one member at a time is restarted, wiped or replaced."""
 
     def __init__(self, seed: int, kind: type[ConsensusReplica] = ConsensusReplica) -> None:
         super().__init__(seed, kind)
-        self.loss = self.doubled = self.jumbled = self.trigger = 0.0
-        self.starts: list[InStep] = []
+        self.loss_probability = self.duplicate_probability = self.reorder_probability = (
+            self.action_fault_probability
+        ) = 0.0
+        self.starts: list[Catchup] = []
         self.cases: Counter[str] = Counter()
         self._replacements = 0
-        self._without_value: dict[Life, InStep] = {}
+        self._without_value: dict[Process, Catchup] = {}
         self.repairs_s: list[float] = []
-        self._watched: dict[Life, InStep] = {}
+        self._watched: dict[Process, Catchup] = {}
 
     def start(self, machine: Machine) -> None:
-        """Start a machine's process and watch until it is in step."""
+        """Start a machine's process and watch it until it is up to date."""
         case = "wiped or new" if not machine.disk else "restarted"
-        was_down = machine.life is None
+        was_down = machine.process is None
         super().start(machine)
-        life = machine.life
-        if life is not None and was_down and self.now > 0.5:
-            watched = InStep(life, case, self.judge.newest, self.now)
-            self._watched[life] = self._without_value[life] = watched
+        process = machine.process
+        if process is not None and was_down and self.now > 0.5:
+            watched = Catchup(process, case, self.judge.newest, self.now)
+            self._watched[process] = self._without_value[process] = watched
             self.starts.append(watched)
-            self._look_at(life)
+            self._check_up_to_date(process)
 
-    def tell(self, life: Life, event: ev.Event) -> None:
-        """Give a process an event and look whether that has brought it in step."""
-        super().tell(life, event)
-        self._look_at(life)
+    def tell(self, process: Process, event: ev.Event) -> None:
+        """Pass an event to a process and check whether that has brought it up to date."""
+        super().tell(process, event)
+        self._check_up_to_date(process)
 
-    def _look_at(self, life: Life) -> None:
-        revision = life.replica.status(0.0).revision
-        started = self._without_value.get(life)
+    def _check_up_to_date(self, process: Process) -> None:
+        revision = process.replica.status(0.0).revision
+        started = self._without_value.get(process)
         if started is not None and revision != started.began_with:
             started.first_value = revision
-            del self._without_value[life]
-        watched = self._watched.get(life)
+            del self._without_value[process]
+        watched = self._watched.get(process)
         if watched is None:
             return
-        place = "copy" if revision >= watched.newest else self._place_without_value(life)
+        place = "copy" if revision >= watched.newest else self._place_without_value(process)
         if place is not None:
             watched.place = place
             watched.took_s = self.now - watched.started
-            del self._watched[life]
+            del self._watched[process]
 
-    def _place_without_value(self, life: Life) -> str | None:
-        """Tell which place this process has, by the primary's record, where it need not hold the value."""
+    def _place_without_value(self, process: Process) -> str | None:
+        """Return the process's place in the primary's record if it need not hold the value, else None."""
         primary = self.primary()
         record = primary.replica.record if primary is not None else None
         if record is None:
             return None
-        present = {one.life.replica.id for one in self.machines.values() if one.life is not None}
-        if life.replica.id not in record.members:
+        present = {one.process.replica.id for one in self.machines.values() if one.process is not None}
+        if process.replica.id not in record.members:
             return "spare" if present.issuperset(record.members) else None
-        is_told = record == life.replica.record
-        return "witness" if is_told and life.replica.id not in record.copies else None
+        is_told = record == process.replica.record
+        return "witness" if is_told and process.replica.id not in record.copies else None
 
     def fault(self) -> None:
-        """Strike one member, and the next once this one is back and has caught up."""
+        """Inject a fault into one member, and into the next one once this one has caught up."""
         if self._is_over:
             return
         self.at(self.random.uniform(0.5, 2.0), self.fault)
@@ -102,31 +104,31 @@
         primary = self.primary()
         present = [one for one in self.machines.values() if not one.is_removed]
         machine = self.random.choice(present)
-        strikes: list[Callable[[Machine], bool]] = [self._kill, self._power, self._wipe, self._replace]
-        strike = self.random.choice(strikes)
-        struck_primary = primary is not None and machine is primary.machine
+        faults: list[Callable[[Machine], bool]] = [self._kill, self._lose_power, self._wipe, self._replace]
+        fault = self.random.choice(faults)
+        hits_primary = primary is not None and machine is primary.machine
         newest = self.judge.newest
-        if strike(machine):
-            if strike != self._replace:
-                self.at(0.0, partial(self._look_for_repair, self.now, newest))
-            self.cases[strike.__name__ + (" of the primary" if struck_primary else "")] += 1
+        if fault(machine):
+            if fault != self._replace:
+                self.at(0.0, partial(self._watch_repair, self.now, newest))
+            self.cases[fault.__name__ + (" of the primary" if hits_primary else "")] += 1
 
-    def _look_for_repair(self, struck_at: float, newest: int) -> None:
-        """Note when the group holds enough copies of what was acknowledged before the strike, in live members."""
+    def _watch_repair(self, injected_at: float, newest: int) -> None:
+        """Record when enough live members hold copies of the change acknowledged before the fault."""
         primary = self.primary()
         record = primary.replica.record if primary is not None else None
         holding = {
-            one.life.replica.id
+            one.process.replica.id
             for one in self.machines.values()
-            if one.life is not None and one.life.replica.status(0.0).revision >= newest
+            if one.process is not None and one.process.replica.status(0.0).revision >= newest
         }
         if record is not None and len(holding & set(record.copies)) > self.tolerance:
-            self.repairs_s.append(self.now - struck_at)
+            self.repairs_s.append(self.now - injected_at)
         else:
-            self.at(REPAIR_LOOK_S, partial(self._look_for_repair, struck_at, newest))
+            self.at(REPAIR_LOOK_S, partial(self._watch_repair, injected_at, newest))
 
     def _replace(self, machine: Machine) -> bool:
-        """A new machine at a new address takes the place of one that goes, with a word or without."""
+        """Replace a machine by a new one at a new address; the old one retires, or is lost without notice."""
         if not self.may_lose(machine):
             return False
         self._replacements += 1
@@ -135,7 +137,7 @@
         self.trouble(new, self.now)
         self.start(new)
         self.trouble(machine, self.now + CATCH_UP_S)
-        leave = self.random.choice([self._remove, self._retire_for_good])
+        leave = self.random.choice([self._remove, self._retire_and_remove])
         self.at(self.random.uniform(0.5, 3.0), partial(leave, machine))
         self.seeds = tuple(ip for ip, one in self.machines.items() if not one.is_removed and one is not machine)[:3]
         return True
@@ -148,7 +150,7 @@
             if self.now > LONGEST_S:
                 raise Violation(f"{self.judge.acks} changes in {self.now} s")
         self.heal()
-        self._recovers()
+        self._check_recovery()
         return self
 
 
@@ -170,19 +172,19 @@
         f"copies whole again: median {repairs[len(repairs) // 2]:.2f} s, longest {repairs[-1]:.2f} s of {len(repairs)}"
     )
     assert world.judge.acks >= CHANGES and len(ended) == len(world.starts)
-    assert took[-1] < CATCH_UP_S  # there, half of the least that the pages allow
+    assert took[-1] < CATCH_UP_S  # half of the shortest time that the operators' guide allows
     assert repairs[-1] < CATCH_UP_S
-    # One message brought each in step: the first value that it took is none of the past.
+    # One message brought each member up to date: the first value that it received was not outdated.
     assert [one.first_value for one in newest_missed if (one.first_value or 0) < one.newest] == []
-    for strike in ("_kill", "_power", "_wipe", "_replace"):
-        assert world.cases[strike] and world.cases[f"{strike} of the primary"], strike
+    for fault in ("_kill", "_lose_power", "_wipe", "_replace"):
+        assert world.cases[fault] and world.cases[f"{fault} of the primary"], fault
     assert cases["restarted copy"] and cases["restarted witness"]
     assert cases["wiped or new witness"] + cases["wiped or new spare"]
     assert cases["took a value after missing some"] and cases["took a value with an empty disk"]
 
 
 class ForgetsItsValue(ConsensusReplica):
-    """A planted fault: the value on the disk is not read again, while the votes are."""
+    """Planted fault: after a restart the votes are read from the disk, but the value is not."""
 
     def __init__(self, settings: ConsensusSettings, stored: Mapping[str, bytes], random: Random, now: float) -> None:
         super().__init__(settings, {key: kept for key, kept in stored.items() if key != "value"}, random, now)
