--- a/tests/single_node_consensus.py
+++ b/tests/single_node_consensus.py
@@ -1,4 +1,4 @@
-"""A stand-in for the custody: one replica that is primary from the start, with no copies."""
+"""Consensus core of a single node, for tests: a replica that is primary from the start, without copies."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SingleNodeConsensus:
-    """Takes each write at once, after it is on disk; ``leader_ip`` set to another address makes it a follower."""
+    """Accepts each write as soon as it is on disk; with another address as ``leader_ip`` it is a follower."""
 
     def __init__(self, ip: str, stored: Mapping[str, bytes], leader_ip: str | None = None) -> None:
         self.ip, self.leader_ip = ip, leader_ip or ip
@@ -28,35 +28,35 @@
             self.calls[stored["digest"]] = int(stored["revision"])
 
     def holds_lease(self, now: float) -> bool:
-        """Whether it leads."""
+        """Return whether this node is the leader."""
         return self.leader_ip == self.ip
 
     def in_contact(self, now: float) -> bool:
-        """As the test sets it."""
+        """Return the value set by the test."""
         return self.is_in_contact
 
     def is_current(self, now: float, revision: int) -> bool:
-        """In contact, and no older than what this one has taken."""
+        """Return whether it is in contact and the revision is no older than its own."""
         return self.is_in_contact and (self.current is None or revision >= self.current[0])
 
     def known_call(self, digest: bytes) -> int | None:
-        """The revision that a call put in force."""
+        """Return the revision that a call put in force."""
         return self.calls.get(digest)
 
     def may_be_forgotten(self, revision: int) -> bool:
-        """As the test sets it."""
+        """Return whether the revision is below the bound set by the test."""
         return revision < self.forgotten_below
 
     def may_shut_down(self, now: float) -> bool:
-        """Once it leads no longer."""
+        """Return whether it no longer is the leader."""
         return not self.holds_lease(now)
 
     def known_ips(self) -> set[str]:
-        """Itself and the leader."""
+        """Return the addresses of this node and of the leader."""
         return {self.ip, self.leader_ip}
 
     def status(self, now: float) -> events.Status:
-        """How things stand."""
+        """Return the status of the single node."""
         leads = self.holds_lease(now)
         revision = self.current[0] if self.current else 0
         return events.Status(
@@ -74,7 +74,7 @@
         )
 
     def handle(self, now: float, event: events.Event) -> list[events.Action]:
-        """What to do."""
+        """Process an event and return the actions to perform."""
         match event:
             case events.Tick() if self.holds_lease(now) and not self._said:
                 self._said = True
@@ -89,7 +89,7 @@
             case events.Persisted(token):
                 return self._persisted(token)
             case events.Retire():
-                self.leader_ip = "127.0.0.250"  # somebody else takes over at once
+                self.leader_ip = "127.0.0.250"  # another node takes over at once
                 return [events.LeadershipLost()]
         return []
 
--- a/tests/test_call_table.py
+++ b/tests/test_call_table.py
@@ -1,4 +1,4 @@
-"""The table of the calls that were taken: its bound, and what a primary answers to a call that fell out of it."""
+"""The table of applied calls: its bound, and a primary's answers to calls that were evicted from it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from cranebank.control import events as ev
 from cranebank.control.call_table import EMPTY_TABLE, AppliedCall, CallTable
 
-FEW_CALLS = 3
-DISK_AND_LINK_S = 0.05  # within which a write is on the disk of its copy and answered
+SMALL_TABLE_CALLS = 3
+DISK_AND_LINK_S = 0.05  # within which a write is on its copy's disk and answered
 
 
 @pytest.fixture(autouse=True)
 def _small_table(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(call_table, "MAX_CALLS", FEW_CALLS)
+    monkeypatch.setattr(call_table, "MAX_CALLS", SMALL_TABLE_CALLS)
 
 
 def digest_of(revision: int) -> bytes:
@@ -30,7 +30,7 @@
 
 
 def changed(*revisions: int) -> Group:
-    """A group that has acknowledged these changes, one after the other."""
+    """Return a group that has acknowledged these changes, one after the other."""
     group = ready()
     base = 0
     for revision in revisions:
@@ -59,8 +59,8 @@
             group.stop(old)
             group.run(3.0)
             assert group.primary not in ("", old)
-        group.write(20, 2, 3)  # fell out
-        group.write(21, 3, 5)  # the oldest that is known
+        group.write(20, 2, 3)  # evicted
+        group.write(21, 3, 5)  # the oldest in the table
         group.write(22, 3, 4, b"never taken")
         assert [group.answers.pop(request) for request in (20, 21, 22)] == [
             ev.Unknown(),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Reading, checking and amending of the operator's configurations."""
+"""Parsing, validation and amendment of the operator's configurations."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def route(name: str = "r-1", **changes: Any) -> Document:
-    """A route as the operator's page shows it."""
+    """Return a route as in the operator's guide."""
     return {
         "name": name,
         "hostname": f"{name}.example",
@@ -32,7 +32,7 @@
 
 
 def document(**changes: Any) -> Document:
-    """A small whole configuration."""
+    """Return a small complete configuration."""
     split = route("r-2", branches=[{"target": "s-1", "share": 90}, {"target": "s-2", "share": 10}])
     del split["target"]
     return {
@@ -45,12 +45,12 @@
 
 
 def body(value: object) -> bytes:
-    """As it is sent."""
+    """Return the value as a request body."""
     return json.dumps(value).encode()
 
 
 def broken(change: Callable[[Document], object]) -> bytes:
-    """A configuration with one thing wrong."""
+    """Return a configuration with one fault."""
     value = document()
     change(value)
     return body(value)
@@ -97,7 +97,7 @@
     ],
 )
 def test_invalid(sent: bytes, code: str, key: str) -> None:
-    """Each kind of unusable configuration is refused, and the refusal names the key."""
+    """Each kind of unusable configuration is refused with an error that names the key."""
     with pytest.raises(InvalidConfiguration) as caught:
         check(sent, 5)
     assert (caught.value.code, caught.value.key) == (code, key)
@@ -105,7 +105,7 @@
 
 
 def test_what_was_sent_is_kept() -> None:
-    """Fields that aren't known are kept, wherever they stand; the bytes are the operator's own."""
+    """Unknown fields are kept at any depth, and the document is what the operator sent."""
     value = document(walls=[{"name": "w"}], note=1.5)
     value["routes"][0]["later"] = {"deep": [1, None, "ü"]}
     found = check(body(value), 5)
@@ -114,12 +114,12 @@
 
 
 def test_a_route_of_root_and_equal_prefixes_of_two_hosts() -> None:
-    """A slash alone begins and ends with one; a prefix belongs to its host."""
+    """A single slash is a valid prefix, and two hosts may use the same prefix."""
     check(body(document(routes=[route("a", path_prefix="/"), route("b", path_prefix="/")])), 0)
 
 
 def test_amend() -> None:
-    """Items are replaced where they stand, added at the end, removed by name; the rest stays as it was."""
+    """Items are replaced in place, added at the end and removed by name; all others stay unchanged."""
     before = document(walls=[{"name": "w", "x": 1}])
     changed, added = route("r-1", timeout_ms=9), route("r-3")
     found = amend(
@@ -157,14 +157,14 @@
     ],
 )
 def test_invalid_amendments(sent: Document, code: str) -> None:
-    """What results is checked as a whole."""
+    """The resulting configuration is validated as a whole."""
     with pytest.raises(InvalidConfiguration) as caught:
         amend(body(document()), body(sent))
     assert caught.value.code == code
 
 
 def test_many_routes() -> None:
-    """Hundreds of routes at once, whole and amended."""
+    """Hundreds of routes are accepted in a complete configuration and in an amendment."""
     routes = [route(f"r-{number}") for number in range(400)]
     whole = check(body(document(routes=routes)), 0)
     grown = amend(whole.document, body({"revision": 8, "upsert": {"routes": [route(f"n-{i}") for i in range(400)]}}))
@@ -172,7 +172,7 @@
 
 
 def test_calls_sent_again_are_known() -> None:
-    """The same call has the same digest; another body, base or kind of call has not."""
+    """The same call has the same digest; another body, base or kind of call has another one."""
     sent = body(document())
     assert digest_of("Replace", 5, sent) == digest_of("Replace", 5, bytes(sent))
     others = {
@@ -198,7 +198,7 @@
 
 @given(JSON, JSON, st.integers(8, 2**40))
 def test_amended_documents_keep_unknown_fields(extra: object, deep: object, revision: int) -> None:
-    """Whatever stands in fields that aren't known comes through an amendment unchanged."""
+    """The contents of unknown fields pass an amendment unchanged."""
     before = document(**{"x-extra": extra})
     before["routes"][0]["x-deep"] = deep
     found = amend(body(before), body({"revision": revision}))
@@ -207,7 +207,7 @@
 
 @given(st.binary(max_size=60) | JSON.map(body))
 def test_nothing_but_typed_refusals(sent: bytes) -> None:
-    """Whatever comes is taken or refused by type."""
+    """Any input is accepted or refused with a typed error."""
     for whole in (True, False):
         try:
             check(sent, 0) if whole else amend(body(document()), sent)
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -1,4 +1,4 @@
-"""Stories of the custody on a network without faults of its own: who leads, what a write gets, who is admitted."""
+"""Consensus replicas on a network without random faults: election of a primary, answers to writes, admission."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Group:
-    """Controllers whose messages and disks take a few steps of 5 ms; any can be stopped, cut off or wiped."""
+    """Controllers with short message and disk delays; each can be stopped, cut off or wiped."""
 
     def __init__(self, ips: tuple[str, ...] = SEEDS, seed: int = 1, tolerance: int = 1) -> None:
         self.random = Random(seed)
@@ -257,7 +257,7 @@
     gone = next(ip for ip in members(group) if ip_of_primary(group) != ip)
     group.stop(gone.split("/")[0])
     group.run(1.5)
-    assert gone in members(group), "nobody is there to replace it"
+    assert gone in members(group), "there is no newcomer to replace it"
     group.start("10.0.0.10")
     group.run(0.5)
     assert len(members(group)) == 3 and gone not in members(group)
@@ -440,7 +440,7 @@
 
 
 def copy_of(group: Group) -> ConsensusReplica:
-    """The replica of another copy than the primary."""
+    """Return the replica of a copy other than the primary."""
     record = group.nodes[group.primary].record
     assert record is not None
     return group.nodes[next(ip for ip in record.copies if ip != group.primary)]
@@ -471,7 +471,7 @@
     actions = copy.handle(group.now, ev.Received(group.primary, late))
     assert copy.status(group.now).revision == 3
     sent = [one.message for one in actions if isinstance(one, ev.Send)]
-    assert ev.Chosen(copy.id, record) in sent, "the sender is told that it is behind"
+    assert ev.Chosen(copy.id, record) in sent, "the outdated sender is sent the newest record"
 
 
 def test_a_lease_counts_from_the_ask_and_less_the_margin() -> None:
@@ -493,24 +493,24 @@
 
 
 def test_a_stamp_of_an_earlier_process_is_no_contact() -> None:
-    """The machine was restarted and its clock with it: a stamp of before is ahead of all times to come."""
+    """A restart of the machine resets its clock: a stamp from before may be ahead of all later times."""
     group = ready()
     record = group.nodes[group.primary].record
     assert record is not None
     follower = next(ip for ip in SEEDS if ip != group.primary)
     node = group.nodes[follower]
-    for life, is_own in ((node._incarnation + 1, False), (node._incarnation, True)):
+    for incarnation, is_own in ((node._incarnation + 1, False), (node._incarnation, True)):
         group.cut.add(follower)
         group.run(2.0)
         assert not node.in_contact(group.now)
-        stamp = ev.Stamp(life, group.now + 1000.0)
+        stamp = ev.Stamp(incarnation, group.now + 1000.0)
         record = node.record or record
         group.tell(follower, ev.Received(record.primary, ev.AskLease(record.primary, record, 1, stamp, 0)))
         assert node.in_contact(group.now) is is_own
 
 
 def test_a_primary_gives_contact_only_under_its_lease() -> None:
-    """It was frozen past the end of its lease: the first thing that it hears makes it ask, before its next tick."""
+    """After a freeze past the end of its lease, the first message makes it send lease requests before its next tick."""
     group = ready()
     node = group.nodes[group.primary]
     record = node.record
@@ -529,7 +529,7 @@
 
 
 def test_a_vote_is_stored_with_the_id_that_gave_it() -> None:
-    """The disk refuses the first persist, takes the second; the process ends: the id is there with the vote."""
+    """If the disk refuses the first write and accepts the second, that one must contain the id along with the vote."""
     settings = ConsensusSettings(SEEDS[0], SEEDS, True, 1)
     node = ConsensusReplica(settings, {}, Random(1), 0.0)
     first = [one for one in node.handle(0.0, ev.Tick()) if isinstance(one, ev.Persist)]
--- a/tests/test_delivery.py
+++ b/tests/test_delivery.py
@@ -1,4 +1,4 @@
-"""Pushes, acknowledgements and configurations on links, without any."""
+"""Pushes, acknowledgements and configurations of the delivery core, without network links."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 def backend(name: str, phase: str = "ready") -> Backend:
-    """A record."""
+    """Return a backend's record."""
     return Backend(name, "s", "10.0.0.9:80", "z", "", 1, phase, 1)
 
 
 def made(proxies: int = 0, is_primary: bool = False) -> Delivery:
-    """A delivery with links 0, 1, ... of proxies that have revision 0."""
+    """Return a delivery with links 0, 1, ... of proxies at revision 0."""
     delivery = Delivery("c-1", Random(1), lambda _now, _revision: True)
     delivery.set_primary(0, is_primary)
     for number in range(proxies):
@@ -44,19 +44,19 @@
     link: Hashable = None,
     records: tuple[Backend, ...] = (),
 ) -> Hashable | None:
-    """A proxy says Hello."""
+    """Add the link of a proxy that sent Hello."""
     return delivery.join(
         now, number if link is None else link, f"p-{number}", f"10.0.0.{number}", True, revision, records
     )
 
 
 def configured(messages: list[tuple[Hashable, Message]]) -> list[tuple[Hashable, int]]:
-    """The configurations among messages."""
+    """Return the configurations among the messages."""
     return [(link, message.revision) for link, message in messages if isinstance(message, ConfigPush)]
 
 
 def test_first_push_carries_everything() -> None:
-    """Who comes is welcomed and told all; later pushes count on from there, on each link by itself."""
+    """A new proxy gets a Welcome and all records; later pushes are numbered from there, on each link by itself."""
     delivery = made()
     delivery.update_controllers({"10.1.0.2", "10.1.0.1"})
     join(delivery, 0, 1, records=(backend("a"), backend("b", "gone")))
@@ -72,7 +72,7 @@
 
 
 def test_a_mark_waits_for_all() -> None:
-    """It is done once every link that was there has acknowledged, or is over; later links don't count."""
+    """It is done once every link of that time has acknowledged or closed; later links do not count."""
     delivery = made(3)
     acks = delivery.push_backends((backend("a", "draining"),))
     done: list[bool] = []
@@ -90,7 +90,7 @@
 
 
 def test_a_process_that_comes_again_replaces_its_link() -> None:
-    """A new link of a machine ends the old one for the count; a reused slot isn't taken for the old link."""
+    """A machine's new link replaces its old one in the count; a reused slot is not mistaken for the old link."""
     delivery = made(2)
     acks = delivery.push_backends((backend("a", "draining"),))
     assert join(delivery, 1, 0, link="again") == 0
@@ -104,7 +104,7 @@
 
 
 def test_a_controller_and_a_proxy_of_one_machine() -> None:
-    """They are two processes; the controller is told of configurations only."""
+    """They are two processes; the controller gets only configurations."""
     delivery = made(1)
     assert delivery.join(0, "c", "c-2", "10.0.0.0", False, 0, ()) is None
     delivery.push_backends((backend("a"),))
@@ -113,7 +113,7 @@
 
 
 def test_the_primary_pushes_at_once() -> None:
-    """To every proxy that is behind, once; other controllers get it where the custody didn't bring it."""
+    """Every outdated proxy gets it once; other controllers get it if they did not learn of it by consensus."""
     delivery = made(2, is_primary=True)
     delivery.join(0, "c", "c-2", "10.0.1.1", False, 0, ())
     delivery.join(0, "d", "c-3", "10.0.1.2", False, 0, ())
@@ -130,7 +130,7 @@
 
 
 def test_others_wait_for_the_primary() -> None:
-    """They hand it on only to those that still show an older one a little later."""
+    """They send it only to peers that still show an older one after a delay."""
     delivery = made(2)
     delivery.committed(1, 7, b"{}")
     delivery.tick(0.9 + BACKUP_PUSH_DELAY_S)
@@ -146,7 +146,7 @@
 
 
 def test_changes_in_a_row_do_not_keep_anybody_waiting() -> None:
-    """A peer that gets none from elsewhere is sent the newest one a little after the first, not after the last."""
+    """The delay before a peer is sent the newest configuration starts with the first change, not with the last."""
     delivery = made(1)
     delivery.join(0, "c", "c-2", "10.0.1.1", False, 0, ())
     delivery.committed(1.0, 1, b"{}")
@@ -172,7 +172,7 @@
 
 
 def test_a_proxy_without_any_configuration_gets_one_from_whoever_has_it() -> None:
-    """It serves nobody until then, and there may be no primary for a while."""
+    """Without one it serves no requests, and there may be no primary for a while."""
     delivery = made(1)
     delivery.committed(1, 7, b"{}")
     delivery.pop_messages()
@@ -181,7 +181,7 @@
 
 
 def test_out_of_contact_nothing_is_handed_out() -> None:
-    """Neither to a proxy without any nor by one that takes itself for the primary; on return it goes out."""
+    """Not even to a proxy without any, or by a supposed primary; once contact returns, it is sent."""
     in_contact = [False]
     delivery = Delivery("c-1", Random(1), lambda _now, _revision: in_contact[0])
     delivery.set_primary(0, True)
@@ -197,7 +197,7 @@
 
 
 def test_only_what_is_known_to_be_the_newest_is_handed_out() -> None:
-    """What the disk kept, or what a controller that is behind has, may be long outdated though there is contact."""
+    """A configuration from disk, or of a controller that lags behind, may be outdated despite contact."""
     newest = [8]
     delivery = Delivery("c-1", Random(1), lambda _now, revision: revision >= newest[0])
     delivery.committed(0, 7, b"{}")
@@ -210,7 +210,7 @@
 
 
 def test_a_new_primary_hands_out_what_is_missing() -> None:
-    """Whoever takes over pushes at once to those that are behind."""
+    """A new primary pushes at once to outdated proxies."""
     delivery = made(2)
     delivery.committed(1, 7, b"{}")
     delivery.set_primary(1.01, True)
@@ -218,7 +218,7 @@
 
 
 def test_nothing_older_is_handed_out() -> None:
-    """What was committed earlier, or learnt late, is not taken."""
+    """An earlier revision, or another document of the same revision, is ignored."""
     delivery = made(1, is_primary=True)
     assert delivery.committed(1, 7, b"7")
     assert not delivery.committed(2, 7, b"x")
@@ -228,7 +228,7 @@
 
 
 def test_waiting_for_a_revision() -> None:
-    """Done when all linked proxies show it or a later one."""
+    """The wait is done when all linked proxies show the revision or a later one."""
     delivery = made(3, is_primary=True)
     delivery.committed(1, 7, b"{}")
     acks = delivery.await_revision(7)
@@ -242,7 +242,7 @@
 
 
 def test_welcomes_are_few() -> None:
-    """Many changes in a short time make one more round."""
+    """Many changes within a short time cause only one more round."""
     delivery = made()
     for number in range(12):
         join(delivery, 10, number)
@@ -261,8 +261,8 @@
 
 @given(st.integers(0, 10**6))
 def test_counts_hold_under_random_load(seed: int) -> None:
-    """Numbers rise by one on each link, revisions never fall, and a acks is done exactly when all that it waits for
-    have acknowledged or are gone."""
+    """Numbers increase by one on each link, revisions never decrease, and a wait is done exactly when all its links
+    have acknowledged or closed."""
     random = Random(seed)
     delivery = Delivery("c", random, lambda _now, _revision: True)
     numbers: dict[Hashable, int] = {}
@@ -314,7 +314,7 @@
 
 
 def test_one_message_for_all_links() -> None:
-    """A configuration may be large: it is made, and so encoded, once for all."""
+    """A configuration may be large: one message object, encoded once, is sent on all links."""
     delivery = made(5, is_primary=True)
     delivery.committed(1, 3, b"{}")
     handed = [message for _, message in delivery.pop_messages() if isinstance(message, ConfigPush)]
--- a/tests/test_evacuation_record.py
+++ b/tests/test_evacuation_record.py
@@ -1,4 +1,4 @@
-"""Evacuated zones in the replicated record: what was answered survives every fault that the group bears."""
+"""Evacuated zones in the replicated record: acknowledged changes survive every fault that the group tolerates."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from cranebank.control.epochs import DurableState, EpochRecord, OrderIntent
 from cranebank.control.evacuation_queue import MAX_WAITING, EvacuationQueue
 
-FIRST = 1000  # the request of the evacuation that a story begins with
-LATER_S = 4.0  # in which whoever waits is answered
+FIRST_REQUEST = 1000  # request number of the evacuation that a test starts with
+ANSWER_LIMIT_S = 4.0  # within which every waiting call is answered
 
 
 def evacuate(group: Group, request: int, zone: str, is_start: bool = True, ip: str = "") -> None:
@@ -30,12 +30,12 @@
 
 
 def started(group: Group, zone: str = "a") -> Group:
-    """A group that has just acknowledged an evacuation, with nothing more said between its controllers."""
-    evacuate(group, FIRST, zone)
-    assert FIRST not in group.answers, "not before it is durable at a majority"
-    while FIRST not in group.answers:
+    """Return a group that has just acknowledged an evacuation, before its controllers exchange further messages."""
+    evacuate(group, FIRST_REQUEST, zone)
+    assert FIRST_REQUEST not in group.answers, "not before it is durable at a majority"
+    while FIRST_REQUEST not in group.answers:
         group.run(0.001)
-    assert group.answers[FIRST] == ev.Accepted() and evacuated(group) == (zone,)
+    assert group.answers[FIRST_REQUEST] == ev.Accepted() and evacuated(group) == (zone,)
     return group
 
 
@@ -44,7 +44,7 @@
         group.stop(ip, wipe=ip in wiped)
     for ip in list(group.disks):
         group.start(ip)
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
 
 
 def test_an_acknowledged_evacuation_survives_the_loss_of_the_primary() -> None:
@@ -131,14 +131,14 @@
     primary = group.primary
     group.cut.add(primary)
     evacuate(group, 1, "a")
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert group.answers[1] == ev.Unknown(), "others may have accepted it"
     assert group.primary not in {"", primary}
     evacuate(group, 2, "a")
     group.run(0.2)
     assert group.answers[2] == ev.Accepted()
     group.cut.clear()
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert {evacuated(group, ip) for ip in group.nodes} == {("a",)}
 
 
@@ -153,7 +153,7 @@
     group.run(0.2)
     assert group.answers[2] == group.answers[3] == ev.Accepted()
     group.cut.clear()
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert {evacuated(group, ip) for ip in group.nodes} == {("b",)}
 
 
@@ -197,7 +197,7 @@
     after = queue.zones_after(zones)
     assert after == tuple(sorted(wanted))
     early = queue.take_done(zones)
-    assert queue.zones_after(zones) == after, "those that were taken out were done, or undone by a later one"
+    assert queue.zones_after(zones) == after, "the removed changes were done, or reverted by a later one"
     assert sorted(early + queue.take_done(after)) == list(range(len(steps)))
 
 
@@ -228,8 +228,8 @@
     group.cut.add(primary)
     while group.nodes[primary].holds_lease(group.now):
         group.run(0.001)
-    assert group.nodes[primary].status(group.now).state == "primary", "until it looks at the time again"
+    assert group.nodes[primary].status(group.now).state == "primary", "until its next tick"
     evacuate(group, 2, "a", ip=primary)
     assert 2 not in group.answers
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert group.answers[2] == ev.NotPrimary(None)
--- a/tests/test_first_start.py
+++ b/tests/test_first_start.py
@@ -1,4 +1,4 @@
-"""Starts of the whole group: all machines within 0.3 s in any order, and later starts whose seeds are gone."""
+"""Starts of the whole group: all machines within 0.3 s in any order, and later starts after all seeds are gone."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 
 from cranebank.control.consensus_replica import State
 
-WITHIN_S = 0.3  # of each other the machines start
-CHOSEN_WITHIN_S = 1.6  # after the last start
+START_SPREAD_S = 0.3  # within which all machines start
+ELECTION_LIMIT_S = 1.6  # after the last start
 LATER = ("10.0.0.4", "10.0.0.5", "10.0.0.6")
-REPLACED_WITHIN_S = 4.0  # after one member is gone
+REPLACEMENT_LIMIT_S = 4.0  # after one member is gone
 
 
 def start_all(group: Group, delays: dict[str, float]) -> None:
-    """Start each machine after its delay; every file says that the system starts for the first time."""
+    """Start each machine after its delay, with settings for the first start of the system."""
     for ip, delay in sorted(delays.items(), key=lambda item: item[1]):
         group.run(delay - group.now)
         group.start(ip, is_first_start=True)
 
 
 def check_one_group(group: Group) -> None:
-    """One primary is chosen in time, its members are the seeds, everybody has its record, and a write is taken."""
-    limit = group.now + CHOSEN_WITHIN_S
+    """Check that a primary is chosen in time, the members are the seeds, all replicas have its record, and a write is
+    acknowledged."""
+    limit = group.now + ELECTION_LIMIT_S
     while not group.primary and group.now < limit:
         group.run(0.01)
     assert group.primary
@@ -49,26 +50,26 @@
 def test_machines_that_are_no_seeds_may_start_before_these(seed: int) -> None:
     random = Random(seed)
     group = Group((), seed)
-    start_all(group, {ip: random.uniform(0, WITHIN_S) for ip in (*SEEDS, *LATER)})
+    start_all(group, {ip: random.uniform(0, START_SPREAD_S) for ip in (*SEEDS, *LATER)})
     check_one_group(group)
 
 
 def test_members_restarted_together_find_each_other_when_no_seed_is_left() -> None:
-    """Their files still name the first three machines; who is a member now stands on their disks."""
+    """Their settings still name the first three machines; the present members are on their disks."""
     group = Group((*SEEDS, *LATER))
-    group.run(CHOSEN_WITHIN_S)
+    group.run(ELECTION_LIMIT_S)
     group.write(1, 0, 3)
     group.run(1.0)
     for ip in SEEDS:
         group.stop(ip)
-        group.run(REPLACED_WITHIN_S)
+        group.run(REPLACEMENT_LIMIT_S)
     record = group.nodes[group.primary].record
     assert record is not None and set(record.members) == set(LATER)
     for ip in LATER:
         group.stop(ip)
     for ip in LATER:
         group.start(ip)
-    group.run(REPLACED_WITHIN_S)
+    group.run(REPLACEMENT_LIMIT_S)
     assert group.nodes[group.primary].current == (3, b"doc3", b"d3")
     group.write(2, 3, 5)
     group.run(1.0)
@@ -76,7 +77,7 @@
 
 
 def test_a_new_machine_whose_seeds_are_all_gone_counts_for_nothing() -> None:
-    """It must not make a group of its own: the file says that the system has started before."""
+    """It must not form its own group, as its settings state that the system has started before."""
     group = Group(())
     group.start("10.0.0.4")
     group.run(20.0)
--- a/tests/test_lost_but_heard.py
+++ b/tests/test_lost_but_heard.py
@@ -22,7 +22,7 @@
 
 
 class PartitionedControllers:
-    """Three registry cores, of which A is cut off from B and C, and one proxy that all three push to."""
+    """Three registry cores, of which A can be cut off from B and C, and one proxy to which all three push."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -32,13 +32,13 @@
         self.sequence = 0
 
     def beat(self, controller: str) -> None:
-        """Every backend sends a heartbeat to this controller."""
+        """Send a heartbeat of every backend to this controller."""
         self.sequence += 1
         for backend_id, address in BACKENDS.items():
             self.registries[controller].heartbeat(self.now, backend_id, beat(self.sequence, address=address))
 
     def tick(self) -> None:
-        """Expiry, and then news: to the proxy from all, to controllers of the same side."""
+        """Expire records, then send changes of all controllers to the proxy and to controllers on the same side."""
         self.now += TICK_S
         for name, registry in self.registries.items():
             registry.expire(self.now, in_touch=not self.is_cut or name != "A")
@@ -52,7 +52,7 @@
 
 
 def test_a_partition_leaves_no_service_without_backends() -> None:
-    """All backends beat at A, which B and C don't hear: whatever these say, the proxy has whom to send to."""
+    """All heartbeats go to A, which is cut off from B and C: the proxy keeps ready backends whatever B and C report."""
     controllers = PartitionedControllers()
     while controllers.now < 10.0:
         controllers.beat("A")
@@ -67,7 +67,7 @@
 
 
 def test_proxies_keep_backends_that_any_linked_controller_hears() -> None:
-    """Whole controllers and links in simulated time; a cut of 17 to 21 s, each seed another form of it."""
+    """Complete controllers and links in simulated time; a cut of 17 to 21 s, different with each seed."""
     broken = {seed: played.breaches for seed in SEEDS if (played := play("heard", seed)).breaches}
     assert broken == {}
 
@@ -78,14 +78,17 @@
 PROXIES = ("10.0.1.1", "10.0.1.2")
 A_FROM_ALL = (*A_FROM_OTHERS, *((A, ip) for ip in PROXIES), *((ip, A) for ip in PROXIES))
 CUT_AT = 9.0
-RELAYED_S = 2.5  # until a link is known to be cut, and the next news has gone round
-LOST_S = 3.5 + 1 + 0.5  # beats of 1 s, and a look each half second
+RELAY_DELAY_S = 2.5  # until a link is known to be cut and the next changes have been relayed
+LOSS_DETECTION_S = 3.5 + 1 + 0.5  # with heartbeats every second and a check each half second
 
 
 @contextmanager
 def partitioned(pairs: Iterable[tuple[str, str]]) -> Iterator[World]:
-    """Three controllers that have run for a while, and cuts. All backends beat at A: one from the beginning, one that
-    begins after the cut, and one that crashes at 15 s."""
+    """Run three controllers for a while, then cut pairs of machines.
+
+    All backends send their heartbeats to A: one from the beginning, one that starts after the cut, and one that crashes
+    at 15 s.
+    """
     logger.disable("cranebank")
     world = World(3, proxies=2, faults_s=60.0)
     try:
@@ -106,47 +109,47 @@
         logger.enable("cranebank")
 
 
-def looks(end: float) -> list[float]:
-    """Times to look at, each half second from the cut on."""
+def check_times(end: float) -> list[float]:
+    """Return the times to check, each half second from the cut on."""
     return [CUT_AT + 0.5 * number for number in range(1, int(2 * (end - CUT_AT)) + 1)]
 
 
 def controller(world: World, ip: str) -> Controller:
-    """A controller that runs."""
+    """Return the running controller of a machine."""
     found = world.machines[ip].controller
     assert found is not None
     return found
 
 
 def phase_at(world: World, ip: str, backend: str) -> str | None:
-    """What a controller's registry holds of a backend."""
+    """Return a backend's phase in a controller's registry."""
     record = controller(world, ip).registry.records.get(backend)
     return record.phase if record is not None else None
 
 
 def phases_at_proxies(world: World, backend: str) -> list[str]:
-    """What the proxies hold of a backend."""
+    """Return a backend's phases at the proxies."""
     return [proxy.life.plane.records[backend].phase for proxy in world.proxies if proxy.life is not None]
 
 
 @pytest.mark.parametrize("pairs", [A_FROM_OTHERS, ALL_FROM_ALL])
 def test_what_one_side_of_a_partition_hears_is_known_on_the_other_side(pairs: tuple[tuple[str, str], ...]) -> None:
-    """By way of proxies: heartbeats, a backend that began after the cut, and that one has ceased to beat."""
+    """Proxies relay heartbeats, a backend that started after the cut, and the end of a backend's heartbeats."""
     with partitioned(pairs) as world:
-        for now in looks(35.0):
+        for now in check_times(35.0):
             world.scheduler.run_until(now)
             assert [phase_at(world, ip, "i-1") for ip in IPS] == ["ready"] * 3
-            if now > CUT_AT + 0.5 + RELAYED_S:
+            if now > CUT_AT + 0.5 + RELAY_DELAY_S:
                 assert [phase_at(world, ip, "i-2") for ip in IPS] == ["ready"] * 3
-            if now < 15.0 or now > 15.0 + LOST_S + RELAYED_S:
+            if now < 15.0 or now > 15.0 + LOSS_DETECTION_S + RELAY_DELAY_S:
                 assert [phase_at(world, ip, "i-3") for ip in IPS] == [("ready" if now < 15.0 else "lost")] * 3
         assert world.judge.breaches == []
 
 
 def test_a_controller_that_nobody_hears_sends_backends_on_to_others() -> None:
-    """It is cut off from all proxies too: a heartbeat that it acknowledged would be heard by nobody."""
+    """It is cut off from all proxies, too, so no other process would learn of a heartbeat that it acknowledged."""
     with partitioned(A_FROM_ALL) as world:
-        for now in looks(35.0):
+        for now in check_times(35.0):
             world.scheduler.run_until(now)
             assert [phase_at(world, ip, "i-1") for ip in (B, C)] == ["ready"] * 2
         assert world.judge.breaches == []
@@ -154,25 +157,25 @@
 
 def test_a_drain_that_one_side_of_a_partition_takes_is_known_on_the_other_side_at_once() -> None:
     with partitioned(A_FROM_OTHERS) as world:
-        world.scheduler.run_until(CUT_AT + RELAYED_S)
+        world.scheduler.run_until(CUT_AT + RELAY_DELAY_S)
         here, loop = controller(world, A), world.machines[A].loop
         assert loop is not None
         drain = beat(1000, "draining", here.registry.records["i-1"].address)
         loop.call_soon(here.registry.heartbeat, here.now(), "i-1", drain)
         loop.call_soon(here.publish_registry)
-        world.scheduler.run_until(CUT_AT + RELAYED_S + 0.1)
+        world.scheduler.run_until(CUT_AT + RELAY_DELAY_S + 0.1)
         assert [phase_at(world, ip, "i-1") for ip in IPS] == ["draining"] * 3
 
 
 def test_a_loss_is_lifted_as_soon_as_there_is_a_way_round_the_partition() -> None:
-    """While proxies reach A alone, B must think the backend lost; then A's news of heartbeats contradicts it."""
+    """While proxies reach only A, B must consider the backend lost; then A's reports of heartbeats contradict it."""
     proxies_from_others = [pair for ip in PROXIES for other in (B, C) for pair in ((ip, other), (other, ip))]
     with partitioned((*A_FROM_OTHERS, *proxies_from_others)) as world:
         world.scheduler.run_until(20.0)
         assert [phase_at(world, ip, "i-1") for ip in IPS] == ["ready", "lost", "lost"]
         for pair in proxies_from_others:
             world.network.heal(*pair)
-        for tenth in range(int(10 * RELAYED_S)):
+        for tenth in range(int(10 * RELAY_DELAY_S)):
             world.scheduler.run_until(20.0 + tenth / 10)
             assert phases_at_proxies(world, "i-2") == ["ready"] * 2, "B and C learn of it, and don't call it lost"
         assert (
--- a/tests/test_one_way_cuts.py
+++ b/tests/test_one_way_cuts.py
@@ -1,4 +1,4 @@
-"""Controllers cut off in one direction only: they hear nobody, or nobody hears them. The others go on."""
+"""Controllers cut off in one direction only: they receive nothing, or nothing from them arrives. Others continue."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from cranebank.control.epochs import EpochRecord
 
 FIVE = (*SEEDS, "10.0.0.4", "10.0.0.5")
-TAKEOVER_S = 4.0  # in which the others have a primary that takes writes
+TAKEOVER_S = 4.0  # within which the others have a primary that accepts writes
 CUT_S = 20.0
 
 
 class OneWayGroup(Group):
-    """A group whose messages to the ``deaf`` and from the ``mute`` are lost."""
+    """A group in which messages to ``deaf`` and from ``mute`` machines are lost."""
 
     def __init__(self, ips: tuple[str, ...] = SEEDS, seed: int = 1, tolerance: int = 1) -> None:
         self.deaf: set[str] = set()
@@ -31,7 +31,7 @@
 
 
 def accepts_writes(group: Group, seconds: float) -> bool:
-    """Whether a write is acknowledged within this time."""
+    """Return whether a write is acknowledged within this time."""
     end, request = group.now + seconds, 1000
     while group.now < end:
         group.run(0.1)
--- a/tests/test_order_intents.py
+++ b/tests/test_order_intents.py
@@ -1,4 +1,4 @@
-"""Orders to backends in the replicated record: every successor knows of them, and orders others without a wait."""
+"""Orders to backends in the replicated record: every successor knows them, and orders other backends at once."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from cranebank.transport.messages import Backend
 
 ORDERED = (OrderIntent("i-1", "decode"),)
-WAIT_S = 3.8
+TAKEOVER_WAIT_S = 3.8
 
 
 def intents(group: Group, ip: str) -> tuple[OrderIntent, ...] | None:
-    """What the newest record that this controller knows names."""
+    """Return the intents in the newest record that this controller knows."""
     return group.nodes[ip].status(group.now).intents
 
 
@@ -45,7 +45,7 @@
 
 
 def test_an_intent_that_is_about_to_be_dropped_is_named_no_more() -> None:
-    """The record without it may be chosen already: an order that is sent now would be unknown to a successor."""
+    """The record without it may be chosen already, so a successor might not know of an order sent now."""
     group = ready()
     primary = group.primary
     group.tell(primary, ev.SetIntents(ORDERED))
@@ -55,7 +55,7 @@
 
 
 def test_an_intent_whose_removal_waits_behind_another_change_is_named_no_more() -> None:
-    """The removal comes right behind that change: a successor may not know of an order that is sent now."""
+    """The removal follows right after that change, so a successor might not know of an order sent now."""
     group = ready()
     primary = group.primary
     group.tell(primary, ev.SetIntents(ORDERED))
@@ -90,7 +90,7 @@
 
 
 def test_a_record_of_an_earlier_version_says_that_nothing_is_known() -> None:
-    """It was stored without the field."""
+    """It was stored without the field, which then reads as None."""
     fields = msgspec.to_builtins(DurableState(EpochRecord(4, 4, "a", ("a", "b"), ("a", "b", "c")), (0, ""), None))
     del fields["chosen"]["intents"]
     stored = msgspec.msgpack.decode(msgspec.msgpack.encode(fields), type=DurableState)
@@ -107,8 +107,8 @@
     st.lists(st.tuples(st.sampled_from(["term", "send", "pass"]), st.integers(0, 3), st.floats(0.0, 3.0)), max_size=30)
 )
 def test_no_two_holders_orders_to_one_backend_are_closer_than_the_wait(steps: list[tuple[str, int, float]]) -> None:
-    """Two holders take turns; each sends whenever it may, and knows of the other what the record names."""
-    holders = [OrderIntents(WAIT_S), OrderIntents(WAIT_S)]
+    """Two lease holders alternate; each sends whenever it may, and knows of the other only what the record names."""
+    holders = [OrderIntents(TAKEOVER_WAIT_S), OrderIntents(TAKEOVER_WAIT_S)]
     holder, now, recorded = 0, 0.0, dict[str, str]()
     last: dict[str, tuple[int, float]] = {}
     holders[0].begin_term(now, recorded)
@@ -121,52 +121,52 @@
         elif kind == "send" and holders[holder].may_order(now, f"i-{number}"):
             holders[holder].sent(now, order(number, now))
             former, at = last.get(f"i-{number}", (holder, float("-inf")))
-            assert former == holder or now - at >= WAIT_S - 1e-9
+            assert former == holder or now - at >= TAKEOVER_WAIT_S - 1e-9
             last[f"i-{number}"] = holder, now
 
 
 def test_a_record_that_tells_nothing_is_not_replaced_before_old_orders_are_too_old() -> None:
-    """A holder in between may lose the lease at once: the next one must not believe that nobody was ordered."""
-    known = OrderIntents(WAIT_S)
+    """A holder in between may lose the lease at once; the next one must not assume that no backend was ordered."""
+    known = OrderIntents(TAKEOVER_WAIT_S)
     known.begin_term(10.0, None)
-    assert known.wanted(10.0 + WAIT_S - 0.1, ()) is None
-    assert not known.may_order(10.0 + WAIT_S - 0.1, "i-1")
-    assert known.wanted(10.0 + WAIT_S, ()) == ()
+    assert known.wanted(10.0 + TAKEOVER_WAIT_S - 0.1, ()) is None
+    assert not known.may_order(10.0 + TAKEOVER_WAIT_S - 0.1, "i-1")
+    assert known.wanted(10.0 + TAKEOVER_WAIT_S, ()) == ()
 
 
 def test_the_intents_are_bounded() -> None:
-    known = OrderIntents(WAIT_S)
+    known = OrderIntents(TAKEOVER_WAIT_S)
     known.begin_term(0.0, {})
     orders = [order(number, 0.0) for number in range(MAX_INTENTS)]
     assert known.has_room(0.0, orders[1:])
     assert not known.has_room(0.0, orders)
     for one in orders:
         known.sent(0.0, one)
-    assert len(known.wanted(WAIT_S - 0.1, ()) or ()) == MAX_INTENTS
-    assert known.wanted(WAIT_S + 0.1, ()) == ()
+    assert len(known.wanted(TAKEOVER_WAIT_S - 0.1, ()) or ()) == MAX_INTENTS
+    assert known.wanted(TAKEOVER_WAIT_S + 0.1, ()) == ()
 
 
-# A need that falls into a takeover, on the simulated control side.
+# A need that arises during a takeover, in the simulated control plane.
 
-ORDERED_AFTER_S = 1.1  # the need has held for 0.5 s, looks 0.25 s apart, the record, the connection
+ORDERED_AFTER_S = 1.1  # 0.5 s for the need to last, observations every 0.25 s, the record and the connection
 
 
 class OrderTimes(StageRules):
-    """Notes when orders came."""
+    """Records the times of orders."""
 
     def __init__(self, rules: StageRules) -> None:
         self.__dict__ = rules.__dict__
         self.orders: list[tuple[float, str]] = []
 
     def ordered(self, backend: str, order: m.Order, status: int) -> None:
-        """An order reached a backend."""
+        """Record an order that reached a backend."""
         super().ordered(backend, order, status)
         self.orders.append((self._judge.now(), order.owner or ""))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_need_that_falls_into_a_takeover_is_met_within_about_a_second_of_the_new_lease(seed: int) -> None:
-    """The last decode backend leaves while the primary is down; nobody had ordered anything before."""
+    """The last decode backend leaves while the primary is down; no order was sent before."""
     world = World(seed, faults_s=20.0)
     times = world.stage_rules = OrderTimes(world.stage_rules)
     world.add_staged_backend("prefill", 0.5, 100.0, "drain")
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Heartbeats, leaves, losses and what controllers tell one another."""
+"""The registry: heartbeats, leaves, losses, and reports between controllers."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 BEAT_S = 1.2
 LOST_S = 3.5 * BEAT_S + 1
-QUIET_S = 3 * BEAT_S + 1
+START_QUIET_S = 3 * BEAT_S + 1
 
 
 def beat(call_seq: int = 1, phase: str = "ready", address: str = "10.0.0.9:80", **changes: Any) -> bytes:
-    """A heartbeat as a backend sends it."""
+    """Return the body of a heartbeat as a backend sends it."""
     return json.dumps(
         {
             "target": "s",
@@ -42,12 +42,12 @@
 
 
 def phases(registry: Registry) -> dict[str, str]:
-    """Phase by id."""
+    """Return the phases of all records by id."""
     return {record.id: record.phase for record in registry.all_records()}
 
 
 def test_a_heartbeat_is_news_once() -> None:
-    """The first is news; later ones that tell the same are not; a drain is."""
+    """The first heartbeat and a drain are changes to report; a later heartbeat with the same contents is not."""
     registry = Registry(0, BEAT_S)
     found = registry.heartbeat(1, "i", beat())
     assert found == Backend("i", "s", "10.0.0.9:80", "z", "decode", 32, "ready", 1, 0, ("m",))
@@ -59,7 +59,7 @@
 
 
 def test_an_old_heartbeat_changes_nothing() -> None:
-    """One that was overtaken is taken without effect, also after a drain or an end."""
+    """A heartbeat that arrives out of order has no effect, also after a drain or an end."""
     registry = Registry(0, BEAT_S)
     registry.heartbeat(1, "i", beat(5))
     registry.heartbeat(1, "i", beat(4, capacity=1))
@@ -74,7 +74,7 @@
 
 
 def test_a_leave_of_a_backend_never_heard_of_ends_it_wherever_it_is_known() -> None:
-    """Its id is all that is known here; a record that arrives later, or is held elsewhere, ends by it."""
+    """Only its id is known here; its end overrides records that arrive later or exist at other controllers."""
     here, there = Registry(0, BEAT_S), Registry(0, BEAT_S)
     assert here.leave(2, "i").phase == "gone"
     told = here.changes()
@@ -86,7 +86,7 @@
     assert there.records["i"] == msgspec.structs.replace(known, phase="gone")
     here.merge(3, [known])
     assert phases(here) == {"i": "gone"}
-    assert [(record.id, record.phase) for record in here.changes()] == [("i", "gone")]  # told again to who was behind
+    assert [(record.id, record.phase) for record in here.changes()] == [("i", "gone")]  # reported again
 
 
 @pytest.mark.parametrize(
@@ -111,7 +111,7 @@
     ],
 )
 def test_bad_heartbeats(sent: bytes, key: str) -> None:
-    """What can't be read is refused by type and changes nothing."""
+    """An invalid heartbeat is refused with a typed error and changes nothing."""
     registry = Registry(0, BEAT_S)
     with pytest.raises(BadHeartbeat) as caught:
         registry.heartbeat(1, "i", sent)
@@ -120,20 +120,20 @@
 
 
 def test_the_largest_figures_of_a_heartbeat_can_be_told_to_others() -> None:
-    """One record that can't be encoded would keep all others from being told."""
+    """A record that cannot be encoded would block the message with all others."""
     sent = beat(registry_module.MAX_COUNT, capacity=float(2**40), cold_left_ms=float(2**40))
     record = Registry(0, BEAT_S).heartbeat(1, "i", sent)
     assert Decoder().feed(encode(Push(1, (record,)))) == [Push(1, (record,))]
 
 
 def test_a_backend_of_a_plain_deployment() -> None:
-    """Stage and models are left out where prompts aren't split from answers."""
+    """Stage and models are missing in deployments without separate prefill and decode."""
     sent = json.dumps({"target": "s", "address": "1.2.3.4:5", "phase": "ready", "call_seq": 1, "new": 1}).encode()
     assert Registry(0, 1).heartbeat(1, "i", sent) == Backend("i", "s", "1.2.3.4:5", "", "", 1, "ready", 1)
 
 
 def test_lost_and_found() -> None:
-    """Silence for three and a half beats and a second means lost; a later heartbeat lifts it."""
+    """Silence for three and a half heartbeat intervals and a second means lost; a later heartbeat reverts it."""
     registry = Registry(0, BEAT_S)
     registry.heartbeat(10, "i", beat(1))
     assert registry.expire(10 + LOST_S) == []
@@ -145,14 +145,14 @@
 
 
 def test_a_drain_that_falls_silent_is_an_end() -> None:
-    """A drain is never taken back, so what is lost while it drains is gone."""
+    """A drain is never revoked, so a backend lost while it drains is gone."""
     registry = Registry(0, BEAT_S)
     registry.heartbeat(10, "i", beat(1, "draining"))
     assert [record.phase for record in registry.expire(20)] == ["gone"]
 
 
 def test_nothing_expires_after_a_start_or_out_of_touch() -> None:
-    """A controller that has just begun, or was cut off from most others, doesn't know who beats elsewhere."""
+    """A controller that has just started, or was cut off from most others, does not know heartbeats sent to others."""
     registry = Registry(0, 0.01)
     registry.heartbeat(0, "i", beat(1))
     assert registry.expire(1.02) == []
@@ -163,7 +163,7 @@
 
 
 def test_a_beat_heard_elsewhere_counts() -> None:
-    """Ages come from whichever controller heard it, in its own time."""
+    """Heartbeats are reported by their age, as controllers have different clocks."""
     here, there = Registry(0, BEAT_S), Registry(100, BEAT_S)
     here.heartbeat(10, "i", beat(1))
     there.merge(110, here.changes())
@@ -173,7 +173,7 @@
     assert there.pop_heard(116) == ()
     here.heard(15.4, told)
     here.changes()
-    here.merge(15.4, [msgspec.structs.replace(here.records["i"], phase="lost")])  # by who has not heard of it
+    here.merge(15.4, [msgspec.structs.replace(here.records["i"], phase="lost")])  # from one without that heartbeat
     assert [(record.phase, record.call_seq) for record in here.changes()] == [("ready", 2)]
     assert here.expire(15 + LOST_S) == []
     assert [record.call_seq for record in here.expire(15.01 + LOST_S)] == [2]
@@ -182,19 +182,19 @@
 
 
 def test_a_change_that_was_lost_on_its_way_is_made_up_for() -> None:
-    """By way of proxies messages may be lost. That a later heartbeat was heard is no news of what it said."""
+    """Messages relayed by proxies may be lost. The report of a later heartbeat does not include its contents."""
     here, there = Registry(0, BEAT_S), Registry(0, BEAT_S)
     here.heartbeat(10, "i", beat(1, stage="prefill"))
     there.merge(10, here.changes())
     here.heartbeat(11, "i", beat(2, stage="decode"))
     assert len(here.changes()) == 1  # lost
     there.heard(11, here.pop_heard(11))
-    there.merge(12, here.all_records())  # a connection stands again
+    there.merge(12, here.all_records())  # connected again
     assert there.records["i"] == here.records["i"]
 
 
 def test_who_tells_old_news_is_told_better() -> None:
-    """A controller that missed beats calls a backend lost; one that heard them tells everybody again."""
+    """When a controller without recent heartbeats reports a backend as lost, one that has them reports it again."""
     here, there = Registry(0, BEAT_S), Registry(0, BEAT_S)
     here.heartbeat(10, "i", beat(1))
     there.merge(10, here.changes())
@@ -219,17 +219,17 @@
     assert here.heard(15.5, [("i", 1, 100)]) == ()
     asks = here.heard(16.5, there.pop_heard(16.5))
     assert asks == ("i", "j")
-    assert here.wrong_losses == 1  # the heartbeat came before the loss: it was wrong from the beginning
+    assert here.wrong_losses == 1  # the heartbeat is older than the loss, so the loss was wrong
     here.merge(16.7, there.records_of((*asks, "unknown")))
     assert phases(here) == phases(there) == {"i": "ready", "j": "ready"}
     here.expire(16.7 + LOST_S + 1)
     there.heartbeat(30, "i", beat(3))
     assert here.heard(30, there.pop_heard(30)) == ("i",)
-    assert here.wrong_losses == 1  # it fell silent and came back: the loss was right
+    assert here.wrong_losses == 1  # the heartbeat is newer than the loss, so the loss was right
 
 
 def test_an_address_taken_by_another() -> None:
-    """A new incarnation at an address ends the claim of the one that was there."""
+    """A new backend at an address ends the earlier one there."""
     registry = Registry(0, BEAT_S)
     registry.heartbeat(1, "old", beat(7))
     registry.heartbeat(2, "new", beat(1))
@@ -246,20 +246,20 @@
 
 
 def test_rebuilt_from_proxies_while_young() -> None:
-    """A controller that has just begun learns from proxies; later it corrects what nobody vouches for."""
+    """A controller that has just started learns from proxies; later it returns unknown backends as lost."""
     registry = Registry(0, BEAT_S)
     assert registry.merge_proxy_records(1, PROXY_RECORDS, hears_all=True) == []
     assert phases(registry) == {"a": "ready", "b": "gone"}
     old = Registry(0, BEAT_S)
-    stray = old.merge_proxy_records(QUIET_S + 1, PROXY_RECORDS, hears_all=True)
+    stray = old.merge_proxy_records(START_QUIET_S + 1, PROXY_RECORDS, hears_all=True)
     assert [(record.id, record.phase) for record in stray] == [("a", "lost")]
     assert phases(old) == {"b": "gone"}
 
 
 def test_who_does_not_hear_all_controllers_learns_from_proxies_and_expires_what_nobody_hears() -> None:
-    """Another controller may hear what is unknown here."""
+    """Another controller may receive the heartbeats of a backend that is unknown here."""
     registry = Registry(0, BEAT_S)
-    now = QUIET_S + 1
+    now = START_QUIET_S + 1
     assert registry.merge_proxy_records(now, PROXY_RECORDS, hears_all=False) == []
     assert phases(registry) == {"a": "ready", "b": "gone"}
     assert registry.expire(now + LOST_S - 0.1) == []
@@ -271,20 +271,20 @@
 
     def told() -> Registry:
         registry = Registry(0, BEAT_S)
-        assert [record.phase for record in registry.merge_proxy_records(QUIET_S + 1, [ready], hears_all=True)] == [
-            "lost"
-        ]
-        registry.merge(QUIET_S + 2, [ready])  # of another controller that has learnt it from a proxy
+        assert [
+            record.phase for record in registry.merge_proxy_records(START_QUIET_S + 1, [ready], hears_all=True)
+        ] == ["lost"]
+        registry.merge(START_QUIET_S + 2, [ready])  # from another controller that learnt it from a proxy
         registry.changes()
         return registry
 
     by_news, by_heartbeat, by_record = told(), told(), told()
-    by_news.heard(QUIET_S + 3, [(ready.id, 9, 0)])
-    by_heartbeat.heartbeat(QUIET_S + 3, ready.id, beat(9, address=ready.address))
-    by_record.merge(QUIET_S + 3, [msgspec.structs.replace(ready, call_seq=9)])
+    by_news.heard(START_QUIET_S + 3, [(ready.id, 9, 0)])
+    by_heartbeat.heartbeat(START_QUIET_S + 3, ready.id, beat(9, address=ready.address))
+    by_record.merge(START_QUIET_S + 3, [msgspec.structs.replace(ready, call_seq=9)])
     for registry in (by_news, by_heartbeat, by_record):
         assert [(record.id, record.phase, record.call_seq) for record in registry.changes()] == [(ready.id, "ready", 9)]
-        registry.heard(QUIET_S + 4, [(ready.id, 10, 0)])
+        registry.heard(START_QUIET_S + 4, [(ready.id, 10, 0)])
         assert registry.changes() == ()
 
 
@@ -292,12 +292,12 @@
     monkeypatch.setattr(registry_module, "MAX_STRAYS", 3)
     registry = Registry(0, BEAT_S)
     strays = [msgspec.structs.replace(PROXY_RECORDS[0], id=f"a{number}") for number in range(10)]
-    registry.merge_proxy_records(QUIET_S + 1, strays, hears_all=True)
+    registry.merge_proxy_records(START_QUIET_S + 1, strays, hears_all=True)
     assert list(registry._strays) == ["a7", "a8", "a9"]
 
 
 def test_that_a_proxy_holds_a_backend_for_lost_changes_nothing() -> None:
-    """It is hearsay: a controller goes by the heartbeats that it hears."""
+    """A controller relies on heartbeats, not on the losses that a proxy reports."""
     registry = Registry(0, BEAT_S)
     registry.heartbeat(1, "c", beat(3, address="1.1.1.1:3"))
     assert registry.merge_proxy_records(2, PROXY_RECORDS, hears_all=True) == []
@@ -323,8 +323,8 @@
 
 @given(st.integers(0, 10**6))
 def test_controllers_agree_in_the_end(seed: int) -> None:
-    """Under random beats, drains, leaves and cuts, controllers that then tell all to each other hold the same (of
-    who is gone, that it is); nobody who drained or left is ever ready again."""
+    """After random heartbeats, drains, leaves and cuts, controllers that exchange all records agree (for gone backends
+    on their phase only); a backend that drained or left is never ready again."""
     random = Random(seed)
     registries = [Registry(0, BEAT_S) for _ in range(3)]
     sequences = dict.fromkeys("abcd", 0)
@@ -376,14 +376,14 @@
 
 
 def test_what_was_known_before_a_restart_counts_until_somebody_knows_better() -> None:
-    """After a loss of all power: the recalled serve at once, the next heartbeats correct them, the silent are lost."""
+    """After a total power loss, restored backends serve at once, heartbeats update them, and silent ones are lost."""
     registry = Registry(0.0, BEAT_S)
     registry.restore(0.0, [Backend(f"i-{n}", "s", f"10.0.0.{n}:80", "z", "decode", 32, "ready", 4) for n in (1, 2, 3)])
     assert {found.id for found in registry.changes()} == {"i-1", "i-2", "i-3"}
     registry.heartbeat(0.5, "i-1", beat(5, address="10.0.0.1:80"))
     registry.heartbeat(0.6, "i-2", beat(5, "draining", "10.0.0.2:80"))
     assert phases(registry) == {"i-1": "ready", "i-2": "draining", "i-3": "ready"}
-    assert not registry.expire(QUIET_S - 0.1)
+    assert not registry.expire(START_QUIET_S - 0.1)
     assert [found.id for found in registry.expire(LOST_S + 0.1)] == ["i-3"]
 
 
@@ -391,7 +391,7 @@
 
 
 def test_a_backend_that_turns_cold_under_its_id_is_news_as_of_the_time_of_telling() -> None:
-    """And once only, while what its heartbeats say is no longer than what is known."""
+    """It is reported once, as long as its heartbeats do not extend the known time."""
     registry = Registry(0, BEAT_S)
     registry.limits = COLD
     registry.heartbeat(1, "i", beat(1))
@@ -407,7 +407,7 @@
 
 
 def test_a_record_that_is_known_already_may_tell_that_its_backend_is_cold() -> None:
-    """Another controller or proxy may be the first to know, and what it knows ends when it does there."""
+    """Another controller or proxy may know first, and the remaining time is transferred."""
     here, there = Registry(0, BEAT_S), Registry(0, BEAT_S)
     here.limits = there.limits = COLD
     for registry in (here, there):
@@ -429,7 +429,7 @@
 
 
 def test_a_restored_record_counts_as_warm() -> None:
-    """How long ago it was written isn't known."""
+    """The time since it was written is unknown."""
     before, after = Registry(0, BEAT_S), Registry(0, BEAT_S)
     before.limits = after.limits = COLD
     before.heartbeat(1, "i", beat(1, cold_left_ms=3000))
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -1,4 +1,4 @@
-"""After any replacement the group bears its tolerance again: every choice of the further losses, at set moments."""
+"""After any replacement the group tolerates its losses again, checked for the choices of further lost machines."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from cranebank.control.replica import LEAVING_TTL_S
 
 NEW = "10.0.0.99"
-GRACE_S = 4.0  # within which a process that was told to end has ended
-IN_STEP_S = 2.0  # after the newcomer's start: half of the least that the operators' pages allow
+GRACE_S = 4.0  # within which a retiring process has ended
+CATCH_UP_S = 2.0  # after the newcomer's start: half of the shortest time that the operators' guide allows
 RECOVERY_TIMEOUT_S = 3.0  # from the further losses to an acknowledged write
 SIZES = {1: 3, 2: 5, 3: 7}  # members by tolerance
 
 
 def whole(tolerance: int) -> Group:
-    """A group at its size, which has acknowledged revision 1."""
+    """Return a group at its full size that has acknowledged revision 1."""
     ips = SEEDS + tuple(f"10.0.0.{number}" for number in range(4, SIZES[tolerance] + 1))
     group = Group(ips, tolerance=tolerance)
     group.run(2.5)
@@ -40,7 +40,7 @@
 
 
 def victim_of(group: Group, part: str) -> str:
-    """The address of the primary, of another copy, or of a witness."""
+    """Return the address of the primary, of another copy, or of a witness."""
     record = record_of(group)
     if part == "primary":
         return group.primary
@@ -50,7 +50,7 @@
 
 
 def leave(group: Group, ip: str) -> float:
-    """Tell a process to end, and end it when its replica may; the seconds that this took."""
+    """Retire a process, end it when its replica may shut down, and return the seconds that this took."""
     group.tell(ip, ev.Retire())
     since = group.now
     while not group.nodes[ip].may_shut_down(group.now) and group.now < since + GRACE_S:
@@ -60,40 +60,43 @@
 
 
 def planned(group: Group, victim: str) -> None:
-    """The newcomer has been there for long when the old machine is told to go, and goes."""
+    """Start a newcomer, and long afterwards retire and end the old machine."""
     group.start(NEW)
-    group.run(IN_STEP_S)
+    group.run(CATCH_UP_S)
     assert leave(group, victim) < 1.0
 
 
 def unplanned(group: Group, victim: str) -> None:
-    """A machine is gone without a word, its disk too; a newcomer starts somewhat later, at another address."""
+    """Lose a machine and its disk without notice; start a newcomer somewhat later at another address."""
     group.stop(victim, wipe=True)
     group.run(0.7)
     group.start(NEW)
-    group.run(IN_STEP_S)
+    group.run(CATCH_UP_S)
 
 
 def wiped(group: Group, victim: str) -> None:
-    """A machine comes back at its address with an empty disk."""
+    """Restart a machine at its address with an empty disk."""
     group.stop(victim, wipe=True)
     group.run(0.7)
     group.start(victim)
-    group.run(IN_STEP_S)
+    group.run(CATCH_UP_S)
 
 
 def restarted(group: Group, victim: str) -> None:
-    """A process is told to end, and starts again on its disk."""
+    """Retire a process, and restart it on its disk."""
     group.tell(victim, ev.Retire())
     group.run(0.3)
     group.stop(victim)
     group.run(0.7)
     group.start(victim)
-    group.run(IN_STEP_S)
+    group.run(CATCH_UP_S)
 
 
-def bears(group: Group, lost: tuple[str, ...]) -> bool:
-    """Lose these for good, without a word: the group acknowledges a write soon, and what was acknowledged is there."""
+def tolerates(group: Group, lost: tuple[str, ...]) -> bool:
+    """Lose these machines for good without notice; return whether the group acknowledges a write in time.
+
+    Asserts that no acknowledged change is lost.
+    """
     for ip in lost:
         group.stop(ip, wipe=True)
     end = group.now + RECOVERY_TIMEOUT_S
@@ -103,7 +106,7 @@
         current = group.nodes[group.primary].current if group.primary else None
         if current is None:
             continue
-        assert current[0] >= 1, "what was acknowledged is lost"
+        assert current[0] >= 1, "an acknowledged change is lost"
         request += 1
         group.write(request, current[0], current[0] + 1)
         group.run(0.1)
@@ -112,12 +115,12 @@
     return False
 
 
-KINDS: tuple[Callable[[Group, str], None], ...] = (planned, unplanned, wiped, restarted)
+REPLACEMENTS: tuple[Callable[[Group, str], None], ...] = (planned, unplanned, wiped, restarted)
 
 
 @pytest.mark.parametrize("tolerance", SIZES)
 @pytest.mark.parametrize("part", ["primary", "copy", "witness"])
-@pytest.mark.parametrize("replace", KINDS, ids=lambda kind: kind.__name__)
+@pytest.mark.parametrize("replace", REPLACEMENTS, ids=lambda kind: kind.__name__)
 def test_after_a_replacement_every_allowed_loss_is_borne(
     replace: Callable[[Group, str], None], part: str, tolerance: int
 ) -> None:
@@ -130,7 +133,7 @@
         group = whole(tolerance)
         replace(group, victim_of(group, part))
         assert len(record_of(group).members) == SIZES[tolerance]
-        assert bears(group, lost), f"{lost} of {present}"
+        assert tolerates(group, lost), f"{lost} of {present}"
 
 
 def test_a_member_that_leaves_hands_its_copy_over_before_it_goes() -> None:
@@ -140,7 +143,7 @@
     assert took < 0.5
     record = record_of(group)
     assert leaving not in record.copies and leaving in record.members
-    assert bears(group, ())
+    assert tolerates(group, ())
 
 
 def test_a_copy_stays_while_a_member_could_relieve_it_and_not_where_all_leave() -> None:
@@ -161,21 +164,21 @@
 
 
 def test_a_leaving_replica_is_heeded_for_as_long_as_it_stays() -> None:
-    """Its place is given away though the newcomer comes long after the telling."""
+    """It is replaced even by a newcomer that starts long after the retirement."""
     group = whole(1)
     leaving = victim_of(group, "witness")
     group.tell(leaving, ev.Retire())
     group.run(2 * LEAVING_TTL_S)
     assert ip_of(group.nodes[leaving].id) in map(ip_of, record_of(group).members)
     group.start(NEW)
-    group.run(0.7)  # less than any silence of which a member is replaced
+    group.run(0.7)  # shorter than the silence after which a member is replaced
     members = [ip_of(member) for member in record_of(group).members]
     assert NEW in members and leaving not in members
     assert group.nodes[leaving].may_shut_down(group.now)
 
 
 def test_a_leaving_newcomer_is_not_admitted() -> None:
-    """A standby that was told to end says so and asks no more; what it asked before no longer counts."""
+    """A retiring standby sends Leaving and no more Join requests; its earlier request no longer counts."""
     group = whole(1)
     group.start(NEW)
     group.run(0.2)
@@ -188,7 +191,7 @@
 
 @pytest.mark.parametrize("place", [0, 1])
 def test_the_zone_that_a_controller_tells_decides_who_becomes_a_copy(place: int) -> None:
-    """Of two members that could take a lost copy's place, the one in a zone of its own does."""
+    """Of two members that could replace a lost copy, the one in a zone of its own does."""
     group = whole(2)
     record = record_of(group)
     witnesses = [ip_of(member) for member in record.members if member not in record.copies]
@@ -238,7 +241,7 @@
     group.tell(leaving, ev.Retire())
     while primary._proposal is None:
         group.run(0.001)
-        assert group.now < 10.0, "the copy is not relieved"
+        assert group.now < 10.0, "no other copy was proposed"
     assert next_copy in map(ip_of, primary._proposal.own.copies)
     group.stuck.add(next_copy)
     group.write(2, 1, 2)
@@ -257,14 +260,14 @@
     for number in range(20, 26):
         victim = sorted(group.nodes)[number % 5]
         group.start(f"10.0.0.{number}")
-        group.run(IN_STEP_S)
+        group.run(CATCH_UP_S)
         leave(group, victim)
         assert len(record_of(group).members) == 5 and victim not in map(ip_of, record_of(group).members)
-    assert bears(group, tuple(sorted(group.nodes)[:2]))
+    assert tolerates(group, tuple(sorted(group.nodes)[:2]))
 
 
 class AddsNewcomers(ConsensusReplica):
-    """Planted: a newcomer is counted while all the others are there, which makes the group even."""
+    """Planted fault: a newcomer is added while no member is missing, which makes the group even."""
 
     def _changed_members(self, record: EpochRecord) -> EpochRecord | None:
         newcomers = set(self._newcomers(self._now)) - set(record.members)
@@ -274,14 +277,14 @@
 
 
 class LeavesWithItsCopy(ConsensusReplica):
-    """Planted: a replica that was told to end does so at once."""
+    """Planted fault: a retiring replica ends at once."""
 
     def may_shut_down(self, now: float) -> bool:
         return True
 
 
 class TakesOutNobodyWhoLeaves(ConsensusReplica):
-    """Planted: a leaving member is replaced only when its silence has been noticed."""
+    """Planted fault: a leaving member is replaced only after its silence is detected."""
 
     def _is_leaving(self, replica: str) -> bool:
         return False
@@ -297,11 +300,11 @@
         for place in range(3):
             group = whole(1)
             group.start(NEW)
-            group.run(IN_STEP_S)
+            group.run(CATCH_UP_S)
             victim = victim_of(group, part)
             took = leave(group, victim)
             lost = sorted(group.nodes)[place]
-            outcomes.append(took < 1.0 and bears(group, (lost,)))
+            outcomes.append(took < 1.0 and tolerates(group, (lost,)))
     assert not all(outcomes)
 
 
@@ -350,7 +353,7 @@
 
 
 class StoresLostGroup(Group):
-    """A group in which no value reaches the replicas at the addresses in ``without_stores``."""
+    """A group in which no Store message reaches the addresses in ``without_stores``."""
 
     without_stores: frozenset[str] = frozenset()
 
--- a/tests/test_stage_balancer.py
+++ b/tests/test_stage_balancer.py
@@ -1,4 +1,4 @@
-"""The stage balancer's core: when it orders, when it must not, and what it makes of each answer."""
+"""The stage balancer's core: when it sends orders, when it must not, and how it handles each answer."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 from cranebank.programs.stage_balancer_driver import ORDER_ANSWER_TIMEOUT_S, read_services, takeover_wait_s
 from cranebank.transport.messages import Backend, StageLoad
 
-WAIT_S = 3.8
-LOOK_S = 0.25
+TAKEOVER_WAIT_S = 3.8
+OBSERVATION_INTERVAL_S = 0.25
 SWITCH_S = 0.8
 PRIMARY = Authority(True, 4, 7)
 
@@ -53,13 +53,13 @@
 
 
 class Bench:
-    """A balancer, and what it is shown; ``pass_time`` looks every quarter of a second."""
+    """A balancer and its inputs; ``pass_time`` passes an observation every quarter of a second."""
 
     def __init__(self, *backends: Backend, authority: Authority = PRIMARY) -> None:
-        self.balancer = StageBalancer(BalancerSettings("node-1", WAIT_S, 1.0))
+        self.balancer = StageBalancer(BalancerSettings("node-1", TAKEOVER_WAIT_S, 1.0))
         self.now = 100.0
         self.authority = authority
-        self.recorded: dict[str, str] | None = {}  # what the replicated record names
+        self.recorded: dict[str, str] | None = {}  # intents in the replicated record
         self.records_intents = True
         self.is_current = True
         self.records = {one.id: one for one in backends}
@@ -69,14 +69,14 @@
         self.loads: dict[str, StageLoad] = {}
 
     def put(self, *backends: Backend) -> None:
-        """Their heartbeats tell this from now on."""
+        """Set the records that the backends' heartbeats report from now on."""
         self.records |= {one.id: one for one in backends}
 
-    def look(self) -> list[Action]:
+    def observe(self) -> list[Action]:
         self.heard_at |= {name: self.now for name in self.records if name not in self.silent}
         authority = replace(self.authority, recorded=self.recorded)
-        look = Observation(authority, self.services, self.records, self.heard_at, self.is_current, self.loads)
-        actions = self.balancer.handle(self.now, look)
+        observation = Observation(authority, self.services, self.records, self.heard_at, self.is_current, self.loads)
+        actions = self.balancer.handle(self.now, observation)
         if authority.holds_lease and self.records_intents:
             intents = self.balancer.intents(self.now)
             if intents is not None:
@@ -84,25 +84,25 @@
         return actions
 
     def tell(self, event: Event) -> list[Action]:
-        """An event; where it is a connection, with what is recorded by now."""
+        """Pass an event; if it is Connected, with the presently recorded intents."""
         if isinstance(event, Connected):
             event = replace(event, authority=replace(event.authority, recorded=self.recorded))
         return self.balancer.handle(self.now, event)
 
     def pass_time(self, seconds: float) -> list[Action]:
-        """All that is asked for meanwhile."""
-        actions, end = self.look(), self.now + seconds
+        """Let time pass; return all actions requested meanwhile."""
+        actions, end = self.observe(), self.now + seconds
         while self.now < end:
-            self.now += LOOK_S
-            actions += self.look()
+            self.now += OBSERVATION_INTERVAL_S
+            actions += self.observe()
         return actions
 
     def connect(self) -> Connect:
-        """Wait until an order is begun."""
-        end = self.now + WAIT_S + CONFIRM_S + LOOK_S
-        while not (found := self.look()):
+        """Wait until an order is connected."""
+        end = self.now + TAKEOVER_WAIT_S + CONFIRM_S + OBSERVATION_INTERVAL_S
+        while not (found := self.observe()):
             assert self.now < end, "nothing is ordered"
-            self.now += LOOK_S
+            self.now += OBSERVATION_INTERVAL_S
         (connect,) = found
         assert isinstance(connect, Connect)
         return connect
@@ -123,9 +123,9 @@
 
 def test_a_prefill_backend_is_ordered_once_the_last_decode_one_drains() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"), backend("i-3", "decode"))
-    assert bench.pass_time(WAIT_S + 2.0) == []
+    assert bench.pass_time(TAKEOVER_WAIT_S + 2.0) == []
     bench.put(backend("i-3", "decode", "draining", 2))
-    (connect,) = bench.pass_time(CONFIRM_S + LOOK_S)
+    (connect,) = bench.pass_time(CONFIRM_S + OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-1"
     (transmit,) = bench.tell(Connected(connect.number, PRIMARY))
@@ -147,7 +147,7 @@
 )
 def test_nothing_is_ordered_where_requests_can_be_served_or_nobody_is_there(stages: tuple[str, ...]) -> None:
     bench = Bench(*(backend(f"i-{number}", stage) for number, stage in enumerate(stages)))
-    assert bench.pass_time(3 * WAIT_S) == []
+    assert bench.pass_time(3 * TAKEOVER_WAIT_S) == []
     bench.check()
 
 
@@ -159,9 +159,9 @@
 
 def test_a_replacement_whose_first_heartbeat_comes_in_time_makes_an_order_needless() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-3", "decode"))
-    bench.pass_time(WAIT_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + 1.0)
     bench.put(backend("i-3", "decode", "draining", 2))
-    assert bench.pass_time(CONFIRM_S - LOOK_S) == []
+    assert bench.pass_time(CONFIRM_S - OBSERVATION_INTERVAL_S) == []
     bench.put(backend("i-4", "decode"))
     assert bench.pass_time(5.0) == []
 
@@ -169,7 +169,7 @@
 def test_a_service_that_no_route_leads_to_is_left_alone() -> None:
     bench = Bench(backend("i-1", "prefill"))
     bench.services = {}
-    assert bench.pass_time(3 * WAIT_S) == []
+    assert bench.pass_time(3 * TAKEOVER_WAIT_S) == []
 
 
 # Authority.
@@ -177,13 +177,13 @@
 
 def test_nothing_is_ordered_without_the_lease() -> None:
     bench = Bench(backend("i-1", "prefill"), authority=Authority(False, 4, 7))
-    assert bench.pass_time(3 * WAIT_S) == []
+    assert bench.pass_time(3 * TAKEOVER_WAIT_S) == []
 
 
 def test_a_new_primary_orders_at_once_whom_no_former_one_may_have_ordered() -> None:
     bench = Bench(backend("i-1", "prefill"))
-    assert bench.pass_time(CONFIRM_S - LOOK_S) == []
-    (connect,) = bench.pass_time(2 * LOOK_S)
+    assert bench.pass_time(CONFIRM_S - OBSERVATION_INTERVAL_S) == []
+    (connect,) = bench.pass_time(2 * OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     bench.check()
 
@@ -191,12 +191,14 @@
 def test_whom_a_former_primary_may_have_ordered_is_left_alone_until_its_orders_are_old() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.recorded = {"i-1": "decode", "i-2": "decode"}
-    reports = [action for action in bench.pass_time(REPORT_DELAY_S + LOOK_S) if isinstance(action, AskReport)]
+    reports = [
+        action for action in bench.pass_time(REPORT_DELAY_S + OBSERVATION_INTERVAL_S) if isinstance(action, AskReport)
+    ]
     for report in reports:
         bench.tell(Reported(report.number, "prefill", False, 0))
-    assert {report.backend.id for report in reports} == {"i-1", "i-2"}, "what became of the orders is asked at once"
-    asked_s = REPORT_DELAY_S + LOOK_S
-    assert bench.pass_time(WAIT_S - asked_s - LOOK_S) == []
+    assert {report.backend.id for report in reports} == {"i-1", "i-2"}, "the outcome of the orders is requested at once"
+    asked_s = REPORT_DELAY_S + OBSERVATION_INTERVAL_S
+    assert bench.pass_time(TAKEOVER_WAIT_S - asked_s - OBSERVATION_INTERVAL_S) == []
     assert bench.connect()
     bench.check()
 
@@ -204,11 +206,11 @@
 def test_an_order_of_a_former_primary_that_is_under_way_is_not_sent_again() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.recorded = {"i-1": "decode"}
-    (report,) = bench.pass_time(REPORT_DELAY_S + LOOK_S)
+    (report,) = bench.pass_time(REPORT_DELAY_S + OBSERVATION_INTERVAL_S)
     assert isinstance(report, AskReport)
     assert bench.tell(Reported(report.number, "prefill", True, 1)) == []
     assert set(bench.balancer.held(bench.now)) == {"i-1"}
-    assert bench.pass_time(2 * WAIT_S) == []
+    assert bench.pass_time(2 * TAKEOVER_WAIT_S) == []
     bench.put(backend("i-1", "decode", call_seq=9))
     assert bench.pass_time(1.0) == []
     assert bench.state() is None
@@ -218,19 +220,19 @@
 def test_where_a_former_primary_ordered_in_vain_another_backend_is_ordered_without_the_wait() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.recorded = {"i-1": "decode"}
-    (report,) = bench.pass_time(REPORT_DELAY_S + LOOK_S)
+    (report,) = bench.pass_time(REPORT_DELAY_S + OBSERVATION_INTERVAL_S)
     bench.tell(Reported(report.number, "prefill", False, 0))
-    (connect,) = bench.pass_time(CONFIRM_S + 2 * LOOK_S)
+    (connect,) = bench.pass_time(CONFIRM_S + 2 * OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect) and connect.backend.id == "i-2"
-    assert bench.now < 100.0 + WAIT_S
+    assert bench.now < 100.0 + TAKEOVER_WAIT_S
     bench.check()
 
 
 def test_where_no_orders_were_recorded_all_backends_are_left_alone_for_a_while() -> None:
-    """The record was written by a version that names none."""
+    """The record was written by a version without intents."""
     bench = Bench(backend("i-1", "prefill"))
     bench.recorded = None
-    assert bench.pass_time(WAIT_S - LOOK_S) == []
+    assert bench.pass_time(TAKEOVER_WAIT_S - OBSERVATION_INTERVAL_S) == []
     bench.records_intents = True
     assert bench.connect()
 
@@ -238,9 +240,9 @@
 def test_an_order_is_not_sent_before_the_record_names_it() -> None:
     bench = Bench(backend("i-1", "prefill"))
     bench.records_intents = False
-    assert bench.pass_time(CONFIRM_S + RECORD_TIMEOUT_S - LOOK_S) == []
+    assert bench.pass_time(CONFIRM_S + RECORD_TIMEOUT_S - OBSERVATION_INTERVAL_S) == []
     assert bench.state() is OrderState.INTENDED
-    bench.pass_time(2 * LOOK_S)
+    bench.pass_time(2 * OBSERVATION_INTERVAL_S)
     assert bench.balancer.counts["not recorded"] == 1
     bench.records_intents = True
     connect = bench.connect()
@@ -255,10 +257,10 @@
     transmit = bench.transmit()
     bench.tell(Answered(transmit.number, 202))
     bench.put(backend("i-1", "decode", call_seq=9))
-    bench.pass_time(WAIT_S - LOOK_S)
+    bench.pass_time(TAKEOVER_WAIT_S - OBSERVATION_INTERVAL_S)
     assert bench.state() is None
     assert bench.recorded == {"i-1": "decode"}
-    bench.pass_time(2 * LOOK_S)
+    bench.pass_time(2 * OBSERVATION_INTERVAL_S)
     assert bench.recorded == {}
 
 
@@ -269,11 +271,11 @@
     bench.pass_time(1.0)
     bench.put(backend("i-3", "decode", "gone", 2))
     bench.authority = Authority(True, 4, 8)
-    (connect,) = bench.pass_time(CONFIRM_S + 2 * LOOK_S)
+    (connect,) = bench.pass_time(CONFIRM_S + 2 * OBSERVATION_INTERVAL_S)
     (transmit,) = bench.tell(Connected(connect.number, bench.authority))
     bench.tell(Answered(transmit.number, 400))
     bench.authority = Authority(True, 9, 9)
-    asked = bench.pass_time(WAIT_S - LOOK_S)
+    asked = bench.pass_time(TAKEOVER_WAIT_S - OBSERVATION_INTERVAL_S)
     assert not [action for action in asked if isinstance(action, Connect)]
 
 
@@ -291,7 +293,7 @@
 def test_an_order_that_took_long_to_connect_is_abandoned() -> None:
     bench = Bench(backend("i-1", "prefill"))
     connect = bench.connect()
-    bench.now += CONNECT_TIMEOUT_S + LOOK_S
+    bench.now += CONNECT_TIMEOUT_S + OBSERVATION_INTERVAL_S
     assert bench.tell(Connected(connect.number, PRIMARY)) == []
 
 
@@ -303,38 +305,38 @@
     assert transmit.order.fence_no == 9
 
 
-# What the registry is known to lack.
+# Incomplete registries.
 
 
 def test_nothing_is_ordered_while_the_registry_may_lack_backends() -> None:
     bench = Bench(backend("i-1", "prefill"))
     bench.is_current = False
-    assert bench.pass_time(3 * WAIT_S) == []
+    assert bench.pass_time(3 * TAKEOVER_WAIT_S) == []
     bench.is_current = True
-    assert bench.pass_time(CONFIRM_S - LOOK_S) == []
+    assert bench.pass_time(CONFIRM_S - OBSERVATION_INTERVAL_S) == []
     assert bench.connect()
 
 
 def test_only_a_backend_that_was_heard_lately_is_ordered() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"), backend("i-3", "decode"))
-    bench.look()
+    bench.observe()
     bench.silent = {"i-1"}
-    bench.pass_time(WAIT_S)
+    bench.pass_time(TAKEOVER_WAIT_S)
     bench.put(backend("i-3", "decode", "gone", 2))
     assert bench.connect().backend.id == "i-2"
     bench = Bench(backend("i-1", "prefill"))
     bench.silent = {"i-1"}
-    assert bench.pass_time(3 * WAIT_S) == []
+    assert bench.pass_time(3 * TAKEOVER_WAIT_S) == []
     bench.check()
 
 
 def test_a_process_that_stood_still_confirms_anew_what_is_needed() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-3", "decode"))
-    bench.pass_time(WAIT_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + 1.0)
     bench.put(backend("i-3", "decode", "gone", 2))
-    bench.look()
+    bench.observe()
     bench.now += 30.0
-    assert bench.look() == []
+    assert bench.observe() == []
     assert bench.connect()
 
 
@@ -352,7 +354,7 @@
     bench.tell(Answered(bench.transmit().number, status))
     assert bench.state() is OrderState.SWITCHING
     bench.put(backend("i-1", "decode", call_seq=6))
-    bench.look()
+    bench.observe()
     assert bench.state() is None
     assert bench.balancer.counts["settled"] == 1
 
@@ -362,12 +364,12 @@
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     first = bench.transmit()
     bench.tell(Answered(first.number, status))
-    (second,) = bench.pass_time(2 * LOOK_S)
+    (second,) = bench.pass_time(2 * OBSERVATION_INTERVAL_S)
     assert isinstance(second, Connect)
     assert second.backend.id == "i-2"
     bench.tell(NotConnected(second.number))
-    assert bench.pass_time(UNREACHABLE_BACKOFF_S - 2 * LOOK_S) == []
-    (third,) = bench.pass_time(3 * LOOK_S)
+    assert bench.pass_time(UNREACHABLE_BACKOFF_S - 2 * OBSERVATION_INTERVAL_S) == []
+    (third,) = bench.pass_time(3 * OBSERVATION_INTERVAL_S)
     assert isinstance(third, Connect)
     assert third.backend.id == "i-2"
     bench.check()
@@ -376,15 +378,15 @@
 def test_a_backend_that_refused_is_asked_again_in_the_end() -> None:
     bench = Bench(backend("i-1", "prefill"))
     bench.tell(Answered(bench.transmit().number, 421))
-    assert bench.pass_time(REFUSED_BACKOFF_S - 2 * LOOK_S) == []
-    assert bench.pass_time(3 * LOOK_S)
+    assert bench.pass_time(REFUSED_BACKOFF_S - 2 * OBSERVATION_INTERVAL_S) == []
+    assert bench.pass_time(3 * OBSERVATION_INTERVAL_S)
 
 
 def test_a_fence_that_a_backend_refused_is_not_used_again() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     first = bench.transmit()
     bench.tell(Answered(first.number, 412))
-    assert bench.pass_time(REFUSED_BACKOFF_S + 10.0) == [], "neither there nor at any other backend"
+    assert bench.pass_time(REFUSED_BACKOFF_S + 10.0) == [], "neither at this backend nor at any other"
     bench.authority = Authority(True, PRIMARY.term, PRIMARY.fence + 1)
     connect = bench.connect()
     (order,) = bench.tell(Connected(connect.number, bench.authority))
@@ -397,8 +399,8 @@
     bench.loads["s"] = StageLoad("s", 0.1, 40.0)
     orders: list[Action] = []
     while len(orders) < 2:  # a share of a large service is ordered at once
-        bench.now += LOOK_S
-        orders += bench.look()
+        bench.now += OBSERVATION_INTERVAL_S
+        orders += bench.observe()
     assert isinstance(orders[0], Connect) and isinstance(orders[1], Connect)
     (sent,) = bench.tell(Connected(orders[0].number, bench.authority))
     assert isinstance(sent, Transmit)
@@ -409,13 +411,13 @@
 
 @pytest.mark.parametrize("status", [0, 409, 500, 503])
 def test_after_an_unclear_answer_the_backend_is_asked_for_its_report(status: int) -> None:
-    """Nothing is sent again before: the order may have been taken."""
+    """No order is sent again before the report: the first one may have been accepted."""
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     number = bench.transmit().number
     bench.tell(Answered(number, status) if status else Unanswered(number))
     assert bench.state() is OrderState.UNKNOWN
-    assert bench.pass_time(REPORT_DELAY_S - LOOK_S) == []
-    (ask,) = bench.pass_time(LOOK_S)
+    assert bench.pass_time(REPORT_DELAY_S - OBSERVATION_INTERVAL_S) == []
+    (ask,) = bench.pass_time(OBSERVATION_INTERVAL_S)
     assert ask == AskReport(number, bench.records["i-1"])
     bench.tell(Reported(number, "prefill", True, 1))
     assert bench.state() is OrderState.SWITCHING
@@ -445,7 +447,7 @@
 def test_a_backend_that_says_nothing_for_long_lets_another_be_ordered() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.tell(Answered(bench.transmit().number, 202))
-    actions = bench.pass_time(SWITCH_S + DRAIN_TIMEOUT_S + REPORT_DELAY_S + 2 * LOOK_S)
+    actions = bench.pass_time(SWITCH_S + DRAIN_TIMEOUT_S + REPORT_DELAY_S + 2 * OBSERVATION_INTERVAL_S)
     assert [type(action) for action in actions] == [Connect, AskReport]
     assert isinstance(actions[0], Connect) and actions[0].backend.id == "i-2"
     bench.check()
@@ -456,7 +458,7 @@
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.tell(Answered(bench.transmit().number, 202))
     bench.put(backend("i-1", "prefill", phase, 2))
-    (connect,) = bench.pass_time(LOOK_S)
+    (connect,) = bench.pass_time(OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect) and connect.backend.id == "i-2"
     bench.check()
 
@@ -465,7 +467,7 @@
     bench = Bench(backend("i-1", "prefill"), backend("i-3", "decode", "draining"))
     number = bench.transmit().number
     bench.put(backend("i-1", "decode", call_seq=9))
-    bench.look()
+    bench.observe()
     for event in (
         Answered(number, 202),
         Unanswered(number),
@@ -480,19 +482,19 @@
 def test_an_order_whose_connection_is_never_told_of_is_given_up() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.connect()
-    (connect,) = bench.pass_time(CONNECT_TIMEOUT_S + 2 * LOOK_S)
+    (connect,) = bench.pass_time(CONNECT_TIMEOUT_S + 2 * OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect) and connect.backend.id == "i-2"
 
 
 def test_a_service_that_was_without_backends_for_a_while_confirms_anew_what_it_needs() -> None:
-    """All of them are replaced: the first heartbeat of a newcomer says nothing yet of the others."""
+    """All backends are replaced: after the first newcomer's heartbeat, others may follow."""
     bench = Bench(backend("i-1", "prefill"))
     bench.silent = {"i-1"}
-    bench.pass_time(WAIT_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + 1.0)
     bench.put(backend("i-1", "prefill", "gone", 2))
     bench.pass_time(MAX_UNATTENDED_S + 1.0)
     bench.put(backend("i-2", "prefill"))
-    assert bench.pass_time(CONFIRM_S - LOOK_S) == []
+    assert bench.pass_time(CONFIRM_S - OBSERVATION_INTERVAL_S) == []
     assert bench.connect()
     bench.check()
 
@@ -523,14 +525,14 @@
 
 @pytest.mark.parametrize("late", [Unanswered, Unreported])
 def test_what_comes_late_after_a_stand_still_breaks_no_invariant(late: type[Unanswered] | type[Unreported]) -> None:
-    """The process stood still while it waited for an answer: the look comes first, then the end of the wait."""
+    """The process stalled while it waited for an answer: the observation is processed before the end of the wait."""
     bench = Bench(backend("i-1", "prefill"))
     number = bench.transmit().number
     if late is Unreported:
         bench.tell(Unanswered(number))
         bench.pass_time(REPORT_DELAY_S)
     bench.now += SWITCH_S + DRAIN_TIMEOUT_S + 1.0
-    bench.look()
+    bench.observe()
     assert bench.state() is OrderState.UNKNOWN
     bench.tell(late(number))
     assert bench.state() is OrderState.UNKNOWN
@@ -540,7 +542,7 @@
 def test_a_look_makes_one_grouping_for_each_service_however_many_backends_there_are(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A primary looks four times a second, at thousands of backends in a large fleet."""
+    """A primary makes four observations a second, of thousands of backends in a large fleet."""
     made = 0
 
     def make() -> ServiceStages:
@@ -550,18 +552,18 @@
 
     monkeypatch.setattr(stage_balancer, "ServiceStages", make)
     bench = Bench(*(backend(f"i-{number}", "decode") for number in range(100)))
-    bench.look()
+    bench.observe()
     assert made == 1
 
 
-# Invariants, on a balancer whose guards are taken out.
+# Invariants, on a balancer without its guards.
 
 
 @pytest.mark.violates_invariants
 def test_a_stage_that_gets_no_order_in_time_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(StageBalancer, "_begin", lambda *_: None)
     bench = Bench(backend("i-1", "prefill"))
-    bench.pass_time(WAIT_S + MAX_UNATTENDED_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + MAX_UNATTENDED_S + 1.0)
     assert bench.balancer.violations["a stage that is needed gets an order in time"]
 
 
@@ -586,15 +588,15 @@
 
 @pytest.mark.violates_invariants
 def test_what_is_violated_is_told_by_the_metrics(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The soak asks for these counts alone."""
+    """Soak runs check only these counts."""
     monkeypatch.setattr(StageBalancer, "_begin", lambda *_: None)
     bench, name = Bench(backend("i-1", "prefill")), "a stage that is needed gets an order in time"
     before = violations().get(name, 0)
-    bench.pass_time(WAIT_S + MAX_UNATTENDED_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + MAX_UNATTENDED_S + 1.0)
     assert violations()[name] - before == bench.balancer.violations[name] > 0
 
 
-# The settings and the configuration.
+# Settings and configuration.
 
 
 def test_the_wait_after_a_takeover_covers_the_lease_time_and_an_order_on_its_way() -> None:
@@ -612,16 +614,18 @@
 
 def test_a_busy_stage_gets_a_backend_only_after_its_load_has_lasted() -> None:
     bench = Bench(backend("i-1", "prefill"), *(backend(f"i-{number}", "decode") for number in (2, 3, 4)))
-    bench.pass_time(WAIT_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + 1.0)
     bench.loads = {"s": StageLoad("s", 1.5, 0.6)}
-    assert bench.pass_time(CONFIRM_LOAD_S - LOOK_S) == []
+    assert bench.pass_time(CONFIRM_LOAD_S - OBSERVATION_INTERVAL_S) == []
     bench.loads = {}
     assert bench.pass_time(CONFIRM_LOAD_S) == []
     bench.loads = {"s": StageLoad("s", 1.5, 0.6)}
-    (connect,) = bench.pass_time(CONFIRM_LOAD_S + LOOK_S)
+    (connect,) = bench.pass_time(CONFIRM_LOAD_S + OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-2"
-    assert bench.balancer.held(bench.now) == {"i-2": pytest.approx(SWITCH_S + DRAIN_TIMEOUT_S, abs=2 * LOOK_S)}
+    assert bench.balancer.held(bench.now) == {
+        "i-2": pytest.approx(SWITCH_S + DRAIN_TIMEOUT_S, abs=2 * OBSERVATION_INTERVAL_S)
+    }
     (transmit,) = bench.tell(Connected(connect.number, PRIMARY))
     assert isinstance(transmit, Transmit)
     assert transmit.order.stage == "prefill"
@@ -636,17 +640,17 @@
     bench = Bench(backend("i-1", "prefill"), *(backend(f"i-{number}", "decode") for number in (2, 3, 4)))
     bench.silent = {"i-2", "i-3", "i-4"}
     bench.loads = {"s": StageLoad("s", 1.5, 0.6)}
-    assert bench.pass_time(WAIT_S + 2 * MAX_UNATTENDED_S) == []
+    assert bench.pass_time(TAKEOVER_WAIT_S + 2 * MAX_UNATTENDED_S) == []
     bench.check()
 
 
 def test_a_stage_that_becomes_empty_while_it_was_too_busy_is_urgent_at_once() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"), backend("i-3", "decode"))
-    bench.pass_time(WAIT_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + 1.0)
     bench.loads = {"s": StageLoad("s", 0.1, 3.0)}
     assert bench.pass_time(CONFIRM_LOAD_S / 2) == []
     bench.put(backend("i-3", "decode", "draining", 2))
-    (connect,) = bench.pass_time(CONFIRM_S + LOOK_S)
+    (connect,) = bench.pass_time(CONFIRM_S + OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-1"
 
@@ -655,21 +659,23 @@
     names = [backend(f"i-{number:02}", "prefill" if number < 8 else "decode") for number in range(34)]
     bench = Bench(*names)
     bench.loads = {"s": StageLoad("s", 20.0, 7.0)}
-    bench.pass_time(CONFIRM_LOAD_S - LOOK_S)
-    begun = [action for action in bench.pass_time(CONNECT_TIMEOUT_S + LOOK_S) if isinstance(action, Connect)]
+    bench.pass_time(CONFIRM_LOAD_S - OBSERVATION_INTERVAL_S)
+    begun = [
+        action for action in bench.pass_time(CONNECT_TIMEOUT_S + OBSERVATION_INTERVAL_S) if isinstance(action, Connect)
+    ]
     assert len({connect.backend.id for connect in begun}) == len(begun) == 34 // CONCURRENT_ORDERS_DIVISOR
     for connect in begun:
         take(bench, connect)
-    bench.loads = {"s": StageLoad("s", 8.8, 5.0)}  # 12 prefill backends are too busy with it, and 13 are not
+    bench.loads = {"s": StageLoad("s", 8.8, 5.0)}  # too much for 12 prefill backends, but not for 13
     connect = bench.connect()
-    assert bench.pass_time(2 * LOOK_S) == []  # who is under an order counts for its new stage
+    assert bench.pass_time(2 * OBSERVATION_INTERVAL_S) == []  # a backend under an order counts for its new stage
     take(bench, connect)
     assert bench.pass_time(3 * CONFIRM_LOAD_S) == []
     bench.check()
 
 
 def take(bench: Bench, connect: Connect) -> None:
-    """The backend takes its order, and its next heartbeat tells the new stage."""
+    """Let the backend accept its order and report the new stage in its next heartbeat."""
     (transmit,) = bench.tell(Connected(connect.number, PRIMARY))
     assert isinstance(transmit, Transmit)
     bench.tell(Answered(transmit.number, 202))
@@ -677,16 +683,16 @@
 
 
 def test_an_order_for_load_does_not_hold_up_one_without_which_nothing_is_served() -> None:
-    """Both other decode backends crash while a third one is on its way to prefill."""
+    """Both other decode backends crash while a third one switches to prefill."""
     bench = Bench(backend("i-1", "prefill"), *(backend(f"i-{number}", "decode") for number in (2, 3, 4)))
-    bench.pass_time(WAIT_S + 1.0)
+    bench.pass_time(TAKEOVER_WAIT_S + 1.0)
     bench.loads = {"s": StageLoad("s", 1.5, 0.6)}
     first = bench.connect()
     (transmit,) = bench.tell(Connected(first.number, PRIMARY))
     bench.tell(Answered(transmit.number, 202))
     assert bench.state() is OrderState.SWITCHING
     bench.put(*(backend(one, "decode", "lost", 2) for one in ("i-3", "i-4")))
-    (connect,) = bench.pass_time(CONFIRM_S + LOOK_S)
+    (connect,) = bench.pass_time(CONFIRM_S + OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-1"
     (transmit,) = bench.tell(Connected(connect.number, PRIMARY))
--- a/tests/test_stage_load.py
+++ b/tests/test_stage_load.py
@@ -1,4 +1,4 @@
-"""The load of stages: what a proxy tells of it, what a controller sums up, and that proxies hear of moves."""
+"""The load of stages: a proxy's reports, a controller's sums, and notices to proxies about stage changes."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def steady(load: OfferedLoad, seen: list[BackendView], seconds: float, reads_each_s: float) -> tuple[StageLoad, ...]:
-    """What is told after so long with a reading of so many seconds in every second."""
+    """Return the report after a time with a constant number of prefill seconds in each second."""
     told: tuple[StageLoad, ...] = ()
     for tick in range(int(seconds * 10)):
         load.add_prefill(tick / 10, "s", reads_each_s / 10)
@@ -38,7 +38,7 @@
 
 def test_a_proxy_tells_its_load_in_backends_kept_busy() -> None:
     seen = BackendView(backend())
-    seen.calls = 4  # of its eight places
+    seen.calls = 4  # of its eight slots
     (told,) = steady(OfferedLoad(), [seen], 10 * LOAD_AVERAGING_S, 1.5)
     assert told.service == "s"
     assert told.prefill == pytest.approx(1.5, rel=0.05)
@@ -46,7 +46,7 @@
 
 
 def test_a_proxy_that_has_just_started_tells_neither_stage_more_load_than_the_other() -> None:
-    """All clients come back at once after a restart: what is open then is no average."""
+    """After a restart all clients return at once: the requests open at that time are not an average."""
     load, seen = OfferedLoad(), BackendView(backend())
     seen.calls = 8
     load.report(1000.0, [seen])
@@ -116,7 +116,7 @@
     candidates = Candidates()
     candidates.merge([backend("i-1"), backend("i-2")])
     candidates.hold_off(0.0, "i-1", 5.0)
-    candidates.answered(0.1, "i-1")  # what it runs still is answered
+    candidates.answered(0.1, "i-1")  # requests that it still runs are answered
     candidates.failed(0.2, "i-2")
     candidates.answered(0.3, "i-2")
     assert ready_names(candidates, 0.4) == {"i-2"}
@@ -128,14 +128,14 @@
     candidates.merge([backend("i-1"), backend("i-2")])
     for name in ("i-1", "i-2"):
         candidates.hold_off(0.0, name, 5.0)
-    assert ready_names(candidates, 0.1) == {"i-1", "i-2"}  # better than nobody
+    assert ready_names(candidates, 0.1) == {"i-1", "i-2"}  # better than no backend
     candidates.merge([backend("i-1", "prefill", 2)])
     assert ready_names(candidates, 0.2, "prefill") == {"i-1"}
     candidates.merge([backend("i-3")])
     assert ready_names(candidates, 0.3) == {"i-3"}
     candidates.hold_off(0.4, "i-2", 0.0)
     assert ready_names(candidates, 0.5) == {"i-2", "i-3"}
-    candidates.hold_off(0.6, "i-9", 5.0)  # nobody knows it
+    candidates.hold_off(0.6, "i-9", 5.0)  # unknown backend
     assert ready_names(candidates, 0.7) == {"i-2", "i-3"}
 
 
--- a/tests/test_stage_policy.py
+++ b/tests/test_stage_policy.py
@@ -1,4 +1,4 @@
-"""Which stage of a service needs another backend: none empty, and none too busy for what is asked of it."""
+"""The decision which stage of a service needs another backend, because it is empty or too busy for its load."""
 
 from __future__ import annotations
 
@@ -42,9 +42,9 @@
 
 @pytest.mark.parametrize("decode_load", [0.30, 0.38, 0.41, 0.50, 0.69])
 def test_a_stage_whose_queue_grows_without_end_gets_whatever_the_other_can_spare(decode_load: float) -> None:
-    """Whether it does must not hang on a few hundredths of the other stage's load."""
+    """The decision must not depend on a few hundredths of the other stage's load."""
     assert needed_stage(stages(1, 3), load(1.04, decode_load)) == Need(Stage.PREFILL, False)
-    assert needed_stage(stages(2, 2), load(1.04, decode_load)) is None, "and that is enough"
+    assert needed_stage(stages(2, 2), load(1.04, decode_load)) is None, "one move is enough"
 
 
 def test_a_stage_whose_queue_grows_without_end_gets_nothing_that_the_other_needs() -> None:
@@ -95,5 +95,5 @@
             assert counts[other] > MIN_REMAINING[other]
         counts[need.stage] += 1
         counts[other] -= 1
-        assert len(moved) <= 1, "moved there and back"
+        assert len(moved) <= 1, "moves in both directions"
     raise AssertionError("moves without end")
--- a/tests/test_zones_apart.py
+++ b/tests/test_zones_apart.py
@@ -1,4 +1,4 @@
-"""Zones that are apart for long, in the simulated control side: losses that were found, and planted faults."""
+"""Long network partitions between zones, in the simulated control plane: losses found once, and planted faults."""
 
 from __future__ import annotations
 
