--- a/cranebank/control/api_calls.py
+++ b/cranebank/control/api_calls.py
@@ -62,14 +62,14 @@
 
     def __init__(self, calls: Iterable[Call]) -> None:
         self._fixed: dict[str, dict[str, Call]] = {}
-        self._open: list[tuple[str, dict[str, Call]]] = []
+        self._with_argument: list[tuple[str, dict[str, Call]]] = []
         for call in calls:
             if call.path.endswith(ARGUMENT):
                 prefix = call.path.removesuffix(ARGUMENT)
-                methods = next((found for known, found in self._open if known == prefix), None)
+                methods = next((found for known, found in self._with_argument if known == prefix), None)
                 if methods is None:
                     methods = {}
-                    self._open.append((prefix, methods))
+                    self._with_argument.append((prefix, methods))
                 methods[call.method] = call
             else:
                 self._fixed.setdefault(call.path, {})[call.method] = call
@@ -79,7 +79,7 @@
         argument = ""
         methods = self._fixed.get(path)
         if methods is None:
-            for prefix, known in self._open:
+            for prefix, known in self._with_argument:
                 argument = path[len(prefix) :]
                 if path.startswith(prefix) and _ARGUMENT_TEXT.fullmatch(argument):
                     methods = known
--- a/cranebank/control/consensus_replica.py
+++ b/cranebank/control/consensus_replica.py
@@ -126,12 +126,12 @@
             if not self._must_stay_primary():
                 self._step_down("retire", RETIRED_CANDIDACY_DELAY_S)
             self._announce_leaving()
-        self._follow_up()
-        self._check()
+        self._run_follow_ups()
+        self._check_invariants()
         actions, self._actions = self._actions, []
         return actions
 
-    def _follow_up(self) -> None:
+    def _run_follow_ups(self) -> None:
         """Process messages to itself, completed writes and the primary's duties until none of them causes another."""
         while True:
             while self._messages_to_self:
@@ -178,9 +178,9 @@
                 self._actions.append(ev.Send(ip, ev.Join(self._id, self._acceptor.epoch)))
         if self._is_retired and now >= self._next_leaving_at:
             self._announce_leaving()
-        self._forget_old(now)
+        self._drop_expired(now)
 
-    def _forget_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Drop expired Leaving messages, Join requests and contacts."""
         self._leaving = {replica: at for replica, at in self._leaving.items() if now - at < LEAVING_TTL_S}
         self._join_requests = {
@@ -197,7 +197,7 @@
             return
         if now >= leadership.next_lease_request_at:
             leadership.next_lease_request_at = now + LEASE_REQUEST_INTERVAL_S
-            number = leadership.lease.ask(now)
+            number = leadership.lease.new_request(now)
             for replica in record.members:
                 self._send(replica, self._lease_request(leadership, record, number, replica))
         if self.holds_lease(now):
@@ -280,7 +280,7 @@
 
     # Invariants.
 
-    def _check(self) -> None:
+    def _check_invariants(self) -> None:
         """Raise InvariantBroken when the state is inconsistent."""
         record, acceptor, leadership = self._acceptor.chosen, self._acceptor, self._leadership
         if record is not None:
--- a/cranebank/control/epochs.py
+++ b/cranebank/control/epochs.py
@@ -165,7 +165,7 @@
         self._end: tuple[Sequence[str], float] | None = None  # cached end of the lease for these members
         self.number = 0
 
-    def ask(self, now: float) -> int:
+    def new_request(self, now: float) -> int:
         """Record a request for grants at this time; return the number that the grants must name."""
         self.number += 1
         self._asked[self.number] = now
--- a/cranebank/control/operator_api.py
+++ b/cranebank/control/operator_api.py
@@ -185,7 +185,7 @@
         match await self._plane.evacuate(zone, is_start):
             case events.Accepted():
                 await self._plane.wait_for_acks(self._plane.await_evacuations(), EVACUATION_ACK_TIMEOUT_S)
-                return self._under_lease(request, _OK)
+                return self._if_lease_held(request, _OK)
             case events.NotPrimary():
                 return self._redirect(request)
             case events.Busy():
@@ -200,7 +200,7 @@
         except BadHeartbeat as error:
             return refusal(400, error.code, error.key, error.expected)
         if record.phase in ENDING_PHASES:
-            return await self._ending(record.id)
+            return await self._confirm_ending(record.id)
         self._plane.publish_registry(at_once=False)
         if self._plane.is_isolated():  # the backend tries another controller, which may not be isolated
             return refusal(503, "isolated", headers=_RETRY)
@@ -209,13 +209,13 @@
     async def leave(self, request: Request) -> Response:
         """Process a backend's leave."""
         self._plane.registry.leave(self._plane.now(), request.argument)
-        return await self._ending(request.argument)
+        return await self._confirm_ending(request.argument)
 
     async def status(self, _request: Request) -> Response:
         """Return the controller's state, for people."""
         return Response(200, msgspec.json.encode(self._plane.overview()))
 
-    async def _ending(self, backend_id: str) -> Response:
+    async def _confirm_ending(self, backend_id: str) -> Response:
         if await self._plane.confirm_ending(backend_id, ENDING_TIMEOUT_S):
             return _OK
         return refusal(503, "no_majority", headers=_RETRY)
@@ -236,10 +236,10 @@
         change = await _in_thread_if(len(request.body) > SLOW_BYTES, _identify, call, base, request.body)
         in_force = self._plane.known_call(change.digest)
         if in_force is not None:
-            return await self._in_force(request, in_force)
-        return await self._take_up(request, change)
+            return await self._answer_in_force(request, in_force)
+        return await self._apply_change(request, change)
 
-    async def _take_up(self, request: Request, change: Change) -> Response:
+    async def _apply_change(self, request: Request, change: Change) -> Response:
         """Validate a change that is not known to be in force against the committed configuration, and commit it."""
         current = self._plane.current()
         if current is None:  # a new primary does not know yet whether its newest value is committed
@@ -249,27 +249,27 @@
             return self._conflict(request, change.revision, revision)
         read_bytes = len(change.body) + (len(document) if change.call == "Amend" else 0)
         try:
-            found = await _in_thread_if(read_bytes > SLOW_BYTES, _resulting, change, document)
+            found = await _in_thread_if(read_bytes > SLOW_BYTES, _resulting_configuration, change, document)
         except InvalidConfiguration as error:
-            return self._under_lease(request, refusal(400, error.code, error.key, error.expected))
+            return self._if_lease_held(request, refusal(400, error.code, error.key, error.expected))
         return await self._commit(request, change, found)
 
     async def _commit(self, request: Request, change: Change, found: Configuration) -> Response:
         """Put the configuration that results from a valid change in force."""
         match await self._plane.write(change.base, found.revision, found.document, change.digest):
             case events.Accepted():
-                return await self._in_force(request, found.revision)
+                return await self._answer_in_force(request, found.revision)
             case events.Conflict(current=newest):
                 in_force = self._plane.known_call(change.digest)
                 if in_force is not None:
-                    return await self._in_force(request, in_force)
+                    return await self._answer_in_force(request, in_force)
                 return self._conflict(request, found.revision, newest)
             case events.NotPrimary():
                 return self._redirect(request)
             case _:
                 return refusal(503, "busy", headers=_RETRY)
 
-    def _under_lease(self, request: Request, response: Response) -> Response:
+    def _if_lease_held(self, request: Request, response: Response) -> Response:
         """Check the lease again: an answer that depends on the current configuration is given only under it."""
         return response if self._plane.holds_lease() else self._redirect(request)
 
@@ -277,13 +277,13 @@
         """Answer a change on an outdated base. A call that may have been applied earlier is not refused."""
         if revision > 0 and self._plane.may_be_forgotten(revision):
             return refusal(503, "unclear", headers=_RETRY)
-        return self._under_lease(request, refusal(412, "base", "X-Base-Version", str(current)))
+        return self._if_lease_held(request, refusal(412, "base", "X-Base-Version", str(current)))
 
-    async def _in_force(self, request: Request, revision: int) -> Response:
+    async def _answer_in_force(self, request: Request, revision: int) -> Response:
         if not self._plane.holds_lease():
             return self._redirect(request)
         await self._plane.wait_for_acks(self._plane.await_revision(revision), REVISION_ACK_TIMEOUT_S)
-        return self._under_lease(request, _OK)
+        return self._if_lease_held(request, _OK)
 
 
 def _base_of(request: Request) -> int | None:
@@ -304,7 +304,7 @@
     return Change(call, base, body, digest_of(call, base, body), revision_of(body))
 
 
-def _resulting(change: Change, document: bytes) -> Configuration:
+def _resulting_configuration(change: Change, document: bytes) -> Configuration:
     if change.call == "Replace":
         return check(change.body, change.base)
     if not document:
--- a/cranebank/control/primary.py
+++ b/cranebank/control/primary.py
@@ -94,7 +94,7 @@
 
     # Replication of the value.
 
-    def _required_holders(self, record: EpochRecord) -> set[str]:
+    def _all_copies(self, record: EpochRecord) -> set[str]:
         """Return all replicas that may take over: the copies of the chosen record and of a proposed one, which may be
         chosen already."""
         proposal = self._proposal
@@ -107,9 +107,9 @@
         return holders | ({self._id} if self._value_durable else set())
 
     def _is_committable(self, leadership: Leadership, record: EpochRecord) -> bool:
-        return self._required_holders(record) <= self._holders(leadership) and len(
-            record.copies
-        ) >= self._target_copies(record)
+        return self._all_copies(record) <= self._holders(leadership) and len(record.copies) >= self._target_copies(
+            record
+        )
 
     def _commit(self, leadership: Leadership) -> None:
         value = self._value
@@ -167,7 +167,7 @@
     def _send_stores(self, leadership: Leadership, record: EpochRecord) -> None:
         value, now = self._value, self._now
         holders = self._holders(leadership)
-        wanted = self._required_holders(record) | set(
+        wanted = self._all_copies(record) | set(
             self._replacement_copies(leadership, record, self._healthy_copies(record))
         )
         for replica in sorted(wanted - holders - {self._id}):
--- a/cranebank/control/registry.py
+++ b/cranebank/control/registry.py
@@ -91,7 +91,7 @@
     def __init__(self, now: float, beat_s: float) -> None:
         self._lost_after = 3.5 * beat_s + 1
         self._quiet_until = now + 3 * beat_s + 1  # no record expires before
-        self._young_until = self._quiet_until
+        self._startup_until = self._quiet_until
         self._in_touch = True
         self.records: dict[str, Backend] = {}
         self._heard: dict[str, float] = {}  # time of the newest heartbeat at any controller
@@ -137,7 +137,7 @@
         for record in records:
             old = self.records.get(record.id)
             if not self._apply(now, record) and old is not None and old.phase != record.phase:
-                self._changed[old.id] = self._as_heard(old)
+                self._changed[old.id] = self._with_newest_call_seq(old)
             self._correct_stray(record.id)
 
     def restore(self, now: float, records: Iterable[Backend]) -> None:
@@ -156,7 +156,7 @@
         returned as lost. Records that the proxy considers lost are ignored, as they are not first-hand.
         """
         stray: list[Backend] = []
-        knows_all = hears_all and now >= self._young_until
+        knows_all = hears_all and now >= self._startup_until
         for record in records:
             if record.phase == "lost":
                 continue
@@ -165,10 +165,10 @@
                 self._correct_stray(record.id)
             else:
                 stray.append(msgspec.structs.replace(record, phase="gone" if record.phase == "draining" else "lost"))
-                self._note_stray(record)
+                self._record_stray(record)
         return stray
 
-    def _note_stray(self, record: Backend) -> None:
+    def _record_stray(self, record: Backend) -> None:
         call_seq = max(record.call_seq, self._strays.pop(record.id, 0))
         self._strays[record.id] = call_seq
         while len(self._strays) > MAX_STRAYS:
@@ -179,7 +179,7 @@
         record = self.records.get(backend_id)
         if backend_id not in self._strays or record is None:
             return
-        newest = self._as_heard(record)
+        newest = self._with_newest_call_seq(record)
         if record.phase not in LIVE_PHASES:
             del self._strays[backend_id]
         elif newest.call_seq > self._strays[backend_id]:
@@ -200,7 +200,7 @@
             elif old.phase == "lost" and call_seq > old.call_seq:
                 requested.append(backend_id)
                 self.wrong_losses += at <= self._ended[backend_id]
-            elif old.phase in LIVE_PHASES and call_seq >= self._as_heard(old).call_seq:
+            elif old.phase in LIVE_PHASES and call_seq >= self._with_newest_call_seq(old).call_seq:
                 self._heard[backend_id] = max(self._heard.get(backend_id, 0.0), at)
                 self._heard_seq[backend_id] = call_seq
                 self._correct_stray(backend_id)
@@ -254,7 +254,7 @@
         for record in self.records.values():
             limit = self.limits.get(record.target)
             if limit is not None and record.zone == zone and record.phase in LIVE_PHASES:
-                self._keep_cold(now, record.id, now + limit.cold_s)
+                self._extend_cold(now, record.id, now + limit.cold_s)
 
     def cold(self, now: float) -> list[ColdBackend]:
         """Return the cold backends of services with a limit."""
@@ -302,9 +302,9 @@
         if old is None or old.phase not in LIVE_PHASES:
             return False
         phase = "gone" if old.phase == "draining" else "lost"  # a drain is never revoked
-        return self._apply(now, msgspec.structs.replace(self._as_heard(old), phase=phase))
+        return self._apply(now, msgspec.structs.replace(self._with_newest_call_seq(old), phase=phase))
 
-    def _as_heard(self, record: Backend) -> Backend:
+    def _with_newest_call_seq(self, record: Backend) -> Backend:
         """Return the record with the call_seq of its newest heartbeat anywhere, which overrides an earlier loss."""
         call_seq = self._heard_seq.get(record.id, record.call_seq)
         return msgspec.structs.replace(record, call_seq=call_seq) if call_seq > record.call_seq else record
@@ -312,24 +312,24 @@
     def _apply(self, now: float, record: Backend) -> bool:
         """Apply a record; return whether it replaced the old one. The only function that changes records."""
         old = self.records.get(record.id)
-        is_taken = self._replace(now, old, replace_cold_left(record, 0.0))
+        is_replaced = self._replace(now, old, replace_cold_left(record, 0.0))
         if record.cold_left_ms > 0 and (old is None or record.call_seq >= old.call_seq):
             self._observe_cold(now, record)
-        return is_taken
+        return is_replaced
 
     def _observe_cold(self, now: float, record: Backend) -> None:
         known = self.records.get(record.id)
         if known is not None and known.phase in LIVE_PHASES and known.target in self.limits:
-            self._keep_cold(now, record.id, now + record.cold_left_ms / MS_PER_S)
+            self._extend_cold(now, record.id, now + record.cold_left_ms / MS_PER_S)
 
-    def _keep_cold(self, now: float, backend_id: str, until: float) -> None:
+    def _extend_cold(self, now: float, backend_id: str, until: float) -> None:
         if until > max(now, self._cold_until.get(backend_id, now)) + MIN_COLD_EXTENSION_S:
             self._cold_until[backend_id] = until
             self._changed[backend_id] = self.records[backend_id]
 
     def _replace(self, now: float, old: Backend | None, record: Backend) -> bool:
         """Replace the old record, unless it is newer."""
-        if not newer(self._as_heard(old) if old is not None and record.phase == "lost" else old, record):
+        if not newer(self._with_newest_call_seq(old) if old is not None and record.phase == "lost" else old, record):
             return False
         if old is not None and not record.address:  # an end reported by a controller that knew only the id
             record = msgspec.structs.replace(old, phase=record.phase)
--- a/cranebank/control/replica.py
+++ b/cranebank/control/replica.py
@@ -183,7 +183,7 @@
         elif ip_of(replica) != self._settings.ip:  # an earlier replica of this machine no longer exists
             self._actions.append(ev.Send(ip_of(replica), message))
 
-    def _sender_of(self, replica: str, message: ev.AnyMessage) -> Callable[[float], None]:
+    def _deferred_send(self, replica: str, message: ev.AnyMessage) -> Callable[[float], None]:
         def send(_now: float) -> None:
             self._send(replica, message)
 
@@ -191,7 +191,7 @@
 
     def _reply_durably(self, replica: str, message: ev.AnyMessage) -> None:
         """Send the message once all state that was promised, accepted or learned so far is on disk."""
-        self._on_durable.append(("control", self._sender_of(replica, message)))
+        self._on_durable.append(("control", self._deferred_send(replica, message)))
 
     def _flush(self) -> None:
         """Persist the changed keys; attach each waiting callback to the write that makes its key durable."""
--- a/cranebank/control/replication.py
+++ b/cranebank/control/replication.py
@@ -27,9 +27,9 @@
     def acknowledge(self, ip: str, number: int, members: Collection[str]) -> None:
         """Record that the controller at this address has all changes up to ``number`` on its disk."""
         self._acknowledged[ip] = max(number, self._acknowledged.get(ip, 0))
-        reached = [entry for entry in self._waiting if self.is_confirmed(entry[0], members)]
-        self._waiting = [entry for entry in self._waiting if entry not in reached]
-        for _, on_confirmed in reached:
+        confirmed = [entry for entry in self._waiting if self.is_confirmed(entry[0], members)]
+        self._waiting = [entry for entry in self._waiting if entry not in confirmed]
+        for _, on_confirmed in confirmed:
             on_confirmed()
 
     def forget(self, ip: str) -> None:
--- a/cranebank/control/stage_balancer.py
+++ b/cranebank/control/stage_balancer.py
@@ -82,7 +82,7 @@
         self._settings = settings
         self._numbers = itertools.count(1)
         self._orders: dict[int, BackendOrder] = {}
-        self._expected: dict[str, int] = {}  # number of orders that a backend has accepted, by its last report
+        self._orders_taken: dict[str, int] = {}  # number of orders that a backend has accepted, by its last report
         self._candidates = StageCandidates(settings.beat_s)
         self._needed: dict[str, tuple[Need, float]] = {}  # need and its begin, by service
         self._unattended_since: dict[str, float] = {}
@@ -122,23 +122,23 @@
         else:
             order = self._orders.get(event.number)
             if order is not None:
-                self._handle_for(now, order, event)
+                self._handle_order_event(now, order, event)
         return self._actions
 
-    def _handle_for(self, now: float, order: BackendOrder, event: Event) -> None:
+    def _handle_order_event(self, now: float, order: BackendOrder, event: Event) -> None:
         match event:
             case Connected(_, authority):
                 self._transmit(now, order, authority)
             case NotConnected():
                 self._end_and_exclude(now, order, UNREACHABLE_BACKOFF_S, "unreachable")
             case Answered(_, status):
-                self._answered(now, order, status)
+                self._handle_answer(now, order, status)
             case Unanswered():
-                self._unclear(now, order, OrderState.SENT)
+                self._handle_missing(now, order, OrderState.SENT)
             case Reported():
-                self._reported(now, order, event)
+                self._handle_report(now, order, event)
             case Unreported():
-                self._unclear(now, order, OrderState.REPORTING)
+                self._handle_missing(now, order, OrderState.REPORTING)
 
     def _change(self, now: float, order: BackendOrder, state: OrderState) -> None:
         """Change an order's state. The only function that does so."""
@@ -162,10 +162,10 @@
             self._needed.clear()
             self._unattended_since.clear()
         self._observed_at = now
-        self._follow_authority(now, observation.authority)
-        self._follow_former_orders(now, observation)
+        self._update_term(now, observation.authority)
+        self._adopt_former_orders(now, observation)
         for order in self.orders:
-            self._follow(now, order, observation)
+            self._track_order(now, order, observation)
         self._forget(now, observation.records)
         if not observation.authority.holds_lease or not observation.is_registry_current:
             self._needed.clear()
@@ -174,9 +174,9 @@
         by_service = self._by_service(now, observation)
         self._forget_services(by_service.keys())
         for name, stages in by_service.items():
-            self._staff(now, observation.services[name], stages, observation)
+            self._balance_service(now, observation.services[name], stages, observation)
 
-    def _follow_authority(self, now: float, authority: Authority) -> None:
+    def _update_term(self, now: float, authority: Authority) -> None:
         """Begin a new term, in which orders of former primaries count; within a term there was no other primary."""
         if authority.holds_lease and authority.term != self._term:
             self._term = authority.term
@@ -192,7 +192,7 @@
         is_recorded = (authority.recorded or {}).get(order.backend.id) == order.stage
         return is_recorded and self._may_order(authority) and self._intents.may_order(now, order.backend.id)
 
-    def _follow_former_orders(self, now: float, observation: Observation) -> None:
+    def _adopt_former_orders(self, now: float, observation: Observation) -> None:
         """Track orders that a former primary may have sent: they may be in progress and their backends switching."""
         if not observation.authority.holds_lease or not observation.is_registry_current:
             return
@@ -208,7 +208,7 @@
             self._orders[order.number] = order
             self._change(now, order, OrderState.UNKNOWN)
 
-    def _follow(self, now: float, order: BackendOrder, observation: Observation) -> None:
+    def _track_order(self, now: float, order: BackendOrder, observation: Observation) -> None:
         """Advance an order by its backend's registry record and by its timeouts."""
         record = observation.records.get(order.backend.id)
         if record is None or record.phase != "ready":
@@ -216,7 +216,7 @@
         elif record.stage == order.stage and record.call_seq > order.backend.call_seq:
             self._end(now, order, "settled")
         elif order.state is OrderState.INTENDED:
-            self._follow_intended(now, order, observation.authority)
+            self._track_intended_order(now, order, observation.authority)
         elif order.state is OrderState.CONNECTING and now - order.changed_at > CONNECT_TIMEOUT_S:
             self._end_and_exclude(now, order, UNREACHABLE_BACKOFF_S, "unreachable")
         elif order.state in AWAITING_STATES and now - order.changed_at >= order.overdue_s:
@@ -229,7 +229,7 @@
             self._change(now, order, OrderState.REPORTING)
             self._actions.append(AskReport(order.number, record))
 
-    def _follow_intended(self, now: float, order: BackendOrder, authority: Authority) -> None:
+    def _track_intended_order(self, now: float, order: BackendOrder, authority: Authority) -> None:
         if self._may_send(now, order, authority):
             self._change(now, order, OrderState.CONNECTING)
             self._actions.append(Connect(order.number, order.backend))
@@ -242,7 +242,7 @@
 
     def _forget(self, now: float, records: Mapping[str, Backend]) -> None:
         """Drop the state of backends that are no longer in the registry."""
-        self._expected = {name: taken for name, taken in self._expected.items() if name in records}
+        self._orders_taken = {name: taken for name, taken in self._orders_taken.items() if name in records}
         self._candidates.forget(now, records)
 
     def _forget_services(self, present: Set[str]) -> None:
@@ -253,7 +253,7 @@
 
     # Decisions.
 
-    def _staff(
+    def _balance_service(
         self,
         now: float,
         service: Service,
@@ -265,42 +265,42 @@
         need = needed_stage(stages, load)
         if need is None:
             self._unattended_since.pop(service.name, None)
-            if not self._under_way(now, service.name):  # else the need returns if the order in progress fails
+            if not self._orders_in_progress(now, service.name):  # else the need returns if the order in progress fails
                 self._needed.pop(service.name, None)
             return
         known = self._needed.get(service.name)
         if known is None or known[0] != need:
             known = self._needed[service.name] = need, now
         candidate = None
-        if self._may_order(observation.authority) and self._may_have_another(now, service.name, stages, need):
-            candidate = self._candidate(now, stages.of(need.stage.other), observation.heard_at)
+        if self._may_order(observation.authority) and self._may_order_another(now, service.name, stages, need):
+            candidate = self._choose_candidate(now, stages.of(need.stage.other), observation.heard_at)
         self._check_attended(now, service.name, candidate is None or not need.is_urgent)
         if candidate is not None and now - known[1] >= (CONFIRM_S if need.is_urgent else CONFIRM_LOAD_S):
             logger.info("service {}: {} backends by stage, load {}", service.name, stages.counts(), load)
             self._begin(now, service, candidate, need.stage)
             self._check_share(now, service.name, stages, need)
 
-    def _may_have_another(self, now: float, service: str, stages: ServiceStages, need: Need) -> bool:
+    def _may_order_another(self, now: float, service: str, stages: ServiceStages, need: Need) -> bool:
         """Return whether another backend of the service may be ordered now.
 
         Only a share of a service's backends is under orders at a time. An urgent need does not wait for an order to the
         other stage.
         """
-        under_way = self._under_way(now, service)
+        in_progress = self._orders_in_progress(now, service)
         if need.is_urgent:
-            return all(order.stage is not need.stage for order in under_way)
-        return len(under_way) < _max_concurrent_orders(stages) and self._intents.has_room(now, self.orders)
+            return all(order.stage is not need.stage for order in in_progress)
+        return len(in_progress) < _max_concurrent_orders(stages) and self._intents.has_room(now, self.orders)
 
-    def _under_way(self, now: float, service: str) -> list[BackendOrder]:
+    def _orders_in_progress(self, now: float, service: str) -> list[BackendOrder]:
         return [order for order in self.orders if order.backend.target == service and order.blocks(now)]
 
     def _check_share(self, now: float, service: str, stages: ServiceStages, need: Need) -> None:
-        under_way = self._under_way(now, service)
+        in_progress = self._orders_in_progress(now, service)
         if need.is_urgent:
-            to_stage = sum(order.stage is need.stage for order in under_way)
+            to_stage = sum(order.stage is need.stage for order in in_progress)
             self._require(to_stage == 1, "an empty stage gets one order at a time")
         else:
-            is_within_share = len(under_way) <= _max_concurrent_orders(stages)
+            is_within_share = len(in_progress) <= _max_concurrent_orders(stages)
             self._require(is_within_share, "no more than a share of a service is ordered at once")
 
     def _by_service(self, now: float, observation: Observation) -> dict[str, ServiceStages]:
@@ -323,7 +323,9 @@
         since = self._unattended_since.setdefault(service, now)
         self._require(now - since <= MAX_UNATTENDED_S, "a stage that is needed gets an order in time")
 
-    def _candidate(self, now: float, backends: Iterable[Backend], heard_at: Mapping[str, float]) -> Backend | None:
+    def _choose_candidate(
+        self, now: float, backends: Iterable[Backend], heard_at: Mapping[str, float]
+    ) -> Backend | None:
         """Return the backend to order, if any: none under an order or recently ordered by another lease holder."""
         ordered = {order.backend.id for order in self.orders}
 
@@ -347,7 +349,7 @@
             self._end(now, order, "abandoned")
             return
         self._check_order(now, order, authority)
-        expected = self._expected.get(order.backend.id, msgspec.UNSET)
+        expected = self._orders_taken.get(order.backend.id, msgspec.UNSET)
         body = Order(order.stage, self._settings.owner, authority.fence, expected=expected)
         self.counts["sent"] += 1
         order.fence = authority.fence
@@ -369,7 +371,7 @@
 
     # Outcome of orders.
 
-    def _answered(self, now: float, order: BackendOrder, status: int) -> None:
+    def _handle_answer(self, now: float, order: BackendOrder, status: int) -> None:
         self.counts[f"answered {status}"] += 1
         if status == OUTDATED_FENCE_STATUS:
             self._refused_fence = max(self._refused_fence, order.fence)
@@ -382,16 +384,16 @@
         else:  # a conflict, or an answer that leaves the outcome open: the backend's report shows it
             self._change(now, order, OrderState.UNKNOWN)
 
-    def _unclear(self, now: float, order: BackendOrder, expected_state: OrderState) -> None:
+    def _handle_missing(self, now: float, order: BackendOrder, expected_state: OrderState) -> None:
         """Handle a missing answer or report, unless the order has already timed out in this state after a stall."""
         if order.state is expected_state:
             self.counts[f"unclear when {expected_state.value}"] += 1
             self._change(now, order, OrderState.UNKNOWN)
 
-    def _reported(self, now: float, order: BackendOrder, report: Reported) -> None:
+    def _handle_report(self, now: float, order: BackendOrder, report: Reported) -> None:
         if order.state is not OrderState.REPORTING:
             return
-        self._expected[order.backend.id] = report.orders_taken
+        self._orders_taken[order.backend.id] = report.orders_taken
         if report.is_busy or report.stage == order.stage:
             self._change(now, order, OrderState.SWITCHING)
         else:
--- a/cranebank/control/voter.py
+++ b/cranebank/control/voter.py
@@ -182,7 +182,7 @@
         if value.age > self._value.age:
             self._set_value(value)
         self._on_durable.append(
-            ("value", self._sender_of(message.sender, ev.Stored(self._id, value.term, value.revision)))
+            ("value", self._deferred_send(message.sender, ev.Stored(self._id, value.term, value.revision)))
         )
 
     def _may_store(self, message: ev.Store) -> bool:
--- a/cranebank/control/warm_up.py
+++ b/cranebank/control/warm_up.py
@@ -109,10 +109,10 @@
         for backend in cold:
             share = self.share(backend.limit, controllers)
             if share > 0 and backend.id not in self._leased and backend.until - now >= MIN_COLD_S:
-                out += self._lease(now, backend, self._draw(links, share))
+                out += self._lease(now, backend, self._distribute(links, share))
         return out
 
-    def _draw(self, links: list[Hashable], count: int) -> Counter[Hashable]:
+    def _distribute(self, links: list[Hashable], count: int) -> Counter[Hashable]:
         """Distribute a number of permits over the links as evenly as possible, the remainder at random."""
         each, rest = divmod(count, len(links))
         drawn = Counter(dict.fromkeys(links, each) if each else {})
--- a/cranebank/control/web.py
+++ b/cranebank/control/web.py
@@ -36,9 +36,9 @@
         self._body = bytearray()
         self._head_bytes, self._head_done = 0, False
         self._call: Call | None = None
-        self._keep, self._closing_after = True, False
+        self._keep_alive, self._close_after_answer = True, False
         self._task: asyncio.Task[None] | None = None
-        self._held = bytearray()  # bytes of the next request, received while the present one is answered
+        self._next_request_bytes = bytearray()  # received while the present request is answered
         self._closing = False
         self.since = 0.0  # when the present request began, or the connection became idle
         self.in_request = False
@@ -60,8 +60,8 @@
         if self._closing:
             return
         if self._task is not None:
-            self._held += data
-            if len(self._held) > MAX_HEAD_BYTES and self._transport is not None:
+            self._next_request_bytes += data
+            if len(self._next_request_bytes) > MAX_HEAD_BYTES and self._transport is not None:
                 self._transport.pause_reading()
             return
         if not self.in_request:
@@ -85,7 +85,7 @@
 
     def eof_received(self) -> bool:
         """Close after the answer in progress, if any, as the client sends no more."""
-        self._closing_after = True
+        self._close_after_answer = True
         return self._task is not None
 
     def abort(self) -> None:
@@ -148,10 +148,10 @@
         if self._closing or self._call is None:
             return
         if self._task is not None:  # a second request in the same bytes: only one is served at a time
-            self._closing_after = True
+            self._close_after_answer = True
             return
         request = Request(self._method, self._path, self._argument, self._headers, bytes(self._body))
-        self._keep = bool(self._parser.should_keep_alive())
+        self._keep_alive = bool(self._parser.should_keep_alive())
         self._body, self._headers = bytearray(), {}
         self._task = background.start(self._answer(self._call, request))
 
@@ -162,7 +162,7 @@
         self._body = bytearray()
         self._head_bytes, self._head_done = 0, False
         self._call = None
-        self._keep, self._closing_after = True, False
+        self._keep_alive, self._close_after_answer = True, False
         self.in_request, self.since = False, self._server.now()
 
     async def _answer(self, call: Call, request: Request) -> None:
@@ -171,20 +171,21 @@
         except Exception:
             logger.opt(exception=True).error("{} {}", request.method, request.path)
             response = refusal(500, "internal")
-        keep = self._keep and not self._closing_after and not self._server.is_stopping
-        self._write(response, keep)  # nothing is awaited between the handler's last check of the lease and this write
+        keep_alive = self._keep_alive and not self._close_after_answer and not self._server.is_stopping
+        # Nothing is awaited between the handler's last check of the lease and this write.
+        self._write(response, keep_alive)
         self._task = None
-        if not keep:
+        if not keep_alive:
             self._close()
             return
         self._begin()
         if self._transport is not None:
             self._transport.resume_reading()
-        if self._held:
-            held, self._held = bytes(self._held), bytearray()
-            self.data_received(held)
+        if self._next_request_bytes:
+            data, self._next_request_bytes = bytes(self._next_request_bytes), bytearray()
+            self.data_received(data)
 
-    def _write(self, response: Response, keep: bool) -> None:
+    def _write(self, response: Response, keep_alive: bool) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         lines = [
@@ -193,7 +194,7 @@
             f"Content-Length: {len(response.body)}",
             *(f"{name}: {value}" for name, value in response.headers),
         ]
-        if not keep:
+        if not keep_alive:
             lines.append("Connection: close")
         self._transport.write("\r\n".join((*lines, "", "")).encode("latin-1") + response.body)
 
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -476,7 +476,7 @@
 
 def test_a_lease_counts_from_the_ask_and_less_the_margin() -> None:
     lease = HeldLease(1.2, 0.1)
-    number = lease.ask(5.0)
+    number = lease.new_request(5.0)
     lease.granted("a", number, 5.4)
     assert lease.until("abc") == float("-inf")
     lease.granted("b", number, 5.5)
@@ -550,7 +550,7 @@
     node = group.nodes[group.primary]
     node._acceptor.chosen = EpochRecord(9, 9, "nobody", (), SEEDS)
     with pytest.raises(InvariantBroken):
-        node._check()
+        node._check_invariants()
     assert Value(1, 9, b"", b"").age < Value(2, 1, b"", b"").age
 
 
--- a/tests/test_consensus_simulated.py
+++ b/tests/test_consensus_simulated.py
@@ -122,7 +122,10 @@
             )
             self._dirty.add("value")
             self._on_durable.append(
-                ("value", self._sender_of(message.sender, ev.Stored(self._id, message.record.term, message.revision)))
+                (
+                    "value",
+                    self._deferred_send(message.sender, ev.Stored(self._id, message.record.term, message.revision)),
+                )
             )
 
 
