--- a/cranebank/control/election.py
+++ b/cranebank/control/election.py
@@ -53,7 +53,7 @@
         copies, since it might not come back.
         """
         others = choose_by_zone(set(record.members) - {self._id}, [self._id], self._zones)
-        return (self._id, *others)[: self._target_copies(record)]
+        return (self._id, *others)[: self._copy_target(record)]
 
     def _step_down(self, reason: str, pause_s: float) -> None:
         self._no_campaign_before = self._now + pause_s
--- a/cranebank/control/primary.py
+++ b/cranebank/control/primary.py
@@ -107,9 +107,7 @@
         return holders | ({self._id} if self._value_durable else set())
 
     def _is_committable(self, leadership: Leadership, record: EpochRecord) -> bool:
-        return self._all_copies(record) <= self._holders(leadership) and len(record.copies) >= self._target_copies(
-            record
-        )
+        return self._all_copies(record) <= self._holders(leadership) and len(record.copies) >= self._copy_target(record)
 
     def _commit(self, leadership: Leadership) -> None:
         value = self._value
@@ -142,7 +140,7 @@
 
     def _replacement_copies(self, leadership: Leadership, record: EpochRecord, healthy: list[str]) -> list[str]:
         """Return the members that should become copies in place of the missing ones, best first."""
-        missing = self._target_copies(record) - len(healthy)
+        missing = self._copy_target(record) - len(healthy)
         if missing <= 0:
             return []
         fit = [
@@ -188,7 +186,7 @@
     def _changed_copies(self, leadership: Leadership, record: EpochRecord) -> EpochRecord | None:
         """Return the record with failed copies replaced by members that hold the value, never with fewer copies."""
         healthy = self._healthy_copies(record)
-        target = self._target_copies(record)
+        target = self._copy_target(record)
         if len(healthy) == len(record.copies) and len(healthy) >= target:
             return None
         holders = self._holders(leadership)
--- a/cranebank/control/replica.py
+++ b/cranebank/control/replica.py
@@ -269,7 +269,7 @@
         record = self._acceptor.chosen
         return record is not None and record.primary == self._id
 
-    def _target_copies(self, record: EpochRecord) -> int:
+    def _copy_target(self, record: EpochRecord) -> int:
         """Return the required number of copies: one more than may be lost, at most a majority of the members.
 
         A group that loses its majority cannot continue anyway, and with more copies a smaller loss would block writes.
--- a/tests/mutants_control.py
+++ b/tests/mutants_control.py
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "configurations go out without contact",
+        "configurations are published without contact with a majority",
         "control/delivery.py",
         "if not self._is_current(now, self.revision):",
         "if False:",
@@ -39,7 +39,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a controller that is behind publishes in contact",
+        "an outdated controller publishes while in contact",
         "programs/controller.py",
         "Delivery(settings.node_name, random, self._driver.is_current)",
         "Delivery(settings.node_name, random, lambda now, _: self._driver.in_contact(now))",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "callers are sent on to a primary that fell silent",
+        "callers are redirected to a silent primary",
         "programs/controller.py",
         "now - link.last_received_at < PRIMARY_HEARD_S",
         "link.up",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "callers are sent on without contact",
+        "callers are redirected without contact with a majority",
         "programs/controller.py",
         "or not self._driver.in_contact(now)",
         "or False",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a call is refused after the lease has run out",
+        "a call is refused after the lease has expired",
         "control/operator_api.py",
         "return response if self._plane.holds_lease() else self._redirect(request)",
         "return response",
@@ -79,7 +79,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "contact is counted from the receipt of an ask",
+        "contact is counted from the receipt of a lease request",
         "control/voter.py",
         "self._contact_at = max(self._contact_at, stamp.at)",
         "self._contact_at = self._now",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a primary is in contact before its value is settled",
+        "a primary is in contact before its value is committed",
         "control/voter.py",
         "(is_settled and self.holds_lease(now))",
         "self.holds_lease(now)",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a stamp of an earlier life counts as contact",
+        "a stamp of an earlier process counts as contact",
         "control/voter.py",
         "if stamp is None or stamp.incarnation != self._incarnation:",
         "if stamp is None:",
@@ -111,7 +111,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a follower that is behind passes for current",
+        "an outdated follower counts as current",
         "control/voter.py",
         "return self.in_contact(now) and revision >= self._newest_committed",
         "return self.in_contact(now)",
@@ -119,7 +119,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a primary without its lease vouches for the newest revision",
+        "a primary without its lease confirms the newest revision",
         "control/primary.py",
         "if committed is None or not self.holds_lease(self._now):",
         "if committed is None:",
@@ -127,7 +127,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a drain is taken back by a late heartbeat",
+        "a drain is revoked by a late heartbeat",
         "membership/backends.py",
         'if old.phase == "draining" and new.phase != "draining":',
         "if False:",
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "shares that sum to nothing pass",
+        "shares with a sum of zero are accepted",
         "control/configuration.py",
         'raise InvalidConfiguration("no_share"',
         'InvalidConfiguration("no_share"',
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a leave of a backend never heard of is told to nobody",
+        "the leave of an unknown backend is not reported",
         "control/registry.py",
         'self._apply(now, Backend(backend_id, "", "", "", "", 1, "gone", 0))',
         'return Backend(backend_id, "", "", "", "", 1, "gone", 0)',
@@ -175,7 +175,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a dial that is given up leaves its link up",
+        "an abandoned dial leaves its link up",
         "transport/links.py",
         "            link.abandon()",
         "            pass",
@@ -183,7 +183,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "actions that failed are passed over",
+        "failed actions are ignored",
         "programs/consensus_driver.py",
         """{!r}", error)
         self.broken.set()""",
@@ -203,7 +203,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a backend that takes no order is ordered for ever",
+        "a backend that accepts no order is ordered for ever",
         "control/stage_balancer.py",
         "self._candidates.count_not_taken(order.backend.id)",
         "pass",
@@ -211,7 +211,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "what a service needed before it was gone is kept",
+        "the need of a removed service is kept",
         "control/stage_balancer.py",
         "self._forget_services(by_service.keys())",
         "pass",
--- a/tests/mutants_evacuation.py
+++ b/tests/mutants_evacuation.py
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a finish is taken for done while the zone is evacuated",
+        "a finish counts as done while the zone is evacuated",
         "control/evacuation_queue.py",
         "if (zone in zones) == is_start}",
         "if (zone in zones) or not is_start}",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "of two changes of a zone the first one holds",
+        "of two changes of a zone the first one is applied",
         "control/evacuation_queue.py",
         "for waiting in self._waiting}",
         "for waiting in reversed(self._waiting)}",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a change that may be chosen is told as not taken up",
+        "a change that may be chosen is answered as not applied",
         "control/primary.py",
         "        leadership.evacuations.mark_proposed()\n",
         "",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a cut-off primary answers by the record that it knows",
+        "a cut-off primary answers from its own record",
         "control/consensus_replica.py",
         "            self._answer_evacuations(leadership, record)\n        self._send_stores",
         "        self._answer_evacuations(leadership, record)\n        self._send_stores",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "an ask to be admitted counts only where it shows the newest record",
+        "a Join request counts only if it shows the newest record",
         "control/voter.py",
         "message.epoch >= self._acceptor.members_since or",
         "message.epoch >= self._acceptor.epoch or",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "who links later learns of the backends before the evacuated zones",
+        "a proxy that links later learns of the backends before the evacuated zones",
         "control/delivery.py",
         "            if self.evacuations.number:  # ahead",
         "            if False:  # ahead",
@@ -79,7 +79,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "who is no primary evacuates a zone",
+        "a controller that is not the primary evacuates a zone",
         "control/operator_api.py",
         "            return self._redirect(request)\n        zone = unquote",
         "            pass\n        zone = unquote",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a zone that nobody names is evacuated",
+        "an unknown zone is evacuated",
         "control/operator_api.py",
         "if not self._plane.knows_zone(zone):",
         "if False:",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a proxy takes older evacuations",
+        "a proxy applies older evacuations",
         "dataplane/proxy.py",
         "if number > self.evacuation_number:",
         "if number != self.evacuation_number:",
@@ -111,7 +111,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "the last look before a request is sent overlooks evacuated zones",
+        "the last check before a request is sent ignores evacuated zones",
         "dataplane/candidates.py",
         "return not self.is_evacuated(record) or self.has_lost_contact()",
         "return True",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "the stage balancer is shown backends of evacuated zones",
+        "the stage balancer observes backends of evacuated zones",
         "programs/stage_balancer_driver.py",
         "        if not evacuated:\n            return records",
         "        if True:\n            return records",
--- a/tests/mutants_replication.py
+++ b/tests/mutants_replication.py
@@ -7,7 +7,7 @@
 REPLICATION_MUTANTS = (
     Mutant(
         Point.CUT_OFF,
-        "an end that another controller tells is acknowledged before it is on the disk",
+        "an end reported by another controller is acknowledged before it is on the disk",
         "programs/registry_service.py",
         "self._local_state.start_task(self._keep_and_acknowledge(link, sync.number))",
         "link.send(RegistryAck(sync.number))",
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "an end counts as held here before it is on the disk",
+        "an end counts as stored here before it is on the disk",
         "control/replication.py",
         "self._acknowledged = {own_ip: self.number}",
         "self._acknowledged = {own_ip: 1 << 60}",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "an end that was kept is not read again at the next start",
+        "a stored end is not loaded at the next start",
         "programs/local_state.py",
         "for key in (KNOWN, ENDED)",
         "for key in (KNOWN,)",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
-        "changes in a row keep a peer waiting that is behind",
+        "successive changes extend the delay of an outdated peer",
         "control/delivery.py",
         "if max(peer.revision, peer.sent) >= before:",
         "if True:",
@@ -39,7 +39,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "a call that may have been taken is refused",
+        "a call that may have been applied is refused",
         "control/operator_api.py",
         "if revision > 0 and self._plane.may_be_forgotten(revision):",
         "if False:",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "only the newest call is known again",
+        "only the newest call is recognised when repeated",
         "control/consensus_replica.py",
         "if current.calls.revision_of(write.digest) is not None:",
         "if write.digest == current.digest:",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "two changes on one base are taken",
+        "two changes on one base are accepted",
         "control/consensus_replica.py",
         "if write.base == current.revision < write.revision:",
         "if current.revision < write.revision:",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "a change is judged before the one before it is committed",
+        "a change is checked before the previous one is committed",
         "control/consensus_replica.py",
         "leadership.change is None and leadership.committed is self._value:",
         "leadership.change is None:",
@@ -79,7 +79,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "a call is known again before its value is committed",
+        "a repeated call is recognised before its value is committed",
         "control/primary.py",
         "return self._leadership.committed.calls.revision_of(digest)",
         "return self._value.calls.revision_of(digest)",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "the table does not tell what fell out",
+        "the table does not record what was evicted",
         "control/call_table.py",
         "return CallTable(calls[surplus:], calls[surplus - 1].revision)",
         "return CallTable(calls[surplus:], self.forgotten)",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "the last call that fell out is refused",
+        "the last evicted call is refused",
         "control/call_table.py",
         "return revision <= self.forgotten",
         "return revision < self.forgotten",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "a call that fell out of the table is refused by the replica",
+        "an evicted call is refused by the replica",
         "control/consensus_replica.py",
         "if current.calls.may_be_forgotten(write.revision):",
         "if False:",
@@ -111,7 +111,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "a change that the next primary may adopt is answered as not taken",
+        "a change that the next primary may adopt is answered as not applied",
         "control/replica.py",
         "self._actions.append(ev.Answer(leadership.change.request, ev.Unknown()))",
         "self._actions.append(ev.Answer(leadership.change.request, ev.NotPrimary(None)))",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a copy ends before it is relieved",
+        "a copy ends before another member has replaced it",
         "control/voter.py",
         "if self._id in record.copies and not all(self._is_leaving(member) for member in possible_replacements):",
         "if False:",
@@ -159,7 +159,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "that a replica is leaving is not heeded",
+        "a replica's Leaving message is ignored",
         "control/replica.py",
         'return self._now - self._leaving.get(replica, float("-inf")) < LEAVING_TTL_S',
         "return False",
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a replica tells only once that it is leaving",
+        "a replica sends only one Leaving message",
         "control/consensus_replica.py",
         "if self._is_retired and now >= self._next_leaving_at:",
         "if False:",
@@ -191,7 +191,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a member that holds a copy is taken out",
+        "a member that holds a copy is removed",
         "control/membership.py",
         "idle = [member for member in view.members if member not in view.copies]",
         "idle = list(view.members)",
@@ -231,7 +231,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a removed id goes on",
+        "a removed id stays in use",
         "control/voter.py",
         "                self._id = self._new_id()",
         "                pass",
@@ -239,7 +239,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "the zone that a controller tells is not kept",
+        "a controller's reported zone is not stored",
         "control/consensus_replica.py",
         "self._zones[event.ip] = event.zone",
         "pass",
--- a/tests/mutants_stages.py
+++ b/tests/mutants_stages.py
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a stage gives what it needs itself to one whose queue grows without end",
+        "a stage gives a backend that it needs itself to one whose queue grows without end",
         "control/stage_policy.py",
         "bound = 1.0 if is_unstable",
         "bound = 9.0 if is_unstable",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "no decode backend is kept to spare",
+        "no decode backend is kept in reserve",
         "control/stage_policy.py",
         "relied_on = max(count - SPARE_BACKENDS[stage], count / 2)",
         "relied_on = count",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a load that has not lasted moves a backend",
+        "a short load moves a backend",
         "control/stage_balancer.py",
         "(CONFIRM_S if need.is_urgent else CONFIRM_LOAD_S)",
         "0.0",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "proxies are not told when an order has come to nothing",
+        "proxies are not notified when an order has failed",
         "programs/stage_balancer_driver.py",
         "for name in self._held - held.keys():",
         "for name in ():",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a proxy that has fallen silent counts for ever",
+        "a silent proxy counts for ever",
         "control/load_table.py",
         "if now - report[0] <= LOAD_TTL_S",
         "if True",
@@ -119,7 +119,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an order for load holds up one without which nothing is served",
+        "an order for load blocks an urgent one",
         "control/stage_balancer.py",
         "return all(order.stage is not need.stage for order in in_progress)",
         "return not in_progress",
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a successor orders nobody for a while, whomever its predecessor ordered",
+        "a successor orders no backend for a while, whichever its predecessor ordered",
         "control/order_intents.py",
         "return now >= self._former_orders_until or (",
         "return now >= self._former_orders_until and (",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a successor orders at once whom its predecessor has just ordered",
+        "a successor orders at once the backends that its predecessor has just ordered",
         "control/order_intents.py",
         "self._former_orders is not None and backend not in self._former_orders\n",
         "True\n",
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "what became of a former primary's orders is not looked after",
+        "a former primary's orders are not followed up",
         "control/stage_balancer.py",
         "self._adopt_former_orders(now, observation)",
         "pass",
