--- a/cranebank/control/__init__.py
+++ b/cranebank/control/__init__.py
@@ -1,1 +1,1 @@
-"""Custody of the configuration, epochs, registry and delivery."""
+"""Control plane: consensus, epochs, the registry of backends, deliveries to proxies, and the APIs."""
--- a/cranebank/control/registry.py
+++ b/cranebank/control/registry.py
@@ -186,14 +186,14 @@
             del self._strays[backend_id]
             self._changed[backend_id] = newest
 
-    def heard(self, now: float, heard: Iterable[tuple[str, int, int]]) -> tuple[str, ...]:
+    def heard(self, now: float, heartbeats: Iterable[tuple[str, int, int]]) -> tuple[str, ...]:
         """Process heartbeats that another controller received: id, call_seq, age in ms.
 
         Returns the ids whose records that controller should send: those unknown here, or lost here although they send
         heartbeats.
         """
         requested: list[str] = []
-        for backend_id, call_seq, age_ms in heard:
+        for backend_id, call_seq, age_ms in heartbeats:
             old, at = self.records.get(backend_id), now - age_ms / 1000
             if old is None:
                 requested.append(backend_id)
@@ -212,13 +212,13 @@
 
     def pop_heard(self, now: float) -> tuple[tuple[str, int, int], ...]:
         """Return the heartbeats received here since the last call, to report to the other controllers."""
-        heard = tuple(
+        heartbeats = tuple(
             (backend_id, self.records[backend_id].call_seq, max(0, int((now - at) * 1000)))
             for backend_id, at in self._own.items()
             if backend_id in self.records
         )
         self._own.clear()
-        return heard
+        return heartbeats
 
     def expire(self, now: float, in_touch: bool = True) -> list[Backend]:
         """Mark backends without recent heartbeats as lost, and return their records.
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -230,10 +230,10 @@
 
     def _tick(self, process: Process) -> None:
         if process.machine.process is process:
-            self.tell(process, ev.Tick())
+            self.deliver(process, ev.Tick())
             self.at(self.random.uniform(TICK_S, TICK_S * 1.1), partial(self._tick, process))
 
-    def tell(self, process: Process, event: ev.Event) -> None:
+    def deliver(self, process: Process, event: ev.Event) -> None:
         machine = process.machine
         if machine.process is not process:
             return
@@ -249,7 +249,7 @@
         if process.machine.process is process and self.now >= process.machine.frozen_until:
             events, process.deferred_events = process.deferred_events, []
             for event in events:
-                self.tell(process, event)
+                self.deliver(process, event)
 
     def _check_state(self) -> None:
         holders = []
@@ -303,12 +303,12 @@
 
     def _arrive(self, sender: str, target: Machine, encoded: bytes) -> None:
         if target.process is not None and self.now >= target.cut_in_until:
-            self.tell(target.process, ev.Received(sender, _MESSAGE.decode(encoded)))
+            self.deliver(target.process, ev.Received(sender, _MESSAGE.decode(encoded)))
 
     def _links_down(self, ip: str) -> None:
         for machine in self.machines.values():
             if machine.ip != ip and machine.process is not None:
-                self.at(self.random.uniform(0.0003, 0.002), partial(self.tell, machine.process, ev.LinkDown(ip)))
+                self.at(self.random.uniform(0.0003, 0.002), partial(self.deliver, machine.process, ev.LinkDown(ip)))
 
     # Disks.
 
@@ -326,10 +326,10 @@
             return
         token, values = process.unsynced.popleft()
         if self.now < machine.refuses_until:
-            self.tell(process, ev.PersistFailed(token))
+            self.deliver(process, ev.PersistFailed(token))
         else:
             machine.disk.update(values)
-            self.tell(process, ev.Persisted(token))
+            self.deliver(process, ev.Persisted(token))
 
     def _end(self, machine: Machine) -> None:
         process, machine.process = machine.process, None
@@ -547,7 +547,7 @@
 
     def _retire_and_remove(self, machine: Machine) -> None:
         if machine.process is not None:
-            self.tell(machine.process, ev.Retire())
+            self.deliver(machine.process, ev.Retire())
         self._when_handed_over(machine.process, self.now + GRACE_S, partial(self._remove, machine))
 
     def _remove(self, machine: Machine) -> None:
@@ -561,7 +561,7 @@
     def _retire(self, machine: Machine) -> bool:
         if machine.process is None:
             return False
-        self.tell(machine.process, ev.Retire())
+        self.deliver(machine.process, ev.Retire())
         self._when_handed_over(machine.process, self.now + GRACE_S, partial(self._end_retired, machine))
         return True
 
@@ -648,7 +648,7 @@
         process = self.machines[ip].process
         if process is not None:
             write = ev.Write(request, attempt.base, attempt.revision, b"doc" + attempt.digest, attempt.digest)
-            self.at(self.random.uniform(0.001, 0.003), partial(self.tell, process, write))
+            self.at(self.random.uniform(0.001, 0.003), partial(self.deliver, process, write))
         return request
 
     def _answer(self, process: Process, action: ev.Answer) -> None:
--- a/tests/test_consensus_replica.py
+++ b/tests/test_consensus_replica.py
@@ -45,7 +45,7 @@
         if wipe:
             self.disks[ip] = {}
 
-    def tell(self, ip: str, event: ev.Event) -> None:
+    def deliver(self, ip: str, event: ev.Event) -> None:
         if ip in self.nodes:
             self._do(ip, self.nodes[ip].handle(self.now, event))
 
@@ -72,10 +72,10 @@
             due = [one for one in self.later if one[0] <= self.now + 1e-9]
             self.later = [one for one in self.later if one[0] > self.now + 1e-9]
             for _, ip, event in due:
-                self.tell(ip, event)
+                self.deliver(ip, event)
             if self.steps % 50 == 0:
                 for ip in list(self.nodes):
-                    self.tell(ip, ev.Tick())
+                    self.deliver(ip, ev.Tick())
 
     @property
     def primary(self) -> str:
@@ -85,7 +85,7 @@
 
     def write(self, request: int, base: int, revision: int, digest: bytes = b"", ip: str = "") -> None:
         digest = digest or b"d%d" % revision
-        self.tell(ip or self.primary, ev.Write(request, base, revision, b"doc%d" % revision, digest))
+        self.deliver(ip or self.primary, ev.Write(request, base, revision, b"doc%d" % revision, digest))
 
 
 def ready(ips: tuple[str, ...] = SEEDS) -> Group:
@@ -164,7 +164,7 @@
     group.write(1, 0, 3)
     group.run(0.05)
     old = group.primary
-    group.tell(old, ev.Retire())
+    group.deliver(old, ev.Retire())
     assert not group.primary
     group.run(0.3)
     assert group.primary not in ("", old)
@@ -304,13 +304,13 @@
     primary = group.nodes[group.primary]
     primary._group_size = group_size(99, is_counted_in_machines=False)
     for ip, zone in zones.items():
-        group.tell(group.primary, ev.ZoneReported(ip, zone))
+        group.deliver(group.primary, ev.ZoneReported(ip, zone))
     for ip in newcomers:
         group.start(ip)
     group.run(1.0)
     assert members(group) == SEEDS, "three of five would be in one zone"
     for number in range(1000):
-        group.tell(group.primary, ev.ZoneReported(f"10.9.{number}.1", "d"))
+        group.deliver(group.primary, ev.ZoneReported(f"10.9.{number}.1", "d"))
     assert zones.items() <= primary._zones.items() and len(primary._zones) < 100
 
 
@@ -373,7 +373,7 @@
     assert record is not None
     copy = next(ip for ip in record.copies if ip != group.primary)
     group.stop(copy)
-    group.tell(group.primary, ev.LinkDown(copy))
+    group.deliver(group.primary, ev.LinkDown(copy))
     group.write(1, 0, 3)
     group.run(0.1)
     assert group.answers == {1: ev.Accepted()}
@@ -404,7 +404,7 @@
     assert group.primary not in ("", old)
     group.stuck.clear()
     for token in list(group.nodes[old]._writes_in_flight):
-        group.tell(old, ev.PersistFailed(token))
+        group.deliver(old, ev.PersistFailed(token))
     group.run(1.0)
     assert not group.nodes[old]._writes_in_flight and group.primary not in ("", old)
 
@@ -432,7 +432,7 @@
     old = group.primary
     before = group.nodes[old].record
     assert before is not None
-    group.tell(old, ev.Retire())
+    group.deliver(old, ev.Retire())
     group.run(0.5)
     copy = group.nodes[group.primary]
     copy.handle(group.now, ev.Received(old, ev.Store(old, before, 9, b"late", b"late")))
@@ -505,7 +505,7 @@
         assert not node.in_contact(group.now)
         stamp = ev.Stamp(incarnation, group.now + 1000.0)
         record = node.record or record
-        group.tell(follower, ev.Received(record.primary, ev.AskLease(record.primary, record, 1, stamp, 0)))
+        group.deliver(follower, ev.Received(record.primary, ev.AskLease(record.primary, record, 1, stamp, 0)))
         assert node.in_contact(group.now) is is_own
 
 
--- a/tests/test_evacuation_record.py
+++ b/tests/test_evacuation_record.py
@@ -18,7 +18,7 @@
 
 
 def evacuate(group: Group, request: int, zone: str, is_start: bool = True, ip: str = "") -> None:
-    group.tell(ip or group.primary, ev.Evacuate(request, zone, is_start))
+    group.deliver(ip or group.primary, ev.Evacuate(request, zone, is_start))
 
 
 def evacuated(group: Group, ip: str = "") -> tuple[str, ...]:
@@ -171,7 +171,7 @@
 def test_intents_and_evacuations_keep_each_other() -> None:
     group = started(ready())
     ordered = (OrderIntent("i-1", "decode"),)
-    group.tell(group.primary, ev.SetIntents(ordered))
+    group.deliver(group.primary, ev.SetIntents(ordered))
     evacuate(group, 2, "b")
     group.run(0.2)
     status = group.nodes[group.primary].status(group.now)
--- a/tests/test_order_intents.py
+++ b/tests/test_order_intents.py
@@ -31,7 +31,7 @@
 def test_an_intent_is_known_to_every_successor() -> None:
     group = ready()
     first = group.primary
-    group.tell(first, ev.SetIntents(ORDERED))
+    group.deliver(first, ev.SetIntents(ORDERED))
     assert intents(group, first) == (), "not before it is durable at a majority"
     group.run(0.1)
     assert intents(group, first) == ORDERED
@@ -39,7 +39,7 @@
     group.run(3.0)
     assert group.primary not in {"", first}
     assert intents(group, group.primary) == ORDERED
-    group.tell(group.primary, ev.SetIntents(()))
+    group.deliver(group.primary, ev.SetIntents(()))
     group.run(0.1)
     assert intents(group, group.primary) == ()
 
@@ -48,9 +48,9 @@
     """The record without it may be chosen already, so a successor might not know of an order sent now."""
     group = ready()
     primary = group.primary
-    group.tell(primary, ev.SetIntents(ORDERED))
+    group.deliver(primary, ev.SetIntents(ORDERED))
     group.run(0.1)
-    group.tell(primary, ev.SetIntents(()))
+    group.deliver(primary, ev.SetIntents(()))
     assert intents(group, primary) == ()
 
 
@@ -58,19 +58,19 @@
     """The removal follows right after that change, so a successor might not know of an order sent now."""
     group = ready()
     primary = group.primary
-    group.tell(primary, ev.SetIntents(ORDERED))
+    group.deliver(primary, ev.SetIntents(ORDERED))
     group.run(0.1)
     node = group.nodes[primary]
     assert node.record is not None
     node._propose(node._next_record(node.record))  # a change of members or copies is under way
-    group.tell(primary, ev.SetIntents(()))
+    group.deliver(primary, ev.SetIntents(()))
     assert intents(group, primary) == ()
 
 
 def test_who_is_no_primary_records_nothing() -> None:
     group = ready()
     other = next(ip for ip in group.nodes if ip != group.primary)
-    group.tell(other, ev.SetIntents(ORDERED))
+    group.deliver(other, ev.SetIntents(ORDERED))
     group.run(0.5)
     assert {intents(group, ip) for ip in group.nodes} == {()}
 
@@ -78,7 +78,7 @@
 def test_intents_outlast_changes_of_copies_and_members() -> None:
     group = ready()
     primary = group.primary
-    group.tell(primary, ev.SetIntents(ORDERED))
+    group.deliver(primary, ev.SetIntents(ORDERED))
     group.run(0.1)
     epoch = group.nodes[primary].status(group.now).epoch
     copy = next(one for one in group.nodes[primary].status(group.now).copies if one != primary)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -77,12 +77,12 @@
     """Only its id is known here; its end overrides records that arrive later or exist at other controllers."""
     here, there = Registry(0, BEAT_S), Registry(0, BEAT_S)
     assert here.leave(2, "i").phase == "gone"
-    told = here.changes()
-    assert [(record.id, record.phase) for record in told] == [("i", "gone")]
+    reported = here.changes()
+    assert [(record.id, record.phase) for record in reported] == [("i", "gone")]
     known = there.heartbeat(1, "i", beat(5))
-    assert not there.has_ended(told)
-    there.merge(2, told)
-    assert there.has_ended(told)
+    assert not there.has_ended(reported)
+    there.merge(2, reported)
+    assert there.has_ended(reported)
     assert there.records["i"] == msgspec.structs.replace(known, phase="gone")
     here.merge(3, [known])
     assert phases(here) == {"i": "gone"}
@@ -168,10 +168,10 @@
     here.heartbeat(10, "i", beat(1))
     there.merge(110, here.changes())
     there.heartbeat(115, "i", beat(2))
-    told = there.pop_heard(115.4)
-    assert told == (("i", 2, 400),)
+    reported = there.pop_heard(115.4)
+    assert reported == (("i", 2, 400),)
     assert there.pop_heard(116) == ()
-    here.heard(15.4, told)
+    here.heard(15.4, reported)
     here.changes()
     here.merge(15.4, [msgspec.structs.replace(here.records["i"], phase="lost")])  # from one without that heartbeat
     assert [(record.phase, record.call_seq) for record in here.changes()] == [("ready", 2)]
@@ -217,10 +217,10 @@
     there.heartbeat(15, "j", beat(1, address="10.0.0.8:80"))
     assert [record.phase for record in here.expire(10.1 + LOST_S)] == ["lost"]
     assert here.heard(15.5, [("i", 1, 100)]) == ()
-    asks = here.heard(16.5, there.pop_heard(16.5))
-    assert asks == ("i", "j")
+    requested_ids = here.heard(16.5, there.pop_heard(16.5))
+    assert requested_ids == ("i", "j")
     assert here.wrong_losses == 1  # the heartbeat is older than the loss, so the loss was wrong
-    here.merge(16.7, there.records_of((*asks, "unknown")))
+    here.merge(16.7, there.records_of((*requested_ids, "unknown")))
     assert phases(here) == phases(there) == {"i": "ready", "j": "ready"}
     here.expire(16.7 + LOST_S + 1)
     there.heartbeat(30, "i", beat(3))
@@ -269,7 +269,7 @@
 def test_a_backend_that_a_proxy_was_told_to_be_lost_is_news_once_it_is_heard_anywhere() -> None:
     ready = PROXY_RECORDS[0]
 
-    def told() -> Registry:
+    def registry_with_stray() -> Registry:
         registry = Registry(0, BEAT_S)
         assert [
             record.phase for record in registry.merge_proxy_records(START_QUIET_S + 1, [ready], hears_all=True)
@@ -278,7 +278,7 @@
         registry.changes()
         return registry
 
-    by_news, by_heartbeat, by_record = told(), told(), told()
+    by_news, by_heartbeat, by_record = registry_with_stray(), registry_with_stray(), registry_with_stray()
     by_news.heard(START_QUIET_S + 3, [(ready.id, 9, 0)])
     by_heartbeat.heartbeat(START_QUIET_S + 3, ready.id, beat(9, address=ready.address))
     by_record.merge(START_QUIET_S + 3, [msgspec.structs.replace(ready, call_seq=9)])
@@ -397,8 +397,8 @@
     registry.heartbeat(1, "i", beat(1))
     registry.changes()
     registry.heartbeat(2, "i", beat(2, cold_left_ms=3000))
-    (told,) = registry.as_of(2.5, registry.changes())
-    assert told.cold_left_ms == 2500
+    (reported,) = registry.as_of(2.5, registry.changes())
+    assert reported.cold_left_ms == 2500
     registry.heartbeat(3.2, "i", beat(3, cold_left_ms=1850))
     assert registry.changes() == ()
     assert [record.cold_left_ms for record in registry.as_of(9, registry.all_records())] == [0]
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -51,7 +51,7 @@
 
 def leave(group: Group, ip: str) -> float:
     """Retire a process, end it when its replica may shut down, and return the seconds that this took."""
-    group.tell(ip, ev.Retire())
+    group.deliver(ip, ev.Retire())
     since = group.now
     while not group.nodes[ip].may_shut_down(group.now) and group.now < since + GRACE_S:
         group.run(0.02)
@@ -84,7 +84,7 @@
 
 def restarted(group: Group, victim: str) -> None:
     """Retire a process, and restart it on its disk."""
-    group.tell(victim, ev.Retire())
+    group.deliver(victim, ev.Retire())
     group.run(0.3)
     group.stop(victim)
     group.run(0.7)
@@ -150,7 +150,7 @@
     group = whole(1)
     copy, witness = victim_of(group, "copy"), victim_of(group, "witness")
     group.cut.add(witness)
-    group.tell(copy, ev.Retire())
+    group.deliver(copy, ev.Retire())
     group.run(2.0)
     assert not group.nodes[copy].may_shut_down(group.now)
     group.cut.clear()
@@ -158,7 +158,7 @@
     assert group.nodes[copy].may_shut_down(group.now)
     group = whole(1)
     for ip in SEEDS:
-        group.tell(ip, ev.Retire())
+        group.deliver(ip, ev.Retire())
     group.run(0.2)
     assert all(node.may_shut_down(group.now) for node in group.nodes.values())
 
@@ -167,7 +167,7 @@
     """It is replaced even by a newcomer that starts long after the retirement."""
     group = whole(1)
     leaving = victim_of(group, "witness")
-    group.tell(leaving, ev.Retire())
+    group.deliver(leaving, ev.Retire())
     group.run(2 * LEAVING_TTL_S)
     assert ip_of(group.nodes[leaving].id) in map(ip_of, record_of(group).members)
     group.start(NEW)
@@ -185,7 +185,7 @@
     standby = group.nodes[NEW].id
     node = group.nodes[group.primary]
     assert standby in node._newcomers(group.now)
-    group.tell(group.primary, ev.Received(NEW, ev.Leaving(standby)))
+    group.deliver(group.primary, ev.Received(NEW, ev.Leaving(standby)))
     assert standby not in node._newcomers(group.now)
 
 
@@ -198,7 +198,7 @@
     assert len(witnesses) == 2
     chosen = witnesses[place]
     for ip in sorted(group.nodes):
-        group.tell(group.primary, ev.ZoneReported(ip, "far" if ip == chosen else "near"))
+        group.deliver(group.primary, ev.ZoneReported(ip, "far" if ip == chosen else "near"))
     group.stop(victim_of(group, "copy"))
     group.run(2.0)
     copies = [ip_of(member) for member in record_of(group).copies]
@@ -238,7 +238,7 @@
     group = whole(1)
     leaving, next_copy = victim_of(group, "copy"), victim_of(group, "witness")
     primary = group.nodes[group.primary]
-    group.tell(leaving, ev.Retire())
+    group.deliver(leaving, ev.Retire())
     while primary._proposal is None:
         group.run(0.001)
         assert group.now < 10.0, "no other copy was proposed"
@@ -249,7 +249,7 @@
     assert 2 not in group.answers, "acknowledged without the next copy"
     group.stuck.clear()
     for token in list(group.nodes[next_copy]._writes_in_flight):
-        group.tell(next_copy, ev.PersistFailed(token))
+        group.deliver(next_copy, ev.PersistFailed(token))
     group.run(0.5)
     assert group.answers[2] == ev.Accepted()
     assert b"doc2" in group.disks[next_copy]["value"]
@@ -314,7 +314,7 @@
     old, copy = group.primary, victim_of(group, "copy")
     group.stop(copy)
     group.run(dead_s)
-    group.tell(old, ev.Retire())
+    group.deliver(old, ev.Retire())
     group.run(GRACE_S)
     assert group.primary not in ("", old)
     current = group.nodes[group.primary].current
@@ -341,12 +341,12 @@
 def test_a_member_that_left_and_is_back_relieves_a_copy_that_leaves() -> None:
     group = whole(1)
     witness, copy = victim_of(group, "witness"), victim_of(group, "copy")
-    group.tell(witness, ev.Retire())
+    group.deliver(witness, ev.Retire())
     group.run(0.1)
     group.stop(witness)
     group.start(witness)
     group.run(0.5)
-    group.tell(copy, ev.Retire())
+    group.deliver(copy, ev.Retire())
     assert not group.nodes[copy].may_shut_down(group.now)
     group.run(2.0)
     assert group.nodes[copy].may_shut_down(group.now) and copy not in record_of(group).copies
--- a/tests/test_restarts_over_changes.py
+++ b/tests/test_restarts_over_changes.py
@@ -62,9 +62,9 @@
             self.starts.append(watched)
             self._check_up_to_date(process)
 
-    def tell(self, process: Process, event: ev.Event) -> None:
+    def deliver(self, process: Process, event: ev.Event) -> None:
         """Pass an event to a process and check whether that has brought it up to date."""
-        super().tell(process, event)
+        super().deliver(process, event)
         self._check_up_to_date(process)
 
     def _check_up_to_date(self, process: Process) -> None:
