--- a/tests/test_stage_balancer.py
+++ b/tests/test_stage_balancer.py
@@ -83,7 +83,7 @@
                 self.recorded = {intent.backend: intent.stage for intent in intents}
         return actions
 
-    def handle(self, event: Event) -> list[Action]:
+    def deliver(self, event: Event) -> list[Action]:
         """Pass an event; if it is Connected, with the presently recorded intents."""
         if isinstance(event, Connected):
             event = replace(event, authority=replace(event.authority, recorded=self.recorded))
@@ -109,7 +109,7 @@
 
     def transmit(self) -> Transmit:
         """Wait until an order is sent."""
-        (found,) = self.handle(Connected(self.connect().number, self.authority))
+        (found,) = self.deliver(Connected(self.connect().number, self.authority))
         assert isinstance(found, Transmit)
         return found
 
@@ -128,11 +128,11 @@
     (connect,) = bench.pass_time(CONFIRM_S + OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-1"
-    (transmit,) = bench.handle(Connected(connect.number, PRIMARY))
+    (transmit,) = bench.deliver(Connected(connect.number, PRIMARY))
     assert isinstance(transmit, Transmit)
     order = transmit.order
     assert (order.order_kind, order.stage, order.owner, order.fence_no) == ("stage", "decode", "node-1", 7)
-    assert bench.handle(Answered(transmit.number, 202)) == []
+    assert bench.deliver(Answered(transmit.number, 202)) == []
     assert bench.pass_time(3.0) == []
     bench.put(backend("i-1", "decode", call_seq=9))
     assert bench.pass_time(3.0) == []
@@ -195,7 +195,7 @@
         action for action in bench.pass_time(REPORT_DELAY_S + OBSERVATION_INTERVAL_S) if isinstance(action, AskReport)
     ]
     for report in reports:
-        bench.handle(Reported(report.number, "prefill", False, 0))
+        bench.deliver(Reported(report.number, "prefill", False, 0))
     assert {report.backend.id for report in reports} == {"i-1", "i-2"}, "the outcome of the orders is requested at once"
     asked_s = REPORT_DELAY_S + OBSERVATION_INTERVAL_S
     assert bench.pass_time(TAKEOVER_WAIT_S - asked_s - OBSERVATION_INTERVAL_S) == []
@@ -208,7 +208,7 @@
     bench.recorded = {"i-1": "decode"}
     (report,) = bench.pass_time(REPORT_DELAY_S + OBSERVATION_INTERVAL_S)
     assert isinstance(report, AskReport)
-    assert bench.handle(Reported(report.number, "prefill", True, 1)) == []
+    assert bench.deliver(Reported(report.number, "prefill", True, 1)) == []
     assert set(bench.balancer.held(bench.now)) == {"i-1"}
     assert bench.pass_time(2 * TAKEOVER_WAIT_S) == []
     bench.put(backend("i-1", "decode", call_seq=9))
@@ -221,7 +221,7 @@
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     bench.recorded = {"i-1": "decode"}
     (report,) = bench.pass_time(REPORT_DELAY_S + OBSERVATION_INTERVAL_S)
-    bench.handle(Reported(report.number, "prefill", False, 0))
+    bench.deliver(Reported(report.number, "prefill", False, 0))
     (connect,) = bench.pass_time(CONFIRM_S + 2 * OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect) and connect.backend.id == "i-2"
     assert bench.now < 100.0 + TAKEOVER_WAIT_S
@@ -247,7 +247,7 @@
     bench.records_intents = True
     connect = bench.connect()
     bench.recorded = {"i-1": "prefill"}
-    assert bench.handle(Connected(connect.number, bench.authority)) == []
+    assert bench.deliver(Connected(connect.number, bench.authority)) == []
     assert bench.balancer.counts["abandoned"] == 1
     bench.check()
 
@@ -255,7 +255,7 @@
 def test_an_order_is_named_until_a_successor_s_could_not_follow_it_too_soon() -> None:
     bench = Bench(backend("i-1", "prefill"))
     transmit = bench.transmit()
-    bench.handle(Answered(transmit.number, 202))
+    bench.deliver(Answered(transmit.number, 202))
     bench.put(backend("i-1", "decode", call_seq=9))
     bench.pass_time(TAKEOVER_WAIT_S - OBSERVATION_INTERVAL_S)
     assert bench.state() is None
@@ -272,8 +272,8 @@
     bench.put(backend("i-3", "decode", "gone", 2))
     bench.authority = Authority(True, 4, 8)
     (connect,) = bench.pass_time(CONFIRM_S + 2 * OBSERVATION_INTERVAL_S)
-    (transmit,) = bench.handle(Connected(connect.number, bench.authority))
-    bench.handle(Answered(transmit.number, 400))
+    (transmit,) = bench.deliver(Connected(connect.number, bench.authority))
+    bench.deliver(Answered(transmit.number, 400))
     bench.authority = Authority(True, 9, 9)
     asked = bench.pass_time(TAKEOVER_WAIT_S - OBSERVATION_INTERVAL_S)
     assert not [action for action in asked if isinstance(action, Connect)]
@@ -285,7 +285,7 @@
 def test_an_order_is_abandoned_when_its_authority_is_gone_by_the_time_it_is_connected(authority: Authority) -> None:
     bench = Bench(backend("i-1", "prefill"))
     connect = bench.connect()
-    assert bench.handle(Connected(connect.number, authority)) == []
+    assert bench.deliver(Connected(connect.number, authority)) == []
     assert bench.state() is None
     assert bench.balancer.counts["abandoned"] == 1
 
@@ -294,13 +294,13 @@
     bench = Bench(backend("i-1", "prefill"))
     connect = bench.connect()
     bench.now += CONNECT_TIMEOUT_S + OBSERVATION_INTERVAL_S
-    assert bench.handle(Connected(connect.number, PRIMARY)) == []
+    assert bench.deliver(Connected(connect.number, PRIMARY)) == []
 
 
 def test_the_fence_of_an_order_is_the_newest_when_it_is_written() -> None:
     bench = Bench(backend("i-1", "prefill"))
     connect = bench.connect()
-    (transmit,) = bench.handle(Connected(connect.number, Authority(True, 4, 9)))
+    (transmit,) = bench.deliver(Connected(connect.number, Authority(True, 4, 9)))
     assert isinstance(transmit, Transmit)
     assert transmit.order.fence_no == 9
 
@@ -351,7 +351,7 @@
 @pytest.mark.parametrize("status", [200, 202])
 def test_an_order_that_was_taken_is_followed_until_a_later_heartbeat_shows_the_stage(status: int) -> None:
     bench = Bench(backend("i-1", "prefill", call_seq=5), backend("i-2", "prefill"))
-    bench.handle(Answered(bench.transmit().number, status))
+    bench.deliver(Answered(bench.transmit().number, status))
     assert bench.state() is OrderState.SWITCHING
     bench.put(backend("i-1", "decode", call_seq=6))
     bench.observe()
@@ -363,11 +363,11 @@
 def test_a_backend_that_refuses_is_passed_over(status: int) -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     first = bench.transmit()
-    bench.handle(Answered(first.number, status))
+    bench.deliver(Answered(first.number, status))
     (second,) = bench.pass_time(2 * OBSERVATION_INTERVAL_S)
     assert isinstance(second, Connect)
     assert second.backend.id == "i-2"
-    bench.handle(NotConnected(second.number))
+    bench.deliver(NotConnected(second.number))
     assert bench.pass_time(UNREACHABLE_BACKOFF_S - 2 * OBSERVATION_INTERVAL_S) == []
     (third,) = bench.pass_time(3 * OBSERVATION_INTERVAL_S)
     assert isinstance(third, Connect)
@@ -377,7 +377,7 @@
 
 def test_a_backend_that_refused_is_asked_again_in_the_end() -> None:
     bench = Bench(backend("i-1", "prefill"))
-    bench.handle(Answered(bench.transmit().number, 421))
+    bench.deliver(Answered(bench.transmit().number, 421))
     assert bench.pass_time(REFUSED_BACKOFF_S - 2 * OBSERVATION_INTERVAL_S) == []
     assert bench.pass_time(3 * OBSERVATION_INTERVAL_S)
 
@@ -385,11 +385,11 @@
 def test_a_fence_that_a_backend_refused_is_not_used_again() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     first = bench.transmit()
-    bench.handle(Answered(first.number, 412))
+    bench.deliver(Answered(first.number, 412))
     assert bench.pass_time(REFUSED_BACKOFF_S + 10.0) == [], "neither at this backend nor at any other"
     bench.authority = Authority(True, PRIMARY.term, PRIMARY.fence + 1)
     connect = bench.connect()
-    (order,) = bench.handle(Connected(connect.number, bench.authority))
+    (order,) = bench.deliver(Connected(connect.number, bench.authority))
     assert isinstance(order, Transmit) and order.order.fence_no == PRIMARY.fence + 1
     bench.check()
 
@@ -402,10 +402,10 @@
         bench.now += OBSERVATION_INTERVAL_S
         orders += bench.observe()
     assert isinstance(orders[0], Connect) and isinstance(orders[1], Connect)
-    (sent,) = bench.handle(Connected(orders[0].number, bench.authority))
+    (sent,) = bench.deliver(Connected(orders[0].number, bench.authority))
     assert isinstance(sent, Transmit)
-    bench.handle(Answered(orders[0].number, 412))
-    assert bench.handle(Connected(orders[1].number, bench.authority)) == []
+    bench.deliver(Answered(orders[0].number, 412))
+    assert bench.deliver(Connected(orders[1].number, bench.authority)) == []
     assert bench.balancer.counts["abandoned"] == 1
 
 
@@ -414,12 +414,12 @@
     """No order is sent again before the report: the first one may have been accepted."""
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     number = bench.transmit().number
-    bench.handle(Answered(number, status) if status else Unanswered(number))
+    bench.deliver(Answered(number, status) if status else Unanswered(number))
     assert bench.state() is OrderState.UNKNOWN
     assert bench.pass_time(REPORT_DELAY_S - OBSERVATION_INTERVAL_S) == []
     (ask,) = bench.pass_time(OBSERVATION_INTERVAL_S)
     assert ask == AskReport(number, bench.records["i-1"])
-    bench.handle(Reported(number, "prefill", True, 1))
+    bench.deliver(Reported(number, "prefill", True, 1))
     assert bench.state() is OrderState.SWITCHING
     bench.check()
 
@@ -427,9 +427,9 @@
 def test_an_order_that_was_not_taken_is_sent_again_with_the_count_that_was_reported() -> None:
     bench = Bench(backend("i-1", "prefill"))
     number = bench.transmit().number
-    bench.handle(Unanswered(number))
+    bench.deliver(Unanswered(number))
     bench.pass_time(REPORT_DELAY_S)
-    bench.handle(Reported(number, "prefill", False, 3))
+    bench.deliver(Reported(number, "prefill", False, 3))
     again = bench.transmit()
     assert again.number != number
     assert again.order.expected == 3
@@ -438,15 +438,15 @@
 def test_a_report_that_does_not_come_is_asked_for_again() -> None:
     bench = Bench(backend("i-1", "prefill"))
     number = bench.transmit().number
-    bench.handle(Unanswered(number))
+    bench.deliver(Unanswered(number))
     assert len(bench.pass_time(REPORT_DELAY_S)) == 1
-    bench.handle(Unreported(number))
+    bench.deliver(Unreported(number))
     assert len(bench.pass_time(REPORT_DELAY_S)) == 1
 
 
 def test_a_backend_that_says_nothing_for_long_lets_another_be_ordered() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
-    bench.handle(Answered(bench.transmit().number, 202))
+    bench.deliver(Answered(bench.transmit().number, 202))
     actions = bench.pass_time(SWITCH_S + DRAIN_TIMEOUT_S + REPORT_DELAY_S + 2 * OBSERVATION_INTERVAL_S)
     assert [type(action) for action in actions] == [Connect, AskReport]
     assert isinstance(actions[0], Connect) and actions[0].backend.id == "i-2"
@@ -456,7 +456,7 @@
 @pytest.mark.parametrize("phase", ["draining", "gone", "lost"])
 def test_a_backend_that_leaves_ends_its_order_and_another_is_ordered(phase: str) -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
-    bench.handle(Answered(bench.transmit().number, 202))
+    bench.deliver(Answered(bench.transmit().number, 202))
     bench.put(backend("i-1", "prefill", phase, 2))
     (connect,) = bench.pass_time(OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect) and connect.backend.id == "i-2"
@@ -474,7 +474,7 @@
         Reported(number, "prefill", True, 1),
         NotConnected(number),
     ):
-        assert bench.handle(event) == []
+        assert bench.deliver(event) == []
     assert bench.state() is None
     bench.check()
 
@@ -513,11 +513,11 @@
 def test_another_backend_is_ordered_where_one_never_takes_its_order() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     first = bench.connect()
-    (transmit,) = bench.handle(Connected(first.number, PRIMARY))
+    (transmit,) = bench.deliver(Connected(first.number, PRIMARY))
     assert isinstance(transmit, Transmit)
-    bench.handle(Answered(transmit.number, 503))
+    bench.deliver(Answered(transmit.number, 503))
     bench.pass_time(REPORT_DELAY_S)
-    bench.handle(Reported(transmit.number, "prefill", False, 0))
+    bench.deliver(Reported(transmit.number, "prefill", False, 0))
     assert bench.state() is None
     assert bench.connect().backend.id != first.backend.id
     bench.check()
@@ -529,12 +529,12 @@
     bench = Bench(backend("i-1", "prefill"))
     number = bench.transmit().number
     if late is Unreported:
-        bench.handle(Unanswered(number))
+        bench.deliver(Unanswered(number))
         bench.pass_time(REPORT_DELAY_S)
     bench.now += SWITCH_S + DRAIN_TIMEOUT_S + 1.0
     bench.observe()
     assert bench.state() is OrderState.UNKNOWN
-    bench.handle(late(number))
+    bench.deliver(late(number))
     assert bench.state() is OrderState.UNKNOWN
     bench.check()
 
@@ -572,7 +572,7 @@
     monkeypatch.setattr(StageBalancer, "_may_order", lambda *_: True)
     bench = Bench(backend("i-1", "prefill"))
     connect = bench.connect()
-    bench.handle(Connected(connect.number, Authority(False, 4, 5)))
+    bench.deliver(Connected(connect.number, Authority(False, 4, 5)))
     assert bench.balancer.violations["orders are sent under the lease only"] == 1
 
 
@@ -580,7 +580,7 @@
 def test_a_fence_that_falls_is_counted() -> None:
     bench = Bench(backend("i-1", "prefill"), backend("i-2", "prefill"))
     first = bench.transmit()
-    bench.handle(Answered(first.number, 421))
+    bench.deliver(Answered(first.number, 421))
     bench.authority = Authority(True, 4, 6)
     bench.transmit()
     assert bench.balancer.violations["the fence never falls"] == 1
@@ -626,10 +626,10 @@
     assert bench.balancer.held(bench.now) == {
         "i-2": pytest.approx(SWITCH_S + DRAIN_TIMEOUT_S, abs=2 * OBSERVATION_INTERVAL_S)
     }
-    (transmit,) = bench.handle(Connected(connect.number, PRIMARY))
+    (transmit,) = bench.deliver(Connected(connect.number, PRIMARY))
     assert isinstance(transmit, Transmit)
     assert transmit.order.stage == "prefill"
-    bench.handle(Answered(transmit.number, 202))
+    bench.deliver(Answered(transmit.number, 202))
     bench.put(backend("i-2", "prefill", call_seq=9))
     assert bench.pass_time(3 * CONFIRM_LOAD_S) == []
     assert bench.balancer.held(bench.now) == {}
@@ -676,9 +676,9 @@
 
 def take(bench: Bench, connect: Connect) -> None:
     """Let the backend accept its order and report the new stage in its next heartbeat."""
-    (transmit,) = bench.handle(Connected(connect.number, PRIMARY))
+    (transmit,) = bench.deliver(Connected(connect.number, PRIMARY))
     assert isinstance(transmit, Transmit)
-    bench.handle(Answered(transmit.number, 202))
+    bench.deliver(Answered(transmit.number, 202))
     bench.put(backend(connect.backend.id, transmit.order.stage, call_seq=9))
 
 
@@ -688,14 +688,14 @@
     bench.pass_time(TAKEOVER_WAIT_S + 1.0)
     bench.loads = {"s": StageLoad("s", 1.5, 0.6)}
     first = bench.connect()
-    (transmit,) = bench.handle(Connected(first.number, PRIMARY))
-    bench.handle(Answered(transmit.number, 202))
+    (transmit,) = bench.deliver(Connected(first.number, PRIMARY))
+    bench.deliver(Answered(transmit.number, 202))
     assert bench.state() is OrderState.SWITCHING
     bench.put(*(backend(one, "decode", "lost", 2) for one in ("i-3", "i-4")))
     (connect,) = bench.pass_time(CONFIRM_S + OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-1"
-    (transmit,) = bench.handle(Connected(connect.number, PRIMARY))
+    (transmit,) = bench.deliver(Connected(connect.number, PRIMARY))
     assert isinstance(transmit, Transmit)
     assert transmit.order.stage == "decode"
     assert bench.pass_time(1.0) == []  # one such order is enough
