--- a/cranebank/control/consensus_file.py
+++ b/cranebank/control/consensus_file.py
@@ -111,17 +111,17 @@
         raise ConsensusFileError(ConsensusFileCode.UNREADABLE, path, f"a readable file: {error.strerror}") from None
     except DamagedFile as damage:
         raise ConsensusFileError(
-            ConsensusFileCode.DAMAGED, path, f"whole records behind byte {damage.details['offset']}"
+            ConsensusFileCode.DAMAGED, path, f"complete records after byte {damage.details['offset']}"
         ) from None
     if not contents.values:
-        raise ConsensusFileError(ConsensusFileCode.NOT_CONSENSUS_FILE, path, "records of a controller's custody")
+        raise ConsensusFileError(ConsensusFileCode.NOT_CONSENSUS_FILE, path, "records of a controller's consensus file")
     return data, contents
 
 
 def _read_whole(path: Path) -> tuple[Contents, ConsensusFileContents]:
     data, contents = _read(path)
     if contents.good_length != len(data):
-        raise ConsensusFileError(ConsensusFileCode.DAMAGED, path, f"whole records behind byte {contents.good_length}")
+        raise ConsensusFileError(ConsensusFileCode.DAMAGED, path, f"complete records after byte {contents.good_length}")
     return contents, _contents_of(path, contents)
 
 
@@ -137,7 +137,7 @@
                 raise ConsensusFileError(ConsensusFileCode.DAMAGED, path, f"a configuration of revision {committed}")
     except (msgspec.MsgspecError, InvalidConfiguration) as error:
         raise ConsensusFileError(
-            ConsensusFileCode.NOT_CONSENSUS_FILE, path, f"a controller's custody: {error}"
+            ConsensusFileCode.NOT_CONSENSUS_FILE, path, f"records of a controller's consensus file: {error}"
         ) from None
     return ConsensusFileContents(
         values.get("id", b"").decode(), chosen.epoch if chosen is not None else -1, stored, committed, document
