--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -238,7 +238,9 @@
         if machine.process is not process:
             return
         if self.now < machine.frozen_until:
-            if not isinstance(event, ev.Tick) or not any(isinstance(one, ev.Tick) for one in process.deferred_events):
+            if not isinstance(event, ev.Tick) or not any(
+                isinstance(deferred, ev.Tick) for deferred in process.deferred_events
+            ):
                 process.deferred_events.append(event)
             return
         for action in process.replica.handle(machine.clock(self.now), event):
@@ -342,16 +344,16 @@
 
     def trouble(self, machine: Machine, until: float) -> None:
         machine.troubled_until = max(machine.troubled_until, until + CATCH_UP_S)
-        troubled = [one for one in self.machines.values() if self.now < one.troubled_until]
+        troubled = [node for node in self.machines.values() if self.now < node.troubled_until]
         if len(troubled) > self.tolerance:
             # More machines are lost than tolerated: no disk may be lost before all of these are back and in step.
             # Meanwhile there is no primary that could repair at once, so this takes the whole allowed time.
-            back_at = max(one.troubled_until for one in troubled)
+            back_at = max(node.troubled_until for node in troubled)
             self.beyond_tolerance_until = max(self.beyond_tolerance_until, back_at + ALLOWED_S - CATCH_UP_S)
 
     def may_lose(self, machine: Machine) -> bool:
         """Return whether the tolerance allows the loss of this machine's disk now."""
-        others = [one for one in self.machines.values() if one is not machine and self.now < one.troubled_until]
+        others = [node for node in self.machines.values() if node is not machine and self.now < node.troubled_until]
         return self.now > self.beyond_tolerance_until and len(others) < self.tolerance
 
     def fault(self) -> None:
@@ -462,7 +464,7 @@
 
     def _cut_pair(self, machine: Machine) -> bool:
         """Cut one machine off from another, one way or both, while both reach the rest."""
-        other = self.random.choice([one for one in self.machines.values() if one is not machine])
+        other = self.random.choice([node for node in self.machines.values() if node is not machine])
         until = self.now + self.random.choice([0.5, 3.0, 6.0]) * self.random.uniform(0.5, 1.5)
         ways = self.random.choice(["to", "from", "both", "both"])
         if ways != "from":
@@ -491,13 +493,13 @@
         record = primary.replica.record if primary is not None else None
         if primary is None or record is None or len(record.copies) < 2:
             return False
-        other = self.machines[ip_of(next(one for one in record.copies if one != primary.replica.id))]
+        other = self.machines[ip_of(next(copy for copy in record.copies if copy != primary.replica.id))]
         until = self.now + self.random.uniform(2.0, 4.0)
         primary.machine.cut_pairs[other.ip] = other.cut_pairs[primary.machine.ip] = until
         self.trouble(other, until)
-        for one in self.machines.values():
-            if one not in (primary.machine, other) and not one.is_removed:
-                self.at(self.random.uniform(1.2, 3.0), partial(self._inject, self._quick_restart, one))
+        for node in self.machines.values():
+            if node not in (primary.machine, other) and not node.is_removed:
+                self.at(self.random.uniform(1.2, 3.0), partial(self._inject, self._quick_restart, node))
         return True
 
     def _quick_restart(self, machine: Machine) -> bool:
@@ -575,25 +577,25 @@
             self.at(0.02, partial(self._when_handed_over, process, until, then))
 
     def _all_killed(self, machine: Machine) -> bool:
-        if not all(one.disk for one in self.machines.values() if not one.is_removed):
+        if not all(node.disk for node in self.machines.values() if not node.is_removed):
             return False  # before the first start is stored on all disks, this would be the loss of a majority of them
-        for one in self.machines.values():
-            if not one.is_removed:
-                self._end(one)
-                self._restart(one, self.random.uniform(0.05, 1.0))
+        for node in self.machines.values():
+            if not node.is_removed:
+                self._end(node)
+                self._restart(node, self.random.uniform(0.05, 1.0))
         return True
 
     def _final_power_loss(self, machine: Machine) -> bool:
         """All machines lose power, and as many lose their disks as tolerated."""
-        lost = self.random.sample([one for one in self.machines.values() if not one.is_removed], self.tolerance)
-        if self.now < CATCH_UP_S or any(self.now < one.troubled_until for one in self.machines.values()):
+        lost = self.random.sample([node for node in self.machines.values() if not node.is_removed], self.tolerance)
+        if self.now < CATCH_UP_S or any(self.now < node.troubled_until for node in self.machines.values()):
             return False
-        for one in self.machines.values():
-            self._end(one)
-            if one in lost:
-                one.disk = {}
-            if not one.is_removed:
-                self._restart(one, self.random.uniform(0.1, 1.0))
+        for node in self.machines.values():
+            self._end(node)
+            if node in lost:
+                node.disk = {}
+            if not node.is_removed:
+                self._restart(node, self.random.uniform(0.1, 1.0))
         return True
 
     def heal(self) -> None:
@@ -695,14 +697,14 @@
         self.run_until(self.now + RECOVER_S)
         process = self.primary()
         if process is None or process.replica.current is None:
-            raise Violation(f"no recovery: {[self._describe(one) for one in self.machines.values()]}")
+            raise Violation(f"no recovery: {[self._describe(node) for node in self.machines.values()]}")
         if self.judge.acks == acks:
             raise Violation("no write was acknowledged after the faults")
         record = process.replica.record
         assert record is not None
         if len(record.copies) < min(len(record.members), self.tolerance + 1):
             raise Violation(f"too few copies: {record}")
-        present = {one.process.replica.id for one in self.machines.values() if one.process is not None}
+        present = {node.process.replica.id for node in self.machines.values() if node.process is not None}
         wanted = max(3, 2 * self.tolerance + 1)
         if len(set(record.members) & present) < min(wanted, len(present)) or len(record.members) != wanted:
             raise Violation(f"{wanted} members wanted: {record} of {present}")
@@ -730,7 +732,7 @@
                 world.at(0.1, self.step)
                 return
             self.attempt = world.new_attempt(current[0])
-            other = next(one for one in world.operators if one is not self)
+            other = next(operator for operator in world.operators if operator is not self)
             if other.attempt is None and world.random.random() < 0.4:
                 other.attempt = world.new_attempt(current[0])
                 other.hint = process.machine.ip if process is not None else None
--- a/tests/test_restarts_over_changes.py
+++ b/tests/test_restarts_over_changes.py
@@ -88,7 +88,7 @@
         record = primary.replica.record if primary is not None else None
         if record is None:
             return None
-        present = {one.process.replica.id for one in self.machines.values() if one.process is not None}
+        present = {node.process.replica.id for node in self.machines.values() if node.process is not None}
         if process.replica.id not in record.members:
             return "spare" if present.issuperset(record.members) else None
         is_told = record == process.replica.record
@@ -99,10 +99,10 @@
         if self._is_over:
             return
         self.at(self.random.uniform(0.5, 2.0), self.fault)
-        if any(self.now < one.troubled_until for one in self.machines.values()):
+        if any(self.now < node.troubled_until for node in self.machines.values()):
             return
         primary = self.primary()
-        present = [one for one in self.machines.values() if not one.is_removed]
+        present = [node for node in self.machines.values() if not node.is_removed]
         machine = self.random.choice(present)
         faults: list[Callable[[Machine], bool]] = [self._kill, self._lose_power, self._wipe, self._replace]
         fault = self.random.choice(faults)
@@ -118,9 +118,9 @@
         primary = self.primary()
         record = primary.replica.record if primary is not None else None
         holding = {
-            one.process.replica.id
-            for one in self.machines.values()
-            if one.process is not None and one.process.replica.status(0.0).revision >= newest
+            node.process.replica.id
+            for node in self.machines.values()
+            if node.process is not None and node.process.replica.status(0.0).revision >= newest
         }
         if record is not None and len(holding & set(record.copies)) > self.tolerance:
             self.repairs_s.append(self.now - injected_at)
@@ -139,7 +139,7 @@
         self.trouble(machine, self.now + CATCH_UP_S)
         leave = self.random.choice([self._remove, self._retire_and_remove])
         self.at(self.random.uniform(0.5, 3.0), partial(leave, machine))
-        self.seeds = tuple(ip for ip, one in self.machines.items() if not one.is_removed and one is not machine)[:3]
+        self.seeds = tuple(ip for ip, node in self.machines.items() if not node.is_removed and node is not machine)[:3]
         return True
 
     def run(self) -> World:
@@ -158,13 +158,13 @@
 def test_a_member_restarted_wiped_or_replaced_is_in_step_from_one_message(seed: int) -> None:
     world = LongWorld(seed)
     world.run()
-    ended = [one for one in world.starts if one.took_s is not None]
-    cases = Counter(f"{one.case} {one.place}" for one in ended)
-    took = sorted(one.took_s or 0.0 for one in ended)
-    first = [one for one in world.starts if one.first_value is not None]
-    newest_missed = [one for one in first if one.began_with < one.newest]
+    ended = [start for start in world.starts if start.took_s is not None]
+    cases = Counter(f"{start.case} {start.place}" for start in ended)
+    took = sorted(start.took_s or 0.0 for start in ended)
+    first = [start for start in world.starts if start.first_value is not None]
+    newest_missed = [start for start in first if start.began_with < start.newest]
     cases |= Counter({"took a value after missing some": len(newest_missed)})
-    cases |= Counter({"took a value with an empty disk": sum(not one.began_with for one in newest_missed)})
+    cases |= Counter({"took a value with an empty disk": sum(not start.began_with for start in newest_missed)})
     repairs = sorted(world.repairs_s)
     print(seed, world.judge.acks, f"{world.now:.0f} s", dict(world.cases), dict(cases))
     print(f"in step: median {took[len(took) // 2]:.2f} s, longest {took[-1]:.2f} s of {len(took)}")
@@ -175,7 +175,7 @@
     assert took[-1] < CATCH_UP_S  # half of the shortest time that the operators' guide allows
     assert repairs[-1] < CATCH_UP_S
     # One message brought each member up to date: the first value that it received was not outdated.
-    assert [one.first_value for one in newest_missed if (one.first_value or 0) < one.newest] == []
+    assert [start.first_value for start in newest_missed if (start.first_value or 0) < start.newest] == []
     for fault in ("_kill", "_lose_power", "_wipe", "_replace"):
         assert world.cases[fault] and world.cases[f"{fault} of the primary"], fault
     assert cases["restarted copy"] and cases["restarted witness"]
