--- a/tests/test_evacuation_record.py
+++ b/tests/test_evacuation_record.py
@@ -1,4 +1,4 @@
-"""Evacuated zones in the replicated record: what was answered survives every fault that the group bears."""
+"""Evacuated zones in the replicated record: acknowledged changes survive every fault that the group tolerates."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from cranebank.control import events as ev
 from cranebank.control.epochs import DurableState, EpochRecord, OrderIntent
-from cranebank.control.evacuation_queue import MOST_WAITING, EvacuationQueue
+from cranebank.control.evacuation_queue import MAX_WAITING, EvacuationQueue
 
-FIRST = 1000  # the request of the evacuation that a story begins with
-LATER_S = 4.0  # in which whoever waits is answered
+FIRST_REQUEST = 1000  # request number of the evacuation that a test starts with
+ANSWER_LIMIT_S = 4.0  # within which every waiting call is answered
 
 
 def evacuate(group: Group, request: int, zone: str, is_start: bool = True, ip: str = "") -> None:
-    group.tell(ip or group.primary, ev.Evacuate(request, zone, is_start))
+    group.deliver(ip or group.primary, ev.Evacuate(request, zone, is_start))
 
 
 def evacuated(group: Group, ip: str = "") -> tuple[str, ...]:
@@ -30,12 +30,12 @@
 
 
 def started(group: Group, zone: str = "a") -> Group:
-    """A group that has just acknowledged an evacuation, with nothing more said between its controllers."""
-    evacuate(group, FIRST, zone)
-    assert FIRST not in group.answers, "not before it is durable at a majority"
-    while FIRST not in group.answers:
+    """Return a group that has just acknowledged an evacuation, before its controllers exchange further messages."""
+    evacuate(group, FIRST_REQUEST, zone)
+    assert FIRST_REQUEST not in group.answers, "not before it is durable at a majority"
+    while FIRST_REQUEST not in group.answers:
         group.run(0.001)
-    assert group.answers[FIRST] == ev.Accepted() and evacuated(group) == (zone,)
+    assert group.answers[FIRST_REQUEST] == ev.Accepted() and evacuated(group) == (zone,)
     return group
 
 
@@ -44,7 +44,7 @@
         group.stop(ip, wipe=ip in wiped)
     for ip in list(group.disks):
         group.start(ip)
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
 
 
 def test_an_acknowledged_evacuation_survives_the_loss_of_the_primary() -> None:
@@ -119,7 +119,7 @@
     group = ready()
     node = group.nodes[group.primary]
     assert node.record is not None
-    node._propose(node._next(node.record, evacuated=("a",), evacuation_number=1))
+    node._propose(node._next_record(node.record, evacuated=("a",), evacuation_number=1))
     evacuate(group, 1, "a", False)
     assert group.answers == {}, "the proposed record may be chosen already"
     group.run(0.2)
@@ -131,14 +131,14 @@
     primary = group.primary
     group.cut.add(primary)
     evacuate(group, 1, "a")
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert group.answers[1] == ev.Unknown(), "others may have accepted it"
     assert group.primary not in {"", primary}
     evacuate(group, 2, "a")
     group.run(0.2)
     assert group.answers[2] == ev.Accepted()
     group.cut.clear()
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert {evacuated(group, ip) for ip in group.nodes} == {("a",)}
 
 
@@ -153,7 +153,7 @@
     group.run(0.2)
     assert group.answers[2] == group.answers[3] == ev.Accepted()
     group.cut.clear()
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert {evacuated(group, ip) for ip in group.nodes} == {("b",)}
 
 
@@ -161,17 +161,17 @@
     group = ready()
     evacuate(group, 0, "a", ip=next(ip for ip in SEEDS if ip != group.primary))
     assert group.answers[0] == ev.NotPrimary(group.primary)
-    for request in range(1, MOST_WAITING + 3):
+    for request in range(1, MAX_WAITING + 3):
         evacuate(group, request, f"z{request}")
     assert [request for request, result in group.answers.items() if result == ev.Busy()] == [65, 66]
     group.run(0.5)
-    assert sum(result == ev.Accepted() for result in group.answers.values()) == MOST_WAITING
+    assert sum(result == ev.Accepted() for result in group.answers.values()) == MAX_WAITING
 
 
 def test_intents_and_evacuations_keep_each_other() -> None:
     group = started(ready())
     ordered = (OrderIntent("i-1", "decode"),)
-    group.tell(group.primary, ev.SetIntents(ordered))
+    group.deliver(group.primary, ev.SetIntents(ordered))
     evacuate(group, 2, "b")
     group.run(0.2)
     status = group.nodes[group.primary].status(group.now)
@@ -197,7 +197,7 @@
     after = queue.zones_after(zones)
     assert after == tuple(sorted(wanted))
     early = queue.take_done(zones)
-    assert queue.zones_after(zones) == after, "those that were taken out were done, or undone by a later one"
+    assert queue.zones_after(zones) == after, "the removed changes were done, or reverted by a later one"
     assert sorted(early + queue.take_done(after)) == list(range(len(steps)))
 
 
@@ -206,8 +206,8 @@
     queue.add(ev.Evacuate(1, "a", True), 1.0)
     queue.mark_proposed()
     queue.add(ev.Evacuate(2, "b", True), 1.5)
-    assert queue.take_late(0.9) == []
-    assert queue.take_late(2.0) == [(1, ev.Unknown()), (2, ev.Busy())]
+    assert queue.take_overdue(0.9) == []
+    assert queue.take_overdue(2.0) == [(1, ev.Unknown()), (2, ev.Busy())]
     assert queue.zones_after(()) == ()
 
 
@@ -228,8 +228,8 @@
     group.cut.add(primary)
     while group.nodes[primary].holds_lease(group.now):
         group.run(0.001)
-    assert group.nodes[primary].status(group.now).state == "primary", "until it looks at the time again"
+    assert group.nodes[primary].status(group.now).state == "primary", "until its next tick"
     evacuate(group, 2, "a", ip=primary)
     assert 2 not in group.answers
-    group.run(LATER_S)
+    group.run(ANSWER_LIMIT_S)
     assert group.answers[2] == ev.NotPrimary(None)
