--- a/cranebank/daemon.py
+++ b/cranebank/daemon.py
@@ -27,16 +27,23 @@
 from cranebank.http.connection_pool import ConnectionPool
 from cranebank.http.frontend import Frontend
 from cranebank.http.socket_state import readable, stop_accepting
-from cranebank.http.upstream import Directory, Upstream
+from cranebank.http.upstream import Upstream, UpstreamDirectory
 from cranebank.routing.subset import Subset, SubsetSpec, slot_from_name
 
 IDLE_MARGIN_MS = 1000.0  # idle connections are dropped this much before the host's machine would
-SPARE = 32  # the interpreter's own, the listener, discovery, and what is accepted before ``ClientConnections`` sees it
-KILLED_S, KILLED_MOST_S = 0.7, 3.0  # SIGKILL follows SIGTERM by the longest deadline, at most so long, and so much more
-KEPT = 0.6  # of that time clients' connections are kept: what comes last still has two fifths of it for its answer
-FAREWELL_S = 0.5  # before they end, each answer tells its client so: few are left to be ended unasked
+RESERVED_DESCRIPTORS = (
+    32  # the interpreter's own, the listener, discovery, and what is accepted before ``ClientConnections`` sees it
+)
+KILL_MARGIN_S, MAX_KILL_DEADLINE_S = (
+    0.7,
+    3.0,
+)  # SIGKILL follows SIGTERM by the longest deadline, at most so long, and so much more
+KEEP_SERVING_SHARE = (
+    0.6  # of that time clients' connections are kept: what comes last still has two fifths of it for its answer
+)
+CLOSE_NOTICE_S = 0.5  # before they end, each answer tells its client so: few are left to be ended unasked
 CROSSING_S = 0.05  # a request that crosses the end of its connection comes anew within so long
-ACCEPTS, BACKLOG = 16, 512  # taken in one turn of the loop; kept by the kernel until their turn
+ACCEPTS_PER_TURN, BACKLOG = 16, 512  # taken in one turn of the loop; kept by the kernel until their turn
 
 
 class Proxy:
@@ -47,13 +54,18 @@
         self._linger = config.layers.own.stop.linger_s  # new connections still come for 0.2 to 0.4 s
         clock, settings = Clock(asyncio.get_running_loop()), config.settings
         self._clock = clock
-        told = config.layers.own.door
-        times = ConnectionTimeouts(
-            round(told.request_s * 1e6), round(told.kept_idle_s * 1e6), round(told.most_idle_s * 1e6)
+        door = config.layers.own.door
+        timeouts = ConnectionTimeouts(
+            round(door.request_s * 1e6), round(door.kept_idle_s * 1e6), round(door.most_idle_s * 1e6)
         )
         idle = ms_to_us(max(100.0, settings.idle_after - IDLE_MARGIN_MS))
         self._pool = ConnectionPool(
-            self._links_at_most, config.memory // 8, idle, settings.connect_timeout / 1000.0, clock, self.counters
+            self._max_upstream_connections,
+            config.memory // 8,
+            idle,
+            settings.connect_timeout / 1000.0,
+            clock,
+            self.counters,
         )
         own = config.layers.own.subset
         subset = (
@@ -74,7 +86,7 @@
         def upstream(host: Host) -> Upstream:
             return Upstream(host, settings, self._pool, self._engine.post, clock, self.counters, log)
 
-        self._upstreams = Directory(upstream, self._engine.post)
+        self._upstreams = UpstreamDirectory(upstream, self._engine.post)
         self._table = RoutingTable(
             config.discovery, config.reader, self._engine.post, self.counters, log, settings.watch_by_asking
         )
@@ -84,18 +96,18 @@
             settings,
             config.classes,
             config.tenants,
-            self._clients_at_most,
-            times,
+            self._max_client_connections,
+            timeouts,
             clock,
             self.counters,
             log,
-            lambda: self._table.heard.is_set() and self._frontend.until is None,
+            lambda: self._table.heard.is_set() and self._frontend.answer_by is None,
         )
         self._connections = self._frontend.connections
         self._listener: asyncio.Server
         self._socket: socket.socket
-        self._tally = CounterLog(self.counters, self._beliefs, log)
-        self._tally.every(config.layers.own.log.tally_s)
+        self._counter_log = CounterLog(self.counters, self._beliefs, log)
+        self._counter_log.every(config.layers.own.log.tally_s)
 
     @property
     def places_taken(self) -> int:
@@ -109,14 +121,14 @@
             "links": self._pool.open,
         }
 
-    def _clients_at_most(self) -> int:
+    def _max_client_connections(self) -> int:
         # They leave a sixth of the descriptors to the hosts and room for those to grow, but have a third.
         sockets = self._config.sockets
-        return max(sockets // 3, sockets - SPARE - max(sockets // 6, self._pool.open + sockets // 16))
+        return max(sockets // 3, sockets - RESERVED_DESCRIPTORS - max(sockets // 6, self._pool.open + sockets // 16))
 
-    def _links_at_most(self) -> int:
+    def _max_upstream_connections(self) -> int:
         sockets = self._config.sockets
-        return min(sockets * 7 // 16, sockets - SPARE - self._connections.count)
+        return min(sockets * 7 // 16, sockets - RESERVED_DESCRIPTORS - self._connections.count)
 
     async def start(self) -> tuple[str, int]:
         """Listen; return the address, which matters where port 0 was asked for."""
@@ -124,14 +136,14 @@
         # Guards the descriptors against a flood: asyncio accepts ``backlog`` before ``ClientConnections`` sees any.
         loop = asyncio.get_running_loop()
         self._socket = sock
-        self._listener = await loop.create_server(self._connections, sock=sock, backlog=ACCEPTS)
+        self._listener = await loop.create_server(self._connections, sock=sock, backlog=ACCEPTS_PER_TURN)
         sock.listen(BACKLOG)
         self._table.start(self._config.known)
         address: tuple[str, int] = self._listener.sockets[0].getsockname()
         return address
 
     async def _close_listener(self) -> None:
-        for _ in range(BACKLOG // ACCEPTS):  # whom the kernel has let in is let in here, too
+        for _ in range(BACKLOG // ACCEPTS_PER_TURN):  # whom the kernel has let in is let in here, too
             if not any(map(readable, self._listener.sockets)):
                 break
             await asyncio.sleep(0)
@@ -142,13 +154,13 @@
                 await asyncio.get_running_loop().connect_accepted_socket(self._connections, client)
         self._listener.close()  # nothing is awaited since the last look
 
-    def reload(self, told: Config) -> None:
+    def reload(self, config: Config) -> None:
         """Take over what a running proxy can: the address of discovery (requests, legs and the list stay as
         they are), the log's settings and the time to linger."""
-        self._table.move(told.discovery)
-        self._log.set(told.layers.own.log)
-        self._tally.every(told.layers.own.log.tally_s)
-        self._linger = told.layers.own.stop.linger_s
+        self._table.set_address(config.discovery)
+        self._log.set(config.layers.own.log)
+        self._counter_log.every(config.layers.own.log.tally_s)
+        self._linger = config.layers.own.stop.linger_s
 
     async def stop(self, linger: float | None = None, keep: bool = False) -> None:
         """Go on accepting for a moment; finish what was taken.
@@ -162,26 +174,26 @@
         """
         self._log.info("stopping", clients=self._connections.count, owed=self._engine.unanswered_count)
         linger = self._linger if linger is None else linger
-        longest = max(kind.deadline for kind in self._config.settings.classes) / 1000.0
-        killed = min(longest, KILLED_MOST_S) + KILLED_S
-        self._frontend.until = self._clock.now() + round((killed - CROSSING_S) * 1e6)
+        max_deadline = max(kind.deadline for kind in self._config.settings.classes) / 1000.0
+        kill_after = min(max_deadline, MAX_KILL_DEADLINE_S) + KILL_MARGIN_S
+        self._frontend.answer_by = self._clock.now() + round((kill_after - CROSSING_S) * 1e6)
         self._frontend.closing = not keep
         await asyncio.sleep(linger)
         if keep:
             await self._close_listener()
-            await asyncio.sleep(KEPT * killed - linger - FAREWELL_S)
+            await asyncio.sleep(KEEP_SERVING_SHARE * kill_after - linger - CLOSE_NOTICE_S)
             self._frontend.closing = True
-            await asyncio.sleep(FAREWELL_S)
+            await asyncio.sleep(CLOSE_NOTICE_S)
             self._connections.dismiss()
         else:
             self._connections.dismiss()
             await asyncio.sleep(CROSSING_S)
             await self._close_listener()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._connections.emptied(), longest)
+            await asyncio.wait_for(self._connections.wait_until_empty(), max_deadline)
         await self._connections.shutdown(1.0)
         self._connections.stop()
-        self._tally.every(0.0)
+        self._counter_log.every(0.0)
         await self._table.close()
         await self._upstreams.close()
         self._pool.drop()
@@ -197,25 +209,25 @@
     make: Callable[[api.Settings, int], Decisions] = Balancer
 
 
-def _reload(proxy: Proxy, running: Config, started: Started, log: Log) -> None:
+def _reload(proxy: Proxy, current: Config, started: Started, log: Log) -> None:
     """Read everything again; apply what can be, name what needs a restart, or keep all as it was."""
     try:
         # GW_DISCOVERY is from the start: it must not mask the address that the file names now.
         environ = {name: value for name, value in started.environ.items() if name != "GW_DISCOVERY"}
-        told = load(environ, started.file, started.flags)
+        config = load(environ, started.file, started.flags)
     except ConfigError as error:
         log.error("reload_refused", error=str(error), said="kept the old settings")
         return
-    proxy.reload(told)
-    later = running.needs_restart(told)
-    log.info("reloaded", discovery=told.discovery, **({"needs_restart": ",".join(later)} if later else {}))
+    proxy.reload(config)
+    unapplied = current.needs_restart(config)
+    log.info("reloaded", discovery=config.discovery, **({"needs_restart": ",".join(unapplied)} if unapplied else {}))
 
 
-async def _run(config: Config, started: Started, asked: list[int]) -> None:
+async def _run(config: Config, started: Started, early_reloads: list[int]) -> None:
     # Guards the descriptor limit: past it accepting pauses and dials fail, which are outcomes, not crashes.
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = config.sockets if hard == resource.RLIM_INFINITY else min(config.sockets, hard)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
+    max_descriptors = config.sockets if hard == resource.RLIM_INFINITY else min(config.sockets, hard)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, hard))
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     log = Log(config.name, config.layers.own.log)
     logging.basicConfig(handlers=[Handler(log)], level=logging.WARNING)
@@ -223,7 +235,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, proxy, config, started, log)
-    if asked:  # while it started: what was read then may be older
+    if early_reloads:  # while it started: what was read then may be older
         loop.call_soon(_reload, proxy, config, started, log)
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(proxy.counters.text(), file=sys.stderr, flush=True))
     host, port = await proxy.start()
@@ -235,11 +247,11 @@
 
 def serve(started: Started) -> int:
     """Run one proxy until SIGTERM or SIGINT; return the exit code: 0, or 2 where it can't start so."""
-    asked: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: asked.append(number))  # until there is something to reload
+    early_reloads: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))  # until there is something to reload
     try:
         config = load(started.environ, started.file, started.flags)
-        asyncio.run(_run(config, started, asked))
+        asyncio.run(_run(config, started, early_reloads))
     except (ConfigError, OSError) as error:
         print(f"cranebank: {error}", file=sys.stderr)
         return 2
--- a/cranebank/discovery/listing.py
+++ b/cranebank/discovery/listing.py
@@ -20,7 +20,7 @@
 }
 
 
-LINE_BYTES = 4 << 20  # of one message, on a line or on many
+MAX_MESSAGE_BYTES = 4 << 20  # of one message, on a line or on many
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -28,29 +28,34 @@
     """Cuts what comes on a watch into messages: one on a line, or indented over many."""
 
     def __init__(self) -> None:
-        self._rest = b""  # of a line that has not ended
+        self._partial_line = b""  # of a line that has not ended
         self._lines: list[bytes] = []  # of a message that has not ended
         self._depth = self._size = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
         """The messages that ``data`` makes whole, each as JSON or the ValueError that it is none."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
-        if len(self._rest) + self._size > LINE_BYTES:
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        if len(self._partial_line) + self._size > MAX_MESSAGE_BYTES:
             raise ValueError("a message without end")
         for line in lines:
             if not line.strip():
                 continue  # nothing has changed
             # What begins at the margin begins anew: whatever was left open before it has no end any more.
             if self._lines and line[:1] not in b" \t}]":
-                yield self._whole()
+                yield self._take_message()
             self._lines.append(line)
             self._size += len(line)
-            bare = _STRING.sub(b"", line)
-            self._depth += bare.count(b"{") + bare.count(b"[") - bare.count(b"}") - bare.count(b"]")
+            without_strings = _STRING.sub(b"", line)
+            self._depth += (
+                without_strings.count(b"{")
+                + without_strings.count(b"[")
+                - without_strings.count(b"}")
+                - without_strings.count(b"]")
+            )
             if self._depth <= 0:
-                yield self._whole()
+                yield self._take_message()
 
-    def _whole(self) -> Any:
+    def _take_message(self) -> Any:
         text = b"\n".join(self._lines)
         self._lines, self._depth, self._size = [], 0, 0
         try:
@@ -75,20 +80,20 @@
         self._kinds = {name: index for index, name in enumerate(kinds)}
         self._zones = {name: index for index, name in enumerate(zones)}
 
-    def read(self, told: Any) -> Listing:
+    def read(self, message: Any) -> Listing:
         """Read one message; an entry that is malformed is skipped, a message that is raises ValueError."""
-        if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
+        if not isinstance(message, dict) or not isinstance(message.get("servers"), list):
             raise ValueError("expected an object with a list 'servers'")
-        version = told.get("version")
+        version = message.get("version")
         if not isinstance(version, int):
             raise ValueError(f"expected a whole number as 'version', got {version!r}")
         hosts, skipped = [], 0
-        for entry in told["servers"]:
+        for entry in message["servers"]:
             try:
                 hosts.append(self._host(entry))
             except (ValueError, TypeError, KeyError, AttributeError):
                 skipped += 1
-        return Listing(version, bool(told.get("full", False)), tuple(hosts), skipped)
+        return Listing(version, bool(message.get("full", False)), tuple(hosts), skipped)
 
     def _host(self, entry: dict[str, Any]) -> Host:
         state, server, address = _STATES[entry["state"]], entry["id"], entry.get("addr", "")
--- a/cranebank/http/client_connections.py
+++ b/cranebank/http/client_connections.py
@@ -11,10 +11,12 @@
 
 from cranebank.core.clock import Clock
 from cranebank.core.counters import Counters
-from cranebank.http.socket_state import gone, readable
+from cranebank.http.socket_state import peer_has_ended, readable
 
-SETTLING = 100_000  # whoever connects and has said nothing for so long may go first when all places are taken
-SWEEP_S = 0.25
+NEW_CONNECTION_GRACE_US = (
+    100_000  # whoever connects and has said nothing for so long may go first when all places are taken
+)
+SWEEP_INTERVAL_S = 0.25
 LINGER_S = 0.2  # the last answer is read, and no reset instead, by a client that sends on for so long
 LINGER_BYTES = 4 << 20  # and so much
 
@@ -22,12 +24,12 @@
 @dataclass(slots=True, frozen=True)
 class ConnectionTimeouts:
     """Microseconds: for a whole request, from connecting or from its first byte; a connection without a
-    request is never closed sooner than ``kept_idle``, nor kept for longer than ``most_idle``. Its time begins anew
+    request is never closed sooner than ``min_idle``, nor kept for longer than ``max_idle``. Its time begins anew
     while its client reads the last answer; a client that reads nothing is closed within twice that time."""
 
     request: int = 2_300_000
-    kept_idle: int = 2_000_000
-    most_idle: int = 15_000_000
+    min_idle: int = 2_000_000
+    max_idle: int = 15_000_000
 
 
 class LingeringClose(asyncio.Protocol):
@@ -38,13 +40,13 @@
 
     def __init__(self, handler: ClientConnection, transport: asyncio.Transport) -> None:
         self._handler, self._transport = handler, transport
-        self._left = LINGER_BYTES
+        self._remaining_bytes = LINGER_BYTES
         self._timer = asyncio.get_running_loop().call_later(LINGER_S, transport.close)
 
     def data_received(self, data: bytes) -> None:
         """What nobody asked for."""
-        self._left -= len(data)
-        if self._left < 0:
+        self._remaining_bytes -= len(data)
+        if self._remaining_bytes < 0:
             self._transport.abort()
 
     def pause_writing(self) -> None:
@@ -66,12 +68,12 @@
 
     def __init__(self, handler: ClientConnection, transport: asyncio.Transport) -> None:
         self._handler, self._transport = handler, transport
-        self._ending = False
+        self._is_lingering = False
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._transport, name)
 
-    def end(self) -> None:
+    def close_now(self) -> None:
         """End the connection at once, where no answer might be lost; a client that reads nothing is not waited for."""
         if self._transport.get_write_buffer_size():
             self._transport.abort()
@@ -79,9 +81,9 @@
 
     def close(self) -> None:
         """End the connection, the client's side last."""
-        if self._ending or self._transport.is_closing():
+        if self._is_lingering or self._transport.is_closing():
             return
-        self._ending = True
+        self._is_lingering = True
         try:
             self._transport.write_eof()
         except OSError:  # it is over already
@@ -105,7 +107,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Bytes of a request, or of the next one."""
-        self._connections.stirred(self)
+        self._connections.bytes_received(self)
         super().data_received(data)
 
 
@@ -115,21 +117,21 @@
     def __init__(
         self,
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
-        most: Callable[[], int],
-        times: ConnectionTimeouts,
+        max_connections: Callable[[], int],
+        timeouts: ConnectionTimeouts,
         clock: Clock,
         counters: Counters,
         request_factory: Any,
         **options: Any,
     ) -> None:
         super().__init__(handler, request_factory=request_factory, handler_cancellation=True)
-        self._most, self._times, self._clock = most, times, clock
+        self._max_connections, self._timeouts, self._clock = max_connections, timeouts, clock
         self._counters, self._options = counters, options
         self._transports: dict[web.RequestHandler, LingeringTransport] = {}
-        self._waited: dict[web.RequestHandler, int] = {}  # since when, the longest first
+        self._awaiting_request: dict[web.RequestHandler, int] = {}  # since when, the longest first
         self._idle: dict[web.RequestHandler, int] = {}
-        self._unsent: dict[web.RequestHandler, int] = {}  # bytes of the last answer, as of the last look
-        self._ahead: set[web.RequestHandler] = set()  # bytes of the next request came with one still open
+        self._unsent_bytes: dict[web.RequestHandler, int] = {}  # bytes of the last answer, as of the last look
+        self._pipelining: set[web.RequestHandler] = set()  # bytes of the next request came with one still open
         self._timer: asyncio.TimerHandle | None = None
         self._empty = asyncio.Event()
         self._empty.set()
@@ -140,9 +142,9 @@
         return len(self._transports)
 
     @property
-    def filling(self) -> bool:
+    def is_nearly_full(self) -> bool:
         """Places run short: whoever has an answer should not stay; those turned away come back at once."""
-        return 4 * self.count > 3 * self._most()
+        return 4 * self.count > 3 * self._max_connections()
 
     def __call__(self) -> web.RequestHandler:
         """The protocol of a new connection."""
@@ -155,11 +157,11 @@
         now = self._clock.now()
         self._transports[handler] = transport
         self._empty.clear()
-        self._waited[handler] = now
-        if self.count > self._most():
-            made = self._close_first(self._idle, now - self._times.kept_idle)
-            made = made or self._close_first(self._waited, now - SETTLING)
-            if not made:
+        self._awaiting_request[handler] = now
+        if self.count > self._max_connections():
+            has_made_room = self._close_oldest(self._idle, now - self._timeouts.min_idle)
+            has_made_room = has_made_room or self._close_oldest(self._awaiting_request, now - NEW_CONNECTION_GRACE_US)
+            if not has_made_room:
                 self._close(handler)
         if self._timer is None:
             self._sweep()
@@ -171,34 +173,34 @@
         if not self._transports:
             self._empty.set()
 
-    def stirred(self, handler: web.RequestHandler) -> None:
+    def bytes_received(self, handler: web.RequestHandler) -> None:
         """Bytes have come: an idle connection has a request on its way in and is not closed as idle."""
         if self._idle.pop(handler, None) is not None:
-            self._waited[handler] = self._clock.now()
-        elif handler in self._transports and handler not in self._waited:
-            self._ahead.add(handler)
+            self._awaiting_request[handler] = self._clock.now()
+        elif handler in self._transports and handler not in self._awaiting_request:
+            self._pipelining.add(handler)
 
-    def taken(self, handler: web.RequestHandler) -> None:
+    def request_received(self, handler: web.RequestHandler) -> None:
         """The whole request is in: from here the engine's limits hold."""
-        self._waited.pop(handler, None)
+        self._awaiting_request.pop(handler, None)
         self._idle.pop(handler, None)
-        self._ahead.discard(handler)
+        self._pipelining.discard(handler)
 
-    def answered(self, handler: web.RequestHandler) -> None:
+    def request_answered(self, handler: web.RequestHandler) -> None:
         """The answer is given."""
         if handler not in self._transports:
             return  # the client has left
-        self._waited.pop(handler, None)  # it may never have been taken
-        (self._waited if handler in self._ahead else self._idle)[handler] = self._clock.now()
-        self._ahead.discard(handler)
-        self._unsent.pop(handler, None)
+        self._awaiting_request.pop(handler, None)  # it may never have been taken
+        (self._awaiting_request if handler in self._pipelining else self._idle)[handler] = self._clock.now()
+        self._pipelining.discard(handler)
+        self._unsent_bytes.pop(handler, None)
 
-    def left(self, handler: web.RequestHandler) -> bool:
+    def client_left(self, handler: web.RequestHandler) -> bool:
         """Whether the client has gone. Its connection is closed then, should its end lie behind bytes not read yet."""
         transport = self._transports.get(handler)
         if transport is None or transport.is_closing():
             return True
-        if gone(transport.get_extra_info("socket")):
+        if peer_has_ended(transport.get_extra_info("socket")):
             self._close(handler)
             return True
         return False
@@ -213,7 +215,7 @@
             elif not readable(transport.get_extra_info("socket")):
                 self._close(handler)
 
-    async def emptied(self) -> None:
+    async def wait_until_empty(self) -> None:
         """Wait until no connection is open: all answers are out then, to the last byte."""
         await self._empty.wait()
 
@@ -224,20 +226,20 @@
 
     def _sweep(self) -> None:
         # One timer for all; input that is there already is read before it fires, so no request is overlooked.
-        now, crowded = self._clock.now(), 2 * self.count > self._most()
-        while self._close_first(self._waited, now - self._times.request):
+        now, is_half_full = self._clock.now(), 2 * self.count > self._max_connections()
+        while self._close_oldest(self._awaiting_request, now - self._timeouts.request):
             self._counters.add("requests_unfinished")
-        idle = self._times.kept_idle if crowded else self._times.most_idle
-        while self._close_first(self._idle, now - idle):
+        idle = self._timeouts.min_idle if is_half_full else self._timeouts.max_idle
+        while self._close_oldest(self._idle, now - idle):
             pass
-        self._timer = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
+        self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def _close_first(self, held: dict[web.RequestHandler, int], before: int) -> bool:
-        while held:
-            handler, since = next(iter(held.items()))
-            if since > before:
+    def _close_oldest(self, handlers: dict[web.RequestHandler, int], limit: int) -> bool:
+        while handlers:
+            handler, since = next(iter(handlers.items()))
+            if since > limit:
                 break
-            if held is self._idle and self._is_in_use(handler):
+            if handlers is self._idle and self._is_in_use(handler):
                 continue
             self._close(handler)
             return True
@@ -248,13 +250,13 @@
         seen, or its client has read of the last answer since the last look."""
         transport = self._transports[handler]
         if readable(transport.get_extra_info("socket")):
-            self.stirred(handler)
+            self.bytes_received(handler)
             return True
-        unsent, before = transport.get_write_buffer_size(), self._unsent.pop(handler, 0)
-        if unsent == before:
+        unsent, previous = transport.get_write_buffer_size(), self._unsent_bytes.pop(handler, 0)
+        if unsent == previous:
             return False
         if unsent:
-            self._unsent[handler] = unsent
+            self._unsent_bytes[handler] = unsent
         del self._idle[handler]
         self._idle[handler] = self._clock.now()
         return True
@@ -263,10 +265,10 @@
         self._counters.add("connections_closed")
         transport = self._transports[handler]
         self._forget(handler)
-        transport.end()
+        transport.close_now()
         handler.force_close()
 
     def _forget(self, handler: web.RequestHandler) -> None:
-        for held in (self._transports, self._waited, self._idle, self._unsent):
-            held.pop(handler, None)
-        self._ahead.discard(handler)
+        for handlers in (self._transports, self._awaiting_request, self._idle, self._unsent_bytes):
+            handlers.pop(handler, None)
+        self._pipelining.discard(handler)
--- a/cranebank/http/frontend.py
+++ b/cranebank/http/frontend.py
@@ -20,8 +20,8 @@
 from cranebank.http.upstream import HttpAnswer, HttpRequest
 
 READY, COUNTERS = "/-/ready", "/-/counters"
-DEADLINE_MARGIN = 5_000  # the answer must be back before the client gives up: its way, both times
-PASSED_ON = (
+DEADLINE_MARGIN_US = 5_000  # the answer must be back before the client gives up: its way, both times
+FORWARDED_HEADERS = (
     "X-Request-Id",
     "Idempotency-Key",
     "X-Class",
@@ -31,12 +31,12 @@
     "X-Extras",
     "Content-Type",
 )
-BODY_BYTES = 64 << 10
+MAX_BODY_BYTES = 64 << 10
 _ID = re.compile(r"[!-~]{1,200}")
 _TARGET = re.compile(r"/([!-.0->@-~]+)(?:[/?][!-~]*)?")  # the class, and what follows
 
 
-class Malformed(ValueError):
+class MalformedRequest(ValueError):
     """A request that gets 400 and no leg."""
 
 
@@ -50,7 +50,7 @@
         classes: tuple[str, ...],
         tenants: tuple[str, ...],
         connections: Callable[[], int],
-        times: ConnectionTimeouts,
+        timeouts: ConnectionTimeouts,
         clock: Clock,
         counters: Counters,
         log: Log,
@@ -60,17 +60,17 @@
         self._classes = {name: index for index, name in enumerate(classes)}
         self._tenants = {name: index for index, name in enumerate(tenants)}
         self._counters, self._log, self._ready, self._clock = counters, log, ready, clock
-        self._ids: set[str] = set()  # of the requests that are open
+        self._open_request_ids: set[str] = set()  # of the requests that are open
         self.closing = False  # no more of these connections is wanted: each answer is the last on its own
-        self.until: int | None = None  # microseconds of the clock by which all must be answered, once it stops
+        self.answer_by: int | None = None  # microseconds of the clock by which all must be answered, once it stops
         # Heads are held whole: 64 fields of 4 KiB at most.
         self.connections = ClientConnections(
             self.handle,
             connections,
-            times,
+            timeouts,
             clock,
             counters,
-            _request,
+            _make_request,
             access_log=None,
             keepalive_timeout=3600.0,
             lingering_time=LINGER_S,
@@ -84,9 +84,9 @@
         """Answer one request; cancelled when the client leaves."""
         response = await self._respond(request)
         # Whatever follows a request that could not be read is not to be trusted.
-        if self.closing or self.connections.filling or response.status in (400, 413):
+        if self.closing or self.connections.is_nearly_full or response.status in (400, 413):
             response.force_close()
-        self.connections.answered(request.protocol)
+        self.connections.request_answered(request.protocol)
         return response
 
     async def _respond(self, request: web.BaseRequest) -> web.Response:
@@ -97,7 +97,7 @@
         try:
             self._check(request)
             call = self._call(request, await request.read())
-        except Malformed as error:
+        except MalformedRequest as error:
             self._counters.add("requests_malformed")
             self._log.warning("request_malformed", error=str(error))
             return web.Response(status=400, text=f"{error}\n")
@@ -105,14 +105,14 @@
             self._counters.add("requests_malformed")
             self._log.warning("request_too_large", error=error.text or "")
             return web.Response(status=413, text=error.text)
-        self.connections.taken(request.protocol)
+        self.connections.request_received(request.protocol)
         return await self._answer(call, request.headers["X-Request-Id"])
 
     async def _answer(self, call: Call, name: str) -> web.Response:
-        if name in self._ids:  # looked up again: another may have come while the body was read
+        if name in self._open_request_ids:  # looked up again: another may have come while the body was read
             self._counters.add("requests_malformed")
             return web.Response(status=400, text="the id of a request that is open\n")
-        self._ids.add(name)
+        self._open_request_ids.add(name)
         answer = self._engine.submit(call)
         try:
             outcome = await answer
@@ -120,62 +120,62 @@
             self._engine.post(ClientLeft(answer))
             raise
         finally:
-            self._ids.discard(name)
+            self._open_request_ids.discard(name)
         match outcome:
             case Served(HttpAnswer(body, headers)):
                 return web.Response(status=200, body=body, headers=headers)
             case Declined(retry_after):
-                told = {"Retry-After": f"{retry_after / 1e6:.3f}"} if retry_after else {}
-                return web.Response(status=503, headers=told)
+                retry_headers = {"Retry-After": f"{retry_after / 1e6:.3f}"} if retry_after else {}
+                return web.Response(status=503, headers=retry_headers)
         return web.Response(status=502)
 
     def _check(self, request: web.BaseRequest) -> None:
         """Refuse what no usual client sends, before its body is read. Hosts close on what they can't read."""
-        headers, kind = request.headers, self._classes.get(request.headers.get("X-Class", ""))
-        if any(len(headers.getall(name, ())) > 1 for name in PASSED_ON):
-            raise Malformed("a field given twice")
+        headers, class_index = request.headers, self._classes.get(request.headers.get("X-Class", ""))
+        if any(len(headers.getall(name, ())) > 1 for name in FORWARDED_HEADERS):
+            raise MalformedRequest("a field given twice")
         if "Content-Length" in headers and "Transfer-Encoding" in headers:
-            raise Malformed("Content-Length and Transfer-Encoding")  # may hide another request in the body
+            raise MalformedRequest("Content-Length and Transfer-Encoding")  # may hide another request in the body
         if not _ID.fullmatch(headers.get("X-Request-Id", "")):
-            raise Malformed("no X-Request-Id, or none that can be read")
-        if kind is None:
-            raise Malformed(f"unknown X-Class {headers.get('X-Class')!r}")
+            raise MalformedRequest("no X-Request-Id, or none that can be read")
+        if class_index is None:
+            raise MalformedRequest(f"unknown X-Class {headers.get('X-Class')!r}")
         if self._tenants and headers.get("X-Tenant") not in self._tenants:
-            raise Malformed(f"unknown X-Tenant {headers.get('X-Tenant')!r}")
-        effect = self._settings.classes[kind].effect
+            raise MalformedRequest(f"unknown X-Tenant {headers.get('X-Tenant')!r}")
+        effect = self._settings.classes[class_index].effect
         if effect is Effect.KEYED and not headers.get("Idempotency-Key"):
-            raise Malformed("no Idempotency-Key, which the class needs")
+            raise MalformedRequest("no Idempotency-Key, which the class needs")
         if request.method != ("GET" if effect is Effect.SAFE else "POST"):
-            raise Malformed(f"method {request.method} does not go with the class")
+            raise MalformedRequest(f"method {request.method} does not go with the class")
         target = _TARGET.fullmatch(request.raw_path)
         if target is None or target[1] != headers["X-Class"]:
-            raise Malformed("expected a path that begins with the class as the request's target")
+            raise MalformedRequest("expected a path that begins with the class as the request's target")
         if effect is Effect.SAFE and request.body_exists:
-            raise Malformed("a body, which the class has not")
+            raise MalformedRequest("a body, which the class has not")
         length = request.content_length or 0
-        if length > BODY_BYTES:
-            raise web.HTTPRequestEntityTooLarge(BODY_BYTES, length)
+        if length > MAX_BODY_BYTES:
+            raise web.HTTPRequestEntityTooLarge(MAX_BODY_BYTES, length)
 
     def _call(self, request: web.BaseRequest, body: bytes) -> Call:
         headers, target = request.headers, request.raw_path
-        index = self._classes[headers["X-Class"]]
-        kind = self._settings.classes[index]
-        deadline = _whole(headers, "X-Deadline-Ms")
-        hint = _whole(headers, "X-Cost-Hint")
-        longest = ms_to_us(kind.deadline)  # whatever a client says: nothing is held for longer
-        wait = longest if deadline is None else min(deadline * 1000, longest)
-        if self.until is not None:  # who comes while the program stops is answered before it may be killed
-            wait = min(wait, max(0, self.until - self._clock.now()))
+        class_index = self._classes[headers["X-Class"]]
+        request_class = self._settings.classes[class_index]
+        deadline = _whole_number(headers, "X-Deadline-Ms")
+        hint = _whole_number(headers, "X-Cost-Hint")
+        max_wait = ms_to_us(request_class.deadline)  # whatever a client says: nothing is held for longer
+        wait = max_wait if deadline is None else min(deadline * 1000, max_wait)
+        if self.answer_by is not None:  # who comes while the program stops is answered before it may be killed
+            wait = min(wait, max(0, self.answer_by - self._clock.now()))
         return Call(
-            class_index=index,
+            class_index=class_index,
             tenant=self._tenants.get(headers.get("X-Tenant", ""), 0),
-            time_left=wait - DEADLINE_MARGIN,
+            time_left=wait - DEADLINE_MARGIN_US,
             content=HttpRequest(
                 request.method,
                 target,
-                {k: headers[k] for k in PASSED_ON if k in headers},
+                {k: headers[k] for k in FORWARDED_HEADERS if k in headers},
                 body,
-                partial(self.connections.left, request.protocol),
+                partial(self.connections.client_left, request.protocol),
             ),
             cost=None if hint is None else hint / 1000.0,
             resubmitted=headers.get("X-Retry") == "1",
@@ -183,16 +183,16 @@
         )
 
 
-def _request(message, payload, protocol, writer, task):  # type: ignore[no-untyped-def]
+def _make_request(message, payload, protocol, writer, task):  # type: ignore[no-untyped-def]
     return web.BaseRequest(
-        message, payload, protocol, writer, task, asyncio.get_running_loop(), client_max_size=BODY_BYTES
+        message, payload, protocol, writer, task, asyncio.get_running_loop(), client_max_size=MAX_BODY_BYTES
     )
 
 
-def _whole(headers: CIMultiDictProxy[str], name: str) -> int | None:
+def _whole_number(headers: CIMultiDictProxy[str], name: str) -> int | None:
     text = headers.get(name)
     if text is None:
         return None
     if not (text.isascii() and text.isdigit() and len(text) <= 12):
-        raise Malformed(f"{name}: expected a whole number, got {text[:40]!r}")
+        raise MalformedRequest(f"{name}: expected a whole number, got {text[:40]!r}")
     return int(text)
--- a/cranebank/http/socket_state.py
+++ b/cranebank/http/socket_state.py
@@ -9,22 +9,22 @@
 
 def readable(sock: Any) -> bool:
     """Whether bytes, an end or a new connection wait at a socket."""
-    return _found(sock, select.POLLIN)
+    return _poll(sock, select.POLLIN)
 
 
-def gone(sock: Any) -> bool:
+def peer_has_ended(sock: Any) -> bool:
     """Whether the peer has ended its side or all of it, be it behind bytes that nobody has read."""
-    return _found(sock, select.POLLRDHUP)
+    return _poll(sock, select.POLLRDHUP)
 
 
-def broken(sock: Any) -> bool:
+def is_reset_or_closed(sock: Any) -> bool:
     """Whether a connection was reset or is over both ways."""
-    return _found(sock, 0)  # POLLERR and POLLHUP are told unasked
+    return _poll(sock, 0)  # POLLERR and POLLHUP are told unasked
 
 
-def _found(sock: Any, asked: int) -> bool:
+def _poll(sock: Any, events: int) -> bool:
     poll = select.poll()
-    poll.register(sock.fileno(), asked)
+    poll.register(sock.fileno(), events)
     return bool(poll.poll(0))
 
 
--- a/cranebank/http/upstream.py
+++ b/cranebank/http/upstream.py
@@ -25,8 +25,8 @@
     UpstreamResponse,
 )
 
-PASSED_BACK = ("Content-Type", "Content-Encoding")
-_NAMES = LOAD_NAMES | {name: name for name in LOAD_NAMES.values()}  # the settings' names, and the header's
+RETURNED_HEADERS = ("Content-Type", "Content-Encoding")
+_LOAD_NAMES = LOAD_NAMES | {name: name for name in LOAD_NAMES.values()}  # the settings' names, and the header's
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
@@ -36,7 +36,7 @@
     target: str
     headers: dict[str, str]
     body: bytes
-    left: Callable[[], bool] = lambda: False
+    client_left: Callable[[], bool] = lambda: False
 
 
 class HttpAnswer(msgspec.Struct, frozen=True):
@@ -52,8 +52,8 @@
     try:
         for pair in text.strip().removeprefix("TEXT").split(","):
             name, _, value = pair.strip().partition("=")
-            if name in _NAMES:
-                load[_NAMES[name]] = float(value)
+            if name in _LOAD_NAMES:
+                load[_LOAD_NAMES[name]] = float(value)
     except ValueError:
         return None
     return load if load and all(isfinite(v) and v >= 0.0 for v in load.values()) else None
@@ -69,13 +69,13 @@
     """Message: ask the host for its load, or its health where there are no reports."""
 
 
-class Relisted(msgspec.Struct, frozen=True):
+class HostUpdate(msgspec.Struct, frozen=True):
     """Message: the routing table's last word on the host; None when it is gone."""
 
     host: Host | None
 
 
-Order = SendLeg | SendProbe | Relisted
+Order = SendLeg | SendProbe | HostUpdate
 
 
 class Upstream:
@@ -85,18 +85,18 @@
         self,
         host: Host,
         settings: api.Settings,
-        links: ConnectionPool,
-        tell: Callable[[Message], None],
+        pool: ConnectionPool,
+        notify_engine: Callable[[Message], None],
         clock: Clock,
         counters: Counters,
         log: Log,
     ) -> None:
         self._host: Host | None = host
-        self._settings, self._pool, self._tell = settings, links, tell
+        self._settings, self._pool, self._notify_engine = settings, pool, notify_engine
         self._clock, self._counters, self._log = clock, counters, log
         self._server, self._address = host.entry.server, host.address
         self._tasks: dict[Leg | SendProbe, asyncio.Task[None]] = {}
-        self._mailbox: Mailbox[Order] = Mailbox(self._take, log)
+        self._mailbox: Mailbox[Order] = Mailbox(self._receive, log)
         self.post = self._mailbox.post
 
     async def close(self) -> None:
@@ -115,16 +115,16 @@
         if leg in self._tasks:
             self._tasks[leg].cancel()
 
-    def _take(self, order: Order) -> None:
+    def _receive(self, order: Order) -> None:
         match order:
             case SendLeg(leg):
                 if not self._in_service:
-                    self._tell(LegEnded(leg, api.Outcome.MOOT))
+                    self._notify_engine(LegEnded(leg, api.Outcome.MOOT))
                 elif leg.outcome is None:
                     self._run(leg, self._send(leg))
             case SendProbe():
                 self._run(order, self._probe())
-            case Relisted(host):
+            case HostUpdate(host):
                 self._host = host
                 address = host.address if host is not None else ""
                 if host is None or (address and address != self._address):
@@ -142,24 +142,24 @@
         return self._host is not None and self._host.entry.state is api.ServerState.IN
 
     @property
-    def done(self) -> bool:
+    def is_retired(self) -> bool:
         """Gone from the list, with nothing out."""
         return self._host is None and not self._tasks
 
     async def _exchange(self, request: Callable[[], str], body: bytes, sent: Callable[[], None]) -> UpstreamResponse:
         """One request and its answer on a connection of its own; OSError means that it was not sent whole."""
-        link = await self._pool.take(self._server, self._address)
+        connection = await self._pool.take(self._server, self._address)
         try:
-            if link.address != self._address:
+            if connection.address != self._address:
                 raise ConnectionUnavailable("the host has moved")
             head = f"{request()}Host: {self._address}\r\n\r\n"
-            return await link.ask(head.encode("utf-8", "surrogateescape") + body, sent)
+            return await connection.exchange(head.encode("utf-8", "surrogateescape") + body, sent)
         except (ConnectionBroken, MalformedResponse) as error:
-            if link.sent:
+            if connection.sent:
                 raise
             raise ClosedBeforeSent(str(error)) from error
         finally:
-            self._pool.give_back(link)
+            self._pool.give_back(connection)
 
     async def _send(self, leg: Leg) -> None:
         request: HttpRequest = leg.content
@@ -172,7 +172,9 @@
                 raise ClosedBeforeSent("its time is up")
             if leg.outcome is not None or self._clock.now() >= leg.send_by:
                 raise ConnectionUnavailable("called off, or the window for repeats is over")
-            if request.left():  # its end may lie behind what is not read of it, or behind a long turn of the loop
+            if (
+                request.client_left()
+            ):  # its end may lie behind what is not read of it, or behind a long turn of the loop
                 raise ConnectionUnavailable("its client has left")
             left = max(0, leg.deadline - self._clock.now()) // 1000
             length = {"Content-Length": len(request.body)} if request.method != "GET" else {}
@@ -186,7 +188,7 @@
 
         ended = LegEnded(leg, api.Outcome.RESET)
         try:
-            ended = self._ended(leg, await self._exchange(head, request.body, sent))
+            ended = self._leg_ended(leg, await self._exchange(head, request.body, sent))
         except ConnectionUnavailable as error:
             ended = LegEnded(leg, api.Outcome.MOOT)  # never sent, and no fault of the host's
             self._log.warning("leg_no_room", host=self._server, error=str(error))
@@ -197,14 +199,14 @@
             self._log.warning("leg_broken", host=self._server, error=f"{type(error).__name__}: {error}")
         except Exception as error:  # whatever a peer can bring about, the leg has one outcome
             self._log.error("leg_fault", host=self._server, error=f"{type(error).__name__}: {error}")
-        self._tell(ended)
+        self._notify_engine(ended)
 
-    def _ended(self, leg: Leg, answer: UpstreamResponse) -> LegEnded:
+    def _leg_ended(self, leg: Leg, answer: UpstreamResponse) -> LegEnded:
         load = self._load(answer.headers.get("x-load"))
         if answer.status == 200:
-            found = {name: answer.headers.get(name.lower()) for name in PASSED_BACK}
-            told = {name: value for name, value in found.items() if value is not None}
-            return LegEnded(leg, api.Outcome.OK, load, HttpAnswer(answer.body, told))
+            found = {name: answer.headers.get(name.lower()) for name in RETURNED_HEADERS}
+            returned = {name: value for name, value in found.items() if value is not None}
+            return LegEnded(leg, api.Outcome.OK, load, HttpAnswer(answer.body, returned))
         if answer.status in (503, 504) and answer.headers.get("x-not-run") == "1":
             return LegEnded(leg, api.Outcome.FULL, load)
         return LegEnded(leg, api.Outcome.ERROR, load, is_request_fault=400 <= answer.status < 500)
@@ -212,7 +214,7 @@
     def _unproven(self, error: OSError) -> bool:
         """Guards a host that lives from passing for lost, and for cold afterwards: it ended a connection that
         was up (idle for too long, table full), or refuses a new one while another to it stands."""
-        unproven = isinstance(error, ClosedBeforeSent) or self._pool.standing(self._server)
+        unproven = isinstance(error, ClosedBeforeSent) or self._pool.has_live_connection(self._server)
         self._counters.add("connects_unproven", unproven)
         return unproven
 
@@ -244,21 +246,21 @@
             outcome, unproven = api.Outcome.CONNECT_FAILED, self._unproven(error)
         except (ConnectionBroken, MalformedResponse) as error:
             self._log.warning("probe_broken", host=self._server, error=f"{type(error).__name__}: {error}")
-        self._tell(ProbeEnded(self._server, outcome, self._clock.now() - sent, load, unproven))
+        self._notify_engine(ProbeEnded(self._server, outcome, self._clock.now() - sent, load, unproven))
 
 
-class Directory:
+class UpstreamDirectory:
     """The actors by host, made and retired as the routing table says."""
 
-    def __init__(self, make: Callable[[Host], Upstream], tell: Callable[[Message], None]) -> None:
-        self._make, self._tell = make, tell
+    def __init__(self, make: Callable[[Host], Upstream], notify_engine: Callable[[Message], None]) -> None:
+        self._make, self._notify_engine = make, notify_engine
         self._upstreams: dict[str, Upstream] = {}
         self._closing: set[asyncio.Task[None]] = set()
 
     def update(self, news: RoutingUpdate) -> None:
         """Make known to each actor what the routing table now says of its host."""
         # Before the news: whoever is named in it must not be retired for what was said before.
-        for server in [s for s, upstream in self._upstreams.items() if upstream.done]:
+        for server in [s for s, upstream in self._upstreams.items() if upstream.is_retired]:
             task = asyncio.get_running_loop().create_task(self._upstreams.pop(server).close())
             self._closing.add(task)
             task.add_done_callback(self._closing.discard)
@@ -266,11 +268,11 @@
         if news.kind in (api.ListKind.ALL, api.ListKind.REMEMBERED):
             for server, upstream in self._upstreams.items():
                 if server not in named:
-                    upstream.post(Relisted(None))
+                    upstream.post(HostUpdate(None))
         for host in news.hosts:
             gone = host.entry.state is api.ServerState.OUT
             if host.entry.server in self._upstreams:
-                self._upstreams[host.entry.server].post(Relisted(None if gone else host))
+                self._upstreams[host.entry.server].post(HostUpdate(None if gone else host))
             elif not gone:
                 self._upstreams[host.entry.server] = self._make(host)
 
@@ -279,7 +281,7 @@
         if leg.server in self._upstreams:
             self._upstreams[leg.server].post(SendLeg(leg))
         else:
-            self._tell(LegEnded(leg, api.Outcome.MOOT))
+            self._notify_engine(LegEnded(leg, api.Outcome.MOOT))
 
     def cancel(self, leg: Leg) -> None:
         """Call a leg off."""
@@ -291,7 +293,7 @@
         if server in self._upstreams:
             self._upstreams[server].post(SendProbe())
         else:
-            self._tell(ProbeEnded(server, api.Outcome.MOOT, 0))
+            self._notify_engine(ProbeEnded(server, api.Outcome.MOOT, 0))
 
     async def close(self) -> None:
         """Retire all."""
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -100,7 +100,7 @@
         raise KeyError("peer")
 
     async def run() -> None:
-        dialer = Dialer(_Nobody(), "127.0.0.1", "127.0.0.2", 7000)
+        dialer = Dialer(_IgnoringOwner(), "127.0.0.1", "127.0.0.2", 7000)
         async with asyncio.timeout(5.0):
             while attempts < 3:
                 await asyncio.sleep(0.01)
@@ -111,7 +111,7 @@
     assert violations()[UNHANDLED] >= 2
 
 
-class _Nobody:
+class _IgnoringOwner:
     """An owner of links that wants to hear nothing."""
 
     def link_up(self, link: Link) -> None:
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -11,7 +11,7 @@
 HEAD = b"POST /order HTTP/1.1\r\nHost: x\r\n" + b"".join(
     b"%s: %s\r\n" % (name.encode(), value.encode()) for name, value in request_headers("order").items()
 )
-WHOLE = HEAD + b"Content-Length: 2\r\n\r\nok"
+WHOLE_REQUEST = HEAD + b"Content-Length: 2\r\n\r\nok"
 
 
 async def connected(s: ProxyHarness) -> tuple[Reader, Writer]:
@@ -32,7 +32,7 @@
     own = ("door.kept_idle_s=0.1", "door.request_s=0.3", "door.most_idle_s=0.3")
 
     async def story(s: ProxyHarness) -> None:
-        for before in (b"", WHOLE):  # on a fresh connection, and on one that has had an answer
+        for before in (b"", WHOLE_REQUEST):  # on a fresh connection, and on one that has had an answer
             reader, writer = await connected(s)
             if before:
                 writer.write(before)
@@ -52,9 +52,9 @@
         (HEAD + b"Content-Length: 60000000\r\n\r\n", 413),
         (HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nok", 400),
         (HEAD + b"X-Class: look\r\nContent-Length: 2\r\n\r\nok", 400),
-        (WHOLE.replace(b"POST", b"GET"), 400),
-        (WHOLE.replace(b"/order", b"/look"), 400),
-        (WHOLE.replace(b"9b1f03aa", b"9b1f\xe903aa"), 400),
+        (WHOLE_REQUEST.replace(b"POST", b"GET"), 400),
+        (WHOLE_REQUEST.replace(b"/order", b"/look"), 400),
+        (WHOLE_REQUEST.replace(b"9b1f03aa", b"9b1f\xe903aa"), 400),
         (HEAD + b"X: 1\r\n" * 80 + b"\r\n", 400),
     ],
     ids=["both lengths", "60 MB", "two lengths", "two classes", "method", "path", "id", "fields"],
@@ -93,7 +93,7 @@
 def test_a_flood_takes_no_more_than_the_clients_share_and_the_usual_clients_are_served(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("cranebank.http.client_connections.SETTLING", 0)
+    monkeypatch.setattr("cranebank.http.client_connections.NEW_CONNECTION_GRACE_US", 0)
 
     async def story(s: ProxyHarness) -> None:
         flood = [await connected(s) for _ in range(60)]
@@ -111,7 +111,7 @@
         kept = []
         for _ in range(40):
             reader, writer = await connected(s)
-            writer.write(WHOLE)
+            writer.write(WHOLE_REQUEST)
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
             kept.append((reader, writer))
         await kept[0][0].read()  # the longest idle goes
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -29,11 +29,11 @@
 KEYED = {"MaxAttempts": 2, "lane": {"RepeatWindow": float(WINDOW_MS)}}
 
 
-class Held:
-    """Holds each dial from the ``after``-th on, once it is up, until ``let_go`` is set."""
+class HeldDials:
+    """Holds each dial from the ``after``-th on, once it is up, until ``release`` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, after: int = 1) -> None:
-        self.let_go, self.dials, self.links = asyncio.Event(), 0, list[UpstreamConnection]()
+        self.release, self.dials, self.links = asyncio.Event(), 0, list[UpstreamConnection]()
         whole = ConnectionPool.take
 
         async def take(links: ConnectionPool, host: str, address: str) -> UpstreamConnection:
@@ -42,7 +42,7 @@
             if self.dials >= after:
                 self.links.append(link)
                 try:
-                    await self.let_go.wait()
+                    await self.release.wait()
                 except BaseException:
                     links.give_back(link)
                     raise
@@ -51,13 +51,13 @@
         monkeypatch.setattr(ConnectionPool, "take", take)
 
 
-async def read_out(s: ProxyHarness, *hosts: UpstreamHost) -> None:
+async def drain_hosts(s: ProxyHarness, *hosts: UpstreamHost) -> None:
     """End the idle connections to the hosts, and go on once these have read all that there was."""
     s.proxy._pool.drop()
     await until(lambda: all(host.ended == host.connections for host in hosts))
 
 
-async def repeat_dialled(s: ProxyHarness, held: Held) -> tuple[asyncio.Future[Any], int]:
+async def repeat_dialled(s: ProxyHarness, held: HeldDials) -> tuple[asyncio.Future[Any], int]:
     """A keyed request whose first leg was answered by an error and whose repeat is being dialled; the first of so many
     requests that came so far: a machine that stands still may let a window pass before its repeat is decided."""
     asks = 0
@@ -69,7 +69,7 @@
             return asked, asks
 
 
-async def past(s: ProxyHarness, moment: int) -> None:
+async def wait_past(s: ProxyHarness, moment: int) -> None:
     """Go on once the proxy's clock has passed ``moment``, in microseconds."""
     while s.proxy._clock.now() <= moment:
         await asyncio.sleep(0.01)
@@ -82,11 +82,11 @@
     hosts = [UpstreamHost(lambda _: answer(500)) for _ in range(2)]
 
     async def story(s: ProxyHarness) -> None:
-        held = Held(monkeypatch, after=2)
+        held = HeldDials(monkeypatch, after=2)
         asked, asks = await repeat_dialled(s, held)
         if late:
-            await past(s, s.proxy._clock.now() + WINDOW_MS * 1000)
-        held.let_go.set()
+            await wait_past(s, s.proxy._clock.now() + WINDOW_MS * 1000)
+        held.release.set()
         assert (await asked)[0] == 503
         assert s.proxy.counters["legs_moot"] == late
         assert sum(len(host.requests) for host in hosts) == asks + (not late)
@@ -94,7 +94,7 @@
     play(tmp_path, story, *hosts, **KEYED if late else {"MaxAttempts": 2})
 
 
-def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
+def shrink_send_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
     """Leave a request of 64 KB no room in the kernel: part of it is written, the rest waits for the host to read."""
     made = UpstreamConnection.connection_made
 
@@ -110,7 +110,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, kind: str
 ) -> None:
     """The repeat of a keyed request at the end of its window; an unsafe one at its client's deadline."""
-    narrow(monkeypatch)
+    shrink_send_buffer(monkeypatch)
     firsts = list[bool]()  # the first host that is asked answers, the next one does not read
     hosts = [
         UpstreamHost(lambda _: answer(500), reads=lambda _: bool(firsts and firsts.pop()), room=4096) for _ in range(2)
@@ -126,7 +126,7 @@
         assert s.proxy.counters[ends] >= 1
         for host in hosts:
             host.go_on.set()
-        await read_out(s, *hosts)
+        await drain_hosts(s, *hosts)
         assert sum(len(host.requests) for host in hosts) <= asks * (kind == "order")
 
     play(tmp_path, story, *hosts, **KEYED)
@@ -138,12 +138,12 @@
     hosts = [UpstreamHost(lambda _: answer(500)) for _ in range(2)]
 
     async def story(s: ProxyHarness) -> None:
-        held = Held(monkeypatch, after=2)
+        held = HeldDials(monkeypatch, after=2)
         asked, asks = await repeat_dialled(s, held)
         end = time.monotonic() + WINDOW_MS / 1000
         while time.monotonic() < end:  # the loop stands still: the alarm is due, and behind the dial
             pass
-        held.let_go.set()
+        held.release.set()
         assert (await asked)[0] == 503
         assert sum(len(host.requests) for host in hosts) == asks
 
@@ -158,16 +158,16 @@
     hosts = [UpstreamHost(), UpstreamHost()]
 
     async def story(s: ProxyHarness) -> None:
-        held = Held(monkeypatch)
+        held = HeldDials(monkeypatch)
         ended = s.proxy._engine._rules._leg_ended
 
-        def let_go(message: LegEnded) -> None:
-            held.let_go.set()  # the dial is up in the turn in which its leg is called off
+        def release(message: LegEnded) -> None:
+            held.release.set()  # the dial is up in the turn in which its leg is called off
             ended(message)
 
-        monkeypatch.setattr(s.proxy._engine._rules, "_leg_ended", let_go)
+        monkeypatch.setattr(s.proxy._engine._rules, "_leg_ended", release)
         assert (await s.ask(kind, {"X-Deadline-Ms": "100"}))[0] == 503
-        await read_out(s, *hosts)
+        await drain_hosts(s, *hosts)
         assert s.proxy.counters["legs_connect_failed"] == s.proxy.counters["legs_sent"] == 1
 
     play(tmp_path, story, *hosts)
@@ -178,12 +178,12 @@
 def test_a_leg_called_off_in_the_turn_in_which_its_rest_could_go_out_stays_unsent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, kind: str
 ) -> None:
-    narrow(monkeypatch)
+    shrink_send_buffer(monkeypatch)
     host = UpstreamHost(reads=lambda _: False, room=4096)
 
     async def story(s: ProxyHarness) -> None:
-        links = Held(monkeypatch)
-        links.let_go.set()
+        links = HeldDials(monkeypatch)
+        links.release.set()
         ended = s.proxy._engine._rules._leg_ended
 
         def make_room(message: LegEnded) -> None:
@@ -195,7 +195,7 @@
         monkeypatch.setattr(s.proxy._engine._rules, "_leg_ended", make_room)
         assert (await s.ask(kind, {"X-Deadline-Ms": "100"}, body=b"x" * (64 << 10)))[0] == 503
         host.go_on.set()
-        await read_out(s, host)
+        await drain_hosts(s, host)
 
     play(tmp_path, story, host)
     assert not host.requests
@@ -259,14 +259,14 @@
     host = UpstreamHost()
 
     async def story(s: ProxyHarness) -> None:
-        held = Held(monkeypatch)
+        held = HeldDials(monkeypatch)
         clients = ask_and_more(s, how, count)
         await until(lambda: held.dials == count)
         for client in clients:
             client.leave(how)
-        held.let_go.set()
+        held.release.set()
         await until(lambda: s.proxy.places_taken == 0)
-        await read_out(s, host)
+        await drain_hosts(s, host)
 
     play(tmp_path, story, host)
     assert not host.requests
@@ -292,7 +292,7 @@
             client.leave(how)
         await tell(3, "SERVING")
         await until(lambda: s.proxy.places_taken == 0)
-        await read_out(s, host)
+        await drain_hosts(s, host)
 
     play(tmp_path, story, host)
     assert not host.requests
@@ -357,16 +357,16 @@
 
     async def story(s: ProxyHarness) -> None:
         await tell(s, 2, entry("s1", s.addresses[1], "DELETED"))
-        held = Held(monkeypatch)
+        held = HeldDials(monkeypatch)
         asked = asyncio.ensure_future(s.ask("pay"))
         await until(lambda: held.dials == 1)
         if when == "answered":
             old.reads = lambda _: False
-            held.let_go.set()
+            held.release.set()
             await until(lambda: old.connections == 1)
         await tell(s, 3, entry("s0", s.addresses[1], started_ms=1))
         await asyncio.sleep(0.05)  # its actor has heard
-        held.let_go.set()
+        held.release.set()
         old.go_on.set()
         assert (await asked)[0] == (503 if when == "dialled" else 200)
         await asyncio.sleep(0.05)  # a connection rests before it is used again
