--- a/cranebank/http/client_connections.py
+++ b/cranebank/http/client_connections.py
@@ -1,4 +1,4 @@
-"""The client side's connections, bounded in number and time: no client may take the others' place."""
+"""Client connections with limits on their number and duration, so that no client can exhaust them for the others."""
 
 from __future__ import annotations
 
@@ -13,19 +13,21 @@
 from cranebank.core.counters import Counters
 from cranebank.http.socket_state import peer_has_ended, readable
 
-NEW_CONNECTION_GRACE_US = (
-    100_000  # whoever connects and has said nothing for so long may go first when all places are taken
-)
+# At the connection limit, a connection that has waited this long without a complete request may be closed first.
+NEW_CONNECTION_GRACE_US = 100_000
 SWEEP_INTERVAL_S = 0.25
-LINGER_S = 0.2  # the last answer is read, and no reset instead, by a client that sends on for so long
-LINGER_BYTES = 4 << 20  # and so much
+# After the last answer, input is still read up to these limits: a client that keeps sending gets the answer, no reset.
+LINGER_S = 0.2
+LINGER_BYTES = 4 << 20
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionTimeouts:
-    """Microseconds: for a whole request, from connecting or from its first byte; a connection without a
-    request is never closed sooner than ``min_idle``, nor kept for longer than ``max_idle``. Its time begins anew
-    while its client reads the last answer; a client that reads nothing is closed within twice that time."""
+    """Time limits in microseconds. ``request``: to receive a whole request, from the connect or its first byte.
+
+    A connection without a request is closed no sooner than ``min_idle`` and no later than ``max_idle``. The idle time
+    restarts while the client reads the last answer; a client that reads nothing is closed within twice that time.
+    """
 
     request: int = 2_300_000
     min_idle: int = 2_000_000
@@ -33,9 +35,9 @@
 
 
 class LingeringClose(asyncio.Protocol):
-    """The end of a connection that has had its last answer: what still comes is read and dropped for a while.
+    """Protocol of a connection after its last answer: reads and drops further input for a limited time.
 
-    Guards that answer: a close over unread bytes is a reset, and what the kernel had not yet sent goes with it.
+    Guards that answer: closing a socket with unread input resets it, and the kernel drops what it has not sent yet.
     """
 
     def __init__(self, handler: ClientConnection, transport: asyncio.Transport) -> None:
@@ -44,27 +46,27 @@
         self._timer = asyncio.get_running_loop().call_later(LINGER_S, transport.close)
 
     def data_received(self, data: bytes) -> None:
-        """What nobody asked for."""
+        """Drop the input; abort at the byte limit."""
         self._remaining_bytes -= len(data)
         if self._remaining_bytes < 0:
             self._transport.abort()
 
     def pause_writing(self) -> None:
-        """Part of the answer waits."""
+        """Pass on that the send buffer is full."""
         self._handler.pause_writing()
 
     def resume_writing(self) -> None:
-        """It waits no more."""
+        """Pass on that the send buffer has drained."""
         self._handler.resume_writing()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Stop the timer and pass on the end of the connection."""
         self._timer.cancel()
         self._handler.connection_lost(exc)
 
 
 class LingeringTransport:
-    """A client's transport as aiohttp sees it: its ``close`` sends what is written, ends our side and reads on."""
+    """The client's transport as aiohttp sees it; ``close`` flushes, shuts down the sending side and keeps reading."""
 
     def __init__(self, handler: ClientConnection, transport: asyncio.Transport) -> None:
         self._handler, self._transport = handler, transport
@@ -74,19 +76,19 @@
         return getattr(self._transport, name)
 
     def close_now(self) -> None:
-        """End the connection at once, where no answer might be lost; a client that reads nothing is not waited for."""
+        """Close the connection without lingering, where no answer can be lost; abort if the client does not read."""
         if self._transport.get_write_buffer_size():
             self._transport.abort()
         self._transport.close()
 
     def close(self) -> None:
-        """End the connection, the client's side last."""
+        """Shut down the sending side and linger until the client closes or the limits are reached."""
         if self._is_lingering or self._transport.is_closing():
             return
         self._is_lingering = True
         try:
             self._transport.write_eof()
-        except OSError:  # it is over already
+        except OSError:  # the connection has already ended
             self._transport.close()
             return
         self._transport.set_protocol(LingeringClose(self._handler, self._transport))
@@ -94,25 +96,25 @@
 
 
 class ClientConnection(web.RequestHandler):
-    """One client's connection; tells ``ClientConnections`` when bytes come."""
+    """The connection of one client; notifies ``ClientConnections`` of received bytes."""
 
     def __init__(self, connections: ClientConnections, **options: Any) -> None:
         super().__init__(connections, loop=asyncio.get_running_loop(), **options)
         self._connections = connections
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has connected."""
+        """Wrap the transport, so that aiohttp closes it with lingering."""
         assert isinstance(transport, asyncio.Transport)
         super().connection_made(LingeringTransport(self, transport))  # type: ignore[arg-type]
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request, or of the next one."""
+        """Process bytes of the current or the next request."""
         self._connections.bytes_received(self)
         super().data_received(data)
 
 
 class ClientConnections(web.Server):
-    """Each connection is waited on for a request, has one open, or is idle; the open have no limit here."""
+    """All client connections: each awaits a request, has an open one or is idle; open requests have no limit here."""
 
     def __init__(
         self,
@@ -128,30 +130,30 @@
         self._max_connections, self._timeouts, self._clock = max_connections, timeouts, clock
         self._counters, self._options = counters, options
         self._transports: dict[web.RequestHandler, LingeringTransport] = {}
-        self._awaiting_request: dict[web.RequestHandler, int] = {}  # since when, the longest first
-        self._idle: dict[web.RequestHandler, int] = {}
-        self._unsent_bytes: dict[web.RequestHandler, int] = {}  # bytes of the last answer, as of the last look
-        self._pipelining: set[web.RequestHandler] = set()  # bytes of the next request came with one still open
+        self._awaiting_request: dict[web.RequestHandler, int] = {}  # start times, oldest first
+        self._idle: dict[web.RequestHandler, int] = {}  # start times, oldest first
+        self._unsent_bytes: dict[web.RequestHandler, int] = {}  # of the last answer, at the previous check
+        self._pipelining: set[web.RequestHandler] = set()  # received bytes of the next request while one is open
         self._timer: asyncio.TimerHandle | None = None
         self._empty = asyncio.Event()
         self._empty.set()
 
     @property
     def count(self) -> int:
-        """Connections that are open."""
+        """The number of open connections."""
         return len(self._transports)
 
     @property
     def is_nearly_full(self) -> bool:
-        """Places run short: whoever has an answer should not stay; those turned away come back at once."""
+        """Whether connections run short and each should close after its answer; rejected clients reconnect at once."""
         return 4 * self.count > 3 * self._max_connections()
 
     def __call__(self) -> web.RequestHandler:
-        """The protocol of a new connection."""
+        """Return the protocol for a new connection."""
         return ClientConnection(self, **self._options)
 
     def connection_made(self, handler: web.RequestHandler, transport: asyncio.Transport) -> None:
-        """Let a client in; where all places are taken, one that asks for nothing makes room, or it goes."""
+        """Accept a client; at the limit, close a connection without a request, or the new one if there is none."""
         super().connection_made(handler, transport)
         assert isinstance(transport, LingeringTransport)
         now = self._clock.now()
@@ -167,36 +169,36 @@
             self._sweep()
 
     def connection_lost(self, handler: web.RequestHandler, exc: BaseException | None = None) -> None:
-        """Forget a connection."""
+        """Remove a connection that has ended."""
         super().connection_lost(handler, exc)
         self._forget(handler)
         if not self._transports:
             self._empty.set()
 
     def bytes_received(self, handler: web.RequestHandler) -> None:
-        """Bytes have come: an idle connection has a request on its way in and is not closed as idle."""
+        """Record that bytes came: an idle connection now awaits its request and is not closed as idle."""
         if self._idle.pop(handler, None) is not None:
             self._awaiting_request[handler] = self._clock.now()
         elif handler in self._transports and handler not in self._awaiting_request:
             self._pipelining.add(handler)
 
     def request_received(self, handler: web.RequestHandler) -> None:
-        """The whole request is in: from here the engine's limits hold."""
+        """Record that a request was received whole; from here on the engine's limits apply."""
         self._awaiting_request.pop(handler, None)
         self._idle.pop(handler, None)
         self._pipelining.discard(handler)
 
     def request_answered(self, handler: web.RequestHandler) -> None:
-        """The answer is given."""
+        """Record that a request was answered."""
         if handler not in self._transports:
-            return  # the client has left
-        self._awaiting_request.pop(handler, None)  # it may never have been taken
+            return  # the client has disconnected
+        self._awaiting_request.pop(handler, None)  # errors and own paths are answered without ``request_received``
         (self._awaiting_request if handler in self._pipelining else self._idle)[handler] = self._clock.now()
         self._pipelining.discard(handler)
         self._unsent_bytes.pop(handler, None)
 
     def client_left(self, handler: web.RequestHandler) -> bool:
-        """Whether the client has gone. Its connection is closed then, should its end lie behind bytes not read yet."""
+        """Return whether the client has disconnected, even behind unread bytes; if so, close its connection."""
         transport = self._transports.get(handler)
         if transport is None or transport.is_closing():
             return True
@@ -206,8 +208,8 @@
         return False
 
     def dismiss(self) -> None:
-        """Close the connections that are idle, but for those on which a request has come that is not read yet; where an
-        answer is still going out, once it is out."""
+        """Close idle connections, except where an unread request has arrived; those with an unsent answer close after
+        it is sent."""
         for handler in list(self._idle):
             transport = self._transports[handler]
             if transport.get_write_buffer_size():
@@ -216,16 +218,16 @@
                 self._close(handler)
 
     async def wait_until_empty(self) -> None:
-        """Wait until no connection is open: all answers are out then, to the last byte."""
+        """Wait until no connection is open; by then all answers are sent to the last byte."""
         await self._empty.wait()
 
     def stop(self) -> None:
-        """End the sweeping."""
+        """Stop the sweep timer."""
         if self._timer is not None:
             self._timer.cancel()
 
     def _sweep(self) -> None:
-        # One timer for all; input that is there already is read before it fires, so no request is overlooked.
+        # One timer for all connections. The loop reads pending input before it fires, so no request is overlooked.
         now, is_half_full = self._clock.now(), 2 * self.count > self._max_connections()
         while self._close_oldest(self._awaiting_request, now - self._timeouts.request):
             self._counters.add("requests_unfinished")
@@ -246,8 +248,8 @@
         return False
 
     def _is_in_use(self, handler: web.RequestHandler) -> bool:
-        """Whether an idle connection whose time is over stays: its next request lies there, which this turn has not
-        seen, or its client has read of the last answer since the last look."""
+        """Return whether an idle connection past its limit stays open: its next request has arrived but was not read
+        yet, or the client has read part of the last answer since the previous check."""
         transport = self._transports[handler]
         if readable(transport.get_extra_info("socket")):
             self.bytes_received(handler)
--- a/cranebank/http/frontend.py
+++ b/cranebank/http/frontend.py
@@ -1,4 +1,4 @@
-"""The client side: clients' requests in, answers and declines out. aiohttp's low-level server."""
+"""The client side: receives requests and sends answers, on aiohttp's low-level server."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from cranebank.http.upstream import HttpAnswer, HttpRequest
 
 READY, COUNTERS = "/-/ready", "/-/counters"
-DEADLINE_MARGIN_US = 5_000  # the answer must be back before the client gives up: its way, both times
+DEADLINE_MARGIN_US = 5_000  # for the network both ways: the answer must arrive before the client gives up
 FORWARDED_HEADERS = (
     "X-Request-Id",
     "Idempotency-Key",
@@ -33,15 +33,15 @@
 )
 MAX_BODY_BYTES = 64 << 10
 _ID = re.compile(r"[!-~]{1,200}")
-_TARGET = re.compile(r"/([!-.0->@-~]+)(?:[/?][!-~]*)?")  # the class, and what follows
+_TARGET = re.compile(r"/([!-.0->@-~]+)(?:[/?][!-~]*)?")  # the class, then the rest of the path or a query
 
 
 class MalformedRequest(ValueError):
-    """A request that gets 400 and no leg."""
+    """Raised for a request that is answered with 400 and gets no leg."""
 
 
 class Frontend:
-    """Reads requests, hands them to the engine and writes its answers."""
+    """Reads requests, submits them to the engine and sends its answers."""
 
     def __init__(
         self,
@@ -60,10 +60,10 @@
         self._classes = {name: index for index, name in enumerate(classes)}
         self._tenants = {name: index for index, name in enumerate(tenants)}
         self._counters, self._log, self._ready, self._clock = counters, log, ready, clock
-        self._open_request_ids: set[str] = set()  # of the requests that are open
-        self.closing = False  # no more of these connections is wanted: each answer is the last on its own
-        self.answer_by: int | None = None  # microseconds of the clock by which all must be answered, once it stops
-        # Heads are held whole: 64 fields of 4 KiB at most.
+        self._open_request_ids: set[str] = set()
+        self.closing = False  # if set, each connection closes after its answer
+        self.answer_by: int | None = None  # while the proxy stops: the time in microseconds by which to answer all
+        # Heads are kept in memory whole: 64 fields of 4 KiB at most.
         self.connections = ClientConnections(
             self.handle,
             connections,
@@ -81,9 +81,9 @@
         )
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request; cancelled when the client leaves."""
+        """Answer one request; cancelled when the client disconnects."""
         response = await self._respond(request)
-        # Whatever follows a request that could not be read is not to be trusted.
+        # Input that follows an unreadable request can't be trusted.
         if self.closing or self.connections.is_nearly_full or response.status in (400, 413):
             response.force_close()
         self.connections.request_answered(request.protocol)
@@ -109,7 +109,7 @@
         return await self._answer(call, request.headers["X-Request-Id"])
 
     async def _answer(self, call: Call, name: str) -> web.Response:
-        if name in self._open_request_ids:  # looked up again: another may have come while the body was read
+        if name in self._open_request_ids:  # checked only now: another may have come while the body was read
             self._counters.add("requests_malformed")
             return web.Response(status=400, text="the id of a request that is open\n")
         self._open_request_ids.add(name)
@@ -130,7 +130,7 @@
         return web.Response(status=502)
 
     def _check(self, request: web.BaseRequest) -> None:
-        """Refuse what no usual client sends, before its body is read. Hosts close on what they can't read."""
+        """Reject malformed requests before the body is read; hosts would close the connection on them."""
         headers, class_index = request.headers, self._classes.get(request.headers.get("X-Class", ""))
         if any(len(headers.getall(name, ())) > 1 for name in FORWARDED_HEADERS):
             raise MalformedRequest("a field given twice")
@@ -162,9 +162,9 @@
         request_class = self._settings.classes[class_index]
         deadline = _whole_number(headers, "X-Deadline-Ms")
         hint = _whole_number(headers, "X-Cost-Hint")
-        max_wait = ms_to_us(request_class.deadline)  # whatever a client says: nothing is held for longer
+        max_wait = ms_to_us(request_class.deadline)  # caps the deadline of the client
         wait = max_wait if deadline is None else min(deadline * 1000, max_wait)
-        if self.answer_by is not None:  # who comes while the program stops is answered before it may be killed
+        if self.answer_by is not None:  # while the proxy stops: requests are answered before it may be killed
             wait = min(wait, max(0, self.answer_by - self._clock.now()))
         return Call(
             class_index=class_index,
--- a/cranebank/http/socket_state.py
+++ b/cranebank/http/socket_state.py
@@ -1,4 +1,4 @@
-"""A look at a socket without taking anything from it, and a listener's last turn."""
+"""Checks of a socket's state that read nothing from it, and an orderly end of accepting connections."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 def readable(sock: Any) -> bool:
-    """Whether bytes, an end or a new connection wait at a socket."""
+    """Return whether bytes, a FIN or a new connection are pending on a socket."""
     return _poll(sock, select.POLLIN)
 
 
 def peer_has_ended(sock: Any) -> bool:
-    """Whether the peer has ended its side or all of it, be it behind bytes that nobody has read."""
+    """Return whether the peer has closed its sending side or the connection, even if unread bytes precede that."""
     return _poll(sock, select.POLLRDHUP)
 
 
 def is_reset_or_closed(sock: Any) -> bool:
-    """Whether a connection was reset or is over both ways."""
-    return _poll(sock, 0)  # POLLERR and POLLHUP are told unasked
+    """Return whether a connection was reset or is closed in both directions."""
+    return _poll(sock, 0)  # POLLERR and POLLHUP are always reported
 
 
 def _poll(sock: Any, events: int) -> bool:
@@ -29,10 +29,10 @@
 
 
 async def stop_accepting(server: asyncio.Server) -> None:
-    """Accept no more, and let what was accepted in this turn of the loop get its protocol.
+    """Stop accepting, and let connections that were accepted in this loop iteration get their protocols.
 
-    Guards whoever has just been let in: a connection whose protocol is made after ``server.close()`` is dropped by
-    asyncio without being ended, and its client waits for an answer until the garbage is collected.
+    Guards clients accepted last: asyncio drops a connection whose protocol is created after ``server.close()`` without
+    closing it, and its client waits for an answer until garbage collection.
     """
     loop = asyncio.get_running_loop()
     for sock in server.sockets:
--- a/cranebank/http/upstream.py
+++ b/cranebank/http/upstream.py
@@ -1,4 +1,4 @@
-"""One actor for each upstream host: its legs and its probes, in HTTP/1.1."""
+"""One actor for each upstream host, which sends its legs and probes over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -26,11 +26,13 @@
 )
 
 RETURNED_HEADERS = ("Content-Type", "Content-Encoding")
-_LOAD_NAMES = LOAD_NAMES | {name: name for name in LOAD_NAMES.values()}  # the settings' names, and the header's
+_LOAD_NAMES = LOAD_NAMES | {
+    name: name for name in LOAD_NAMES.values()
+}  # accepts the names of the settings and of the header
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """What passes through unchanged to an upstream host; ``left``: whether its client has gone, as seen right now."""
+    """The parts of a request that are forwarded unchanged; ``client_left`` checks whether the client disconnected."""
 
     method: str
     target: str
@@ -40,7 +42,7 @@
 
 
 class HttpAnswer(msgspec.Struct, frozen=True):
-    """The body of a 200, byte for byte, and what tells how to read it."""
+    """The body of a 200 response, byte for byte, with the headers that describe it."""
 
     body: bytes
     headers: dict[str, str]
@@ -65,12 +67,12 @@
     leg: Leg
 
 
-class SendProbe(msgspec.Struct, frozen=True, eq=False):  # each its own: two may be out at once
-    """Message: ask the host for its load, or its health where there are no reports."""
+class SendProbe(msgspec.Struct, frozen=True, eq=False):  # compared by identity: two may be in flight at once
+    """Message: ask the host for its load, or for its health where there are no load reports."""
 
 
 class HostUpdate(msgspec.Struct, frozen=True):
-    """Message: the routing table's last word on the host; None when it is gone."""
+    """Message: the latest entry of the host in the routing table; None if it was removed."""
 
     host: Host | None
 
@@ -79,7 +81,7 @@
 
 
 class Upstream:
-    """The actor of one host."""
+    """The actor of one upstream host."""
 
     def __init__(
         self,
@@ -100,17 +102,17 @@
         self.post = self._mailbox.post
 
     async def close(self) -> None:
-        """Drop everything that is out, and the connections."""
+        """Cancel all legs and probes in flight and close the idle connections."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
         self._pool.drop(self._server)
 
     def cancel(self, leg: Leg) -> None:
-        """End a leg, ahead of whatever else this turn of the loop has found.
+        """Cancel a leg at once, before other events of this loop iteration.
 
-        Not by the mailbox: before its turn came, the rest of a request could go out, and a leg that is said never to
-        have run would run.
+        Not through the mailbox: until the message was processed, the rest of the request could be sent, and a leg that
+        was reported as never run would run.
         """
         if leg in self._tasks:
             self._tasks[leg].cancel()
@@ -128,7 +130,7 @@
                 self._host = host
                 address = host.address if host is not None else ""
                 if host is None or (address and address != self._address):
-                    self._pool.drop(self._server)  # another host may get that address
+                    self._pool.drop(self._server)  # another host may be given that address
                 self._address = address or self._address
 
     def _run(self, key: Leg | SendProbe, work: Any) -> None:
@@ -138,20 +140,20 @@
 
     @property
     def _in_service(self) -> bool:
-        """The list once more, just before a leg goes out: nothing new to a host that drains."""
+        """Whether the host may get new legs; checked again just before sending, as it may drain by then."""
         return self._host is not None and self._host.entry.state is api.ServerState.IN
 
     @property
     def is_retired(self) -> bool:
-        """Gone from the list, with nothing out."""
+        """Whether the host was removed from the list and has nothing in flight."""
         return self._host is None and not self._tasks
 
     async def _exchange(self, request: Callable[[], str], body: bytes, sent: Callable[[], None]) -> UpstreamResponse:
-        """One request and its answer on a connection of its own; OSError means that it was not sent whole."""
+        """Send a request on a connection of its own and return the response; OSError: it was not sent completely."""
         connection = await self._pool.take(self._server, self._address)
         try:
             if connection.address != self._address:
-                raise ConnectionUnavailable("the host has moved")
+                raise ConnectionUnavailable("the host has changed its address")
             head = f"{request()}Host: {self._address}\r\n\r\n"
             return await connection.exchange(head.encode("utf-8", "surrogateescape") + body, sent)
         except (ConnectionBroken, MalformedResponse) as error:
@@ -165,17 +167,16 @@
         request: HttpRequest = leg.content
 
         def head() -> str:
-            # The connection took its time to come up, and nothing is awaited from here to the first byte.
-            if not self._in_service:  # the grace may be shorter
-                raise ConnectionUnavailable("the host drains or is gone")
+            # Connecting took time, so all conditions are checked again; nothing is awaited from here to the first byte.
+            if not self._in_service:  # the drain grace may be shorter than the dial
+                raise ConnectionUnavailable("the host is draining or was removed")
             if self._clock.now() >= leg.deadline:
-                raise ClosedBeforeSent("its time is up")
+                raise ClosedBeforeSent("the leg's deadline has passed")
             if leg.outcome is not None or self._clock.now() >= leg.send_by:
-                raise ConnectionUnavailable("called off, or the window for repeats is over")
-            if (
-                request.client_left()
-            ):  # its end may lie behind what is not read of it, or behind a long turn of the loop
-                raise ConnectionUnavailable("its client has left")
+                raise ConnectionUnavailable("the leg was cancelled, or the window for repeats is over")
+            # The end of the client's connection may be behind unread input, or not seen in a long loop iteration.
+            if request.client_left():
+                raise ConnectionUnavailable("the client has disconnected")
             left = max(0, leg.deadline - self._clock.now()) // 1000
             length = {"Content-Length": len(request.body)} if request.method != "GET" else {}
             fields = request.headers | {"X-Deadline-Ms": left} | length
@@ -190,14 +191,14 @@
         try:
             ended = self._leg_ended(leg, await self._exchange(head, request.body, sent))
         except ConnectionUnavailable as error:
-            ended = LegEnded(leg, api.Outcome.MOOT)  # never sent, and no fault of the host's
+            ended = LegEnded(leg, api.Outcome.MOOT)  # never sent, and not the fault of the host
             self._log.warning("leg_no_room", host=self._server, error=str(error))
         except OSError as error:
             ended = LegEnded(leg, api.Outcome.CONNECT_FAILED, unproven=self._unproven(error))
             self._log.warning("dial_failed", host=self._server, error=str(error))
         except (ConnectionBroken, MalformedResponse) as error:
             self._log.warning("leg_broken", host=self._server, error=f"{type(error).__name__}: {error}")
-        except Exception as error:  # whatever a peer can bring about, the leg has one outcome
+        except Exception as error:  # whatever the peer sends, the leg gets exactly one outcome
             self._log.error("leg_fault", host=self._server, error=f"{type(error).__name__}: {error}")
         self._notify_engine(ended)
 
@@ -212,15 +213,18 @@
         return LegEnded(leg, api.Outcome.ERROR, load, is_request_fault=400 <= answer.status < 500)
 
     def _unproven(self, error: OSError) -> bool:
-        """Guards a host that lives from passing for lost, and for cold afterwards: it ended a connection that
-        was up (idle for too long, table full), or refuses a new one while another to it stands."""
+        """Return whether a connect failure does not prove that the host is down.
+
+        Guards a live host from being considered lost, and cold afterwards: it closed an established connection (idle
+        time-out, full table), or refuses a new one while another to it is up.
+        """
         unproven = isinstance(error, ClosedBeforeSent) or self._pool.has_live_connection(self._server)
         self._counters.add("connects_unproven", unproven)
         return unproven
 
     def _load(self, text: str | None) -> dict[str, float] | None:
         if not text:
-            return None  # a host that has only just started may have none yet
+            return None  # a host that has just started may send none yet
         load = read_load(text)
         if load is None:
             self._counters.add("load_reports_skipped")
@@ -232,14 +236,14 @@
         sent, outcome, load, unproven = self._clock.now(), api.Outcome.RESET, None, False
         path = "/-/load" if reports else "/-/healthy"
         try:
-            # Beside the dial, a probe waits as long again for its answer: an older figure is worth little.
+            # A probe waits for its answer as long as for the connect: an older load value is of little use.
             async with asyncio.timeout(2 * self._settings.connect_timeout / 1000.0):
                 answer = await self._exchange(lambda: f"GET {path} HTTP/1.1\r\n", b"", lambda: None)
             outcome = api.Outcome.OK if answer.status == 200 else api.Outcome.FULL
             if answer.status == 200 and reports:
                 load = self._load(answer.body.decode("utf-8", "replace"))
         except ConnectionUnavailable:
-            outcome = api.Outcome.FULL  # no fault of the host's
+            outcome = api.Outcome.FULL  # not the fault of the host
         except TimeoutError:
             outcome = api.Outcome.TIMEOUT
         except OSError as error:
@@ -250,7 +254,7 @@
 
 
 class UpstreamDirectory:
-    """The actors by host, made and retired as the routing table says."""
+    """The actors of all hosts, created and removed according to the routing table."""
 
     def __init__(self, make: Callable[[Host], Upstream], notify_engine: Callable[[Message], None]) -> None:
         self._make, self._notify_engine = make, notify_engine
@@ -258,8 +262,8 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     def update(self, news: RoutingUpdate) -> None:
-        """Make known to each actor what the routing table now says of its host."""
-        # Before the news: whoever is named in it must not be retired for what was said before.
+        """Pass an update of the routing table to the actors of its hosts."""
+        # Retired actors go first: a host that the update lists again must get a new actor.
         for server in [s for s, upstream in self._upstreams.items() if upstream.is_retired]:
             task = asyncio.get_running_loop().create_task(self._upstreams.pop(server).close())
             self._closing.add(task)
@@ -277,14 +281,14 @@
                 self._upstreams[host.entry.server] = self._make(host)
 
     def send(self, leg: Leg) -> None:
-        """Hand a leg to its host's actor."""
+        """Pass a leg to the actor of its host."""
         if leg.server in self._upstreams:
             self._upstreams[leg.server].post(SendLeg(leg))
         else:
             self._notify_engine(LegEnded(leg, api.Outcome.MOOT))
 
     def cancel(self, leg: Leg) -> None:
-        """Call a leg off."""
+        """Cancel a leg."""
         if leg.server in self._upstreams:
             self._upstreams[leg.server].cancel(leg)
 
@@ -296,5 +300,5 @@
             self._notify_engine(ProbeEnded(server, api.Outcome.MOOT, 0))
 
     async def close(self) -> None:
-        """Retire all."""
+        """Close all actors."""
         await asyncio.gather(*(upstream.close() for upstream in self._upstreams.values()), *self._closing)
