--- a/cranebank/discovery/__init__.py
+++ b/cranebank/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the routing table comes from."""
+"""The routing table from the discovery service."""
--- a/cranebank/discovery/listing.py
+++ b/cranebank/discovery/listing.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON as typed values; no sockets."""
+"""Parses discovery's JSON messages into typed values; does no I/O."""
 
 from __future__ import annotations
 
@@ -19,28 +19,27 @@
     "DELETED": api.ServerState.OUT,
 }
 
-
-MAX_MESSAGE_BYTES = 4 << 20  # of one message, on a line or on many
+MAX_MESSAGE_BYTES = 4 << 20  # for one message, on one line or many
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class Stream:
-    """Cuts what comes on a watch into messages: one on a line, or indented over many."""
+    """Splits the stream of a watch into JSON messages: one on a line, or indented over several lines."""
 
     def __init__(self) -> None:
-        self._partial_line = b""  # of a line that has not ended
-        self._lines: list[bytes] = []  # of a message that has not ended
+        self._partial_line = b""
+        self._lines: list[bytes] = []  # of the incomplete message
         self._depth = self._size = 0
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """The messages that ``data`` makes whole, each as JSON or the ValueError that it is none."""
+        """Yield the messages that ``data`` completes, each as decoded JSON or as the ValueError of decoding it."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         if len(self._partial_line) + self._size > MAX_MESSAGE_BYTES:
             raise ValueError("a message without end")
         for line in lines:
             if not line.strip():
-                continue  # nothing has changed
-            # What begins at the margin begins anew: whatever was left open before it has no end any more.
+                continue  # a keep-alive line
+            # An unindented line that closes nothing starts a new message: an open one before it was truncated.
             if self._lines and line[:1] not in b" \t}]":
                 yield self._take_message()
             self._lines.append(line)
@@ -65,7 +64,7 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """One message of discovery's: the whole list or the entries changed, and how many could not be read."""
+    """One message of discovery: the full list or the changed entries; ``skipped`` counts malformed entries."""
 
     version: int
     full: bool
@@ -74,14 +73,14 @@
 
 
 class ListReader:
-    """Reads discovery's JSON; needs the settings' names of zones and kinds."""
+    """Converts discovery's messages; needs the names of zones and kinds from the settings."""
 
     def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...] = ()) -> None:
         self._kinds = {name: index for index, name in enumerate(kinds)}
         self._zones = {name: index for index, name in enumerate(zones)}
 
     def read(self, message: Any) -> Listing:
-        """Read one message; an entry that is malformed is skipped, a message that is raises ValueError."""
+        """Convert one message; skips malformed entries, raises ValueError for a malformed message."""
         if not isinstance(message, dict) or not isinstance(message.get("servers"), list):
             raise ValueError("expected an object with a list 'servers'")
         version = message.get("version")
@@ -100,18 +99,18 @@
         _, _, port = address.rpartition(":")
         size, started = float(entry.get("weight") or 1.0), float(entry.get("started_ms") or 0.0)
         if not isinstance(server, str) or not server or (state is api.ServerState.IN and not port.isdigit()):
-            raise ValueError("no id or no address")
-        if not (0.0 < size < inf and 0.0 <= started < inf):  # NaN would pass for a restart each time
+            raise ValueError("missing id or address")
+        if not (0.0 < size < inf and 0.0 <= started < inf):  # NaN would look like a restart with every message
             raise ValueError("weight or start time out of range")
         return Host(
             api.ServerEntry(
                 server=server,
-                zone=self._zones.get(entry.get("zone", ""), len(self._zones)),  # unknown: not the own zone
+                zone=self._zones.get(entry.get("zone", ""), len(self._zones)),  # an unknown zone is not the own one
                 cell=int(entry.get("cell") or 0),
                 size=size,
                 state=state,
-                kind=self._kinds.get(entry.get("kind", ""), len(self._kinds)),  # unknown: one kind for all such
-                started=started,  # Unix time, and so is the module's clock
+                kind=self._kinds.get(entry.get("kind", ""), len(self._kinds)),  # all unknown kinds are one kind
+                started=started,  # Unix time, as the module's clock
             ),
             address,
         )
--- a/cranebank/discovery/routing_table.py
+++ b/cranebank/discovery/routing_table.py
@@ -1,4 +1,4 @@
-"""The routing table's actor: asks discovery for the list, watches its changes, tells the engine."""
+"""The actor of the routing table: watches the list of hosts in discovery and passes updates to the engine."""
 
 from __future__ import annotations
 
@@ -17,26 +17,27 @@
 from cranebank.decisions import interface as api
 from cranebank.discovery.listing import Listing, ListReader, Stream
 
-CALL_TIMEOUT_S = 4.0  # discovery gives a call up after 3 s of waiting in its queue
-# An empty line comes every 2 s. What a silent watch misses binds 6 s on, told or not, and all whose watches fell silent
-# together ask one discovery, which answers one after another: half a second for a late line, and the rest for them.
+CALL_TIMEOUT_S = 4.0  # discovery drops calls after 3 s in its queue
+# Discovery sends an empty line every 2 s. Changes take effect 6 s after they are made, also those that a silent watch
+# misses, and proxies whose watches fell silent together are served one after another by one discovery service. So 0.5 s
+# is allowed for a late line, and the rest of the time is left for the new watches.
 WATCH_TIMEOUT_S = 2.5
 
 
 class SetWatch(msgspec.Struct, frozen=True):
-    """Message: the module wants news of the hosts, or none."""
+    """Message: the module subscribes to changes of the list, or unsubscribes."""
 
     enable: bool
 
 
 class AddressChanged(msgspec.Struct, frozen=True):
-    """Message: discovery is at another address from now on."""
+    """Message: discovery has a new address."""
 
     address: str
 
 
 class RoutingTable:
-    """Keeps one watch open while it is wanted; tells the engine when one could not be had or broke."""
+    """Keeps one watch open while subscribed; notifies the engine when a watch is refused or ends."""
 
     def __init__(
         self,
@@ -49,7 +50,7 @@
     ) -> None:
         self._address, self._reader, self._notify_engine = address, reader, notify_engine
         self._counters, self._log = counters, log
-        self._module_asks = asked  # the module asks first; else this actor does, and the module only asks again
+        self._module_asks = asked  # if false, this actor starts the first watch, and the module only renews it
         self._version: int | None = None
         self._task: asyncio.Task[None] | None = None
         self._is_enabled = False
@@ -61,10 +62,10 @@
             timeout=aiohttp.ClientTimeout(total=None),
             connector=aiohttp.TCPConnector(limit=4),
         )
-        self.heard = asyncio.Event()  # discovery, or the list known at the start, has named the hosts
+        self.heard = asyncio.Event()  # set once discovery or the list known at the start has given the hosts
 
     def start(self, known: Listing | None) -> None:
-        """Begin with the list as it was last had, which may be old, or with none."""
+        """Start with the last known list, which may be outdated, or with an empty one."""
         if known is not None:
             self._update(known, api.ListKind.REMEMBERED)
         else:
@@ -73,19 +74,19 @@
             self.watch(True)
 
     def watch(self, enable: bool) -> None:
-        """Ask for the changes from now on, or no longer."""
+        """Subscribe to changes of the list, or unsubscribe."""
         self._mailbox.post(SetWatch(enable))
 
     def age_ms(self) -> int:
-        """Milliseconds since discovery last wrote anything; -1 before the first time."""
+        """Return the milliseconds since discovery last sent anything; -1 before the first data."""
         return -1 if self._last_received_at is None else round(1000 * (time.monotonic() - self._last_received_at))
 
     def set_address(self, address: str) -> None:
-        """Watch there from now on, and at once: the list stays, and the version from which news is asked."""
+        """Reconnect the watch to a new address; keeps the list and the version from which changes are requested."""
         self._mailbox.post(AddressChanged(address))
 
     async def close(self) -> None:
-        """End the watch."""
+        """End the watch and close the HTTP session."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -97,7 +98,7 @@
             case SetWatch(enable):
                 self._is_enabled = enable
                 if enable and watching:
-                    return  # a move has come before the module's turn to ask again
+                    return  # an address change has restarted the watch before the module renewed it
             case AddressChanged(address):
                 if address == self._address:
                     return
@@ -110,11 +111,11 @@
     async def _keep_watch(self) -> None:
         await self._watch()
         self._counters.add("watches_ended")
-        # The module says when to ask again, ever later. Asking from here as well would be two storms in one.
+        # The module decides when to retry, with growing intervals. Retrying here as well would double the load.
         self._notify_engine(RoutingUpdate(api.ListKind.REFUSED))
 
     async def _watch(self) -> None:
-        """Watch until the connection ends or falls silent."""
+        """Watch until the connection ends or nothing arrives within the time-out."""
         params = {"watch": "1", "from": str(self._version or 0)}
         url = f"http://{self._address}/api/targets"
         self._counters.add("watches_opened")
@@ -133,7 +134,7 @@
             self._log.warning("watch_ended", at_address=self._address)
         except TimeoutError:
             self._log.warning("watch_silent", at_address=self._address)
-        except Exception as error:  # whatever discovery says, the engine must hear that the watch is over
+        except Exception as error:  # whatever discovery sends, the engine must be notified of the end of the watch
             self._log.warning("watch_broke", error=f"{type(error).__name__}: {error}")
 
     def _read_message(self, message: Any) -> None:
