--- a/cranebank/__main__.py
+++ b/cranebank/__main__.py
@@ -1,7 +1,7 @@
 """The program: ``python -m cranebank``.
 
-With GW_CONFIG and no arguments, as the platform starts it, this is one proxy and nothing else is imported;
-with arguments it is the command line.
+Without arguments, as the platform starts it with GW_CONFIG, it runs one proxy and imports nothing else; with arguments
+it is the command line.
 """
 
 import os
@@ -13,8 +13,8 @@
 
         sys.exit(main())
     else:
-        # A proxy speaks no TLS. asyncio and aiohttp do without ssl where it can't be imported; with it, aiohttp reads
-        # all certificates of the machine at its import: 1.6 MB of a small memory, and a tenth of the time to the start.
+        # A proxy uses no TLS, and asyncio and aiohttp work without the ssl module. With it, aiohttp loads all
+        # certificates of the machine at import: 1.6 MB of a small memory and a tenth of the start-up time.
         sys.modules["ssl"] = None  # type: ignore[assignment]
         from cranebank.daemon import Started, serve
 
--- a/cranebank/background.py
+++ b/cranebank/background.py
@@ -1,7 +1,7 @@
-"""Tasks that nobody awaits, and exceptions that nobody handles: both are counted as violations of one invariant.
+"""Background tasks, and unhandled exceptions, which are counted as violations of an invariant.
 
-An exception that ends a callback or a background task takes work away without a word: a periodic look that is not begun
-again, a write whose result never comes. The count is told by the metrics, and a soak or a test that sees it fails.
+An exception that ends a callback or a background task silently stops its work: a periodic check is not scheduled again,
+or the result of a write never arrives. The metrics report the count, and a soak or test with a violation fails.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 
 
 def start(work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-    """Start a task of the running loop that nobody awaits. Its caller keeps a reference to it until it ends."""
+    """Start a task in the running loop that is not awaited. The caller must keep a reference to it until it ends."""
     task = asyncio.get_running_loop().create_task(work)
     task.add_done_callback(_report)
     return task
 
 
 class BackgroundTasks:
-    """Background tasks of one owner: each is kept until it ends, and all can be cancelled."""
+    """The background tasks of one owner: keeps a reference to each until it ends, and can cancel all."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Start a task."""
+        """Start a background task."""
         task = start(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """Cancel those that have not ended."""
+        """Cancel all tasks that have not ended."""
         for task in self._tasks:
             task.cancel()
 
 
 def report_unhandled(what: str, error: BaseException | None) -> None:
-    """Count and log an exception that nobody handled. ``what`` says where it came up."""
+    """Count and log an unhandled exception. ``what`` names the task or callback in which it was raised."""
     invariants.record_violation(UNHANDLED, f"{what}: {error!r}")
     logger.opt(exception=error).error("unhandled: {}", what)
 
--- a/cranebank/daemon.py
+++ b/cranebank/daemon.py
@@ -1,4 +1,4 @@
-"""The program: puts the actors together, serves until SIGTERM or SIGINT, finishes what it took."""
+"""The proxy program: connects the actors, serves until SIGTERM or SIGINT, then finishes the open requests."""
 
 from __future__ import annotations
 
@@ -30,28 +30,23 @@
 from cranebank.http.upstream import Upstream, UpstreamDirectory
 from cranebank.routing.subset import Subset, SubsetSpec, slot_from_name
 
-IDLE_MARGIN_MS = 1000.0  # idle connections are dropped this much before the host's machine would
-RESERVED_DESCRIPTORS = (
-    32  # the interpreter's own, the listener, discovery, and what is accepted before ``ClientConnections`` sees it
-)
-KILL_MARGIN_S, MAX_KILL_DEADLINE_S = (
-    0.7,
-    3.0,
-)  # SIGKILL follows SIGTERM by the longest deadline, at most so long, and so much more
-KEEP_SERVING_SHARE = (
-    0.6  # of that time clients' connections are kept: what comes last still has two fifths of it for its answer
-)
-CLOSE_NOTICE_S = 0.5  # before they end, each answer tells its client so: few are left to be ended unasked
-CROSSING_S = 0.05  # a request that crosses the end of its connection comes anew within so long
-ACCEPTS_PER_TURN, BACKLOG = 16, 512  # taken in one turn of the loop; kept by the kernel until their turn
+IDLE_MARGIN_MS = 1000.0  # idle connections are closed this long before the host's machine would drop them
+# For the interpreter, the listener, discovery, and connections accepted before ``ClientConnections`` counts them.
+RESERVED_DESCRIPTORS = 32
+# SIGKILL follows SIGTERM after the longest deadline, of which at most MAX_KILL_DEADLINE_S counts, plus KILL_MARGIN_S.
+KILL_MARGIN_S, MAX_KILL_DEADLINE_S = 0.7, 3.0
+KEEP_SERVING_SHARE = 0.6  # share of that time for which connections are kept; two fifths remain for the last answers
+CLOSE_NOTICE_S = 0.5  # before idle connections close, answers announce it for this long, so that few are left to close
+CROSSING_S = 0.05  # a client retries a request that crossed the close of its connection within this time
+ACCEPTS_PER_TURN, BACKLOG = 16, 512  # accepted in one loop iteration; queued by the kernel
 
 
 class Proxy:
-    """One proxy in one event loop; for embedding as well as for the program."""
+    """One proxy in one event loop; used by the program and for embedding."""
 
     def __init__(self, config: Config, log: Log, make: Callable[[api.Settings, int], Decisions] = Balancer) -> None:
         self._config, self.counters, self._log = config, Counters(), log
-        self._linger = config.layers.own.stop.linger_s  # new connections still come for 0.2 to 0.4 s
+        self._linger = config.layers.own.stop.linger_s  # clients still open connections for 0.2 to 0.4 s after the stop
         clock, settings = Clock(asyncio.get_running_loop()), config.settings
         self._clock = clock
         door = config.layers.own.door
@@ -80,7 +75,9 @@
             else None
         )
         if subset is not None and settings.removals_are_advisory:
-            log.warning("subset_off", why="only draining binds here: a host can't be taken from the module")
+            log.warning(
+                "subset_off", why="removals from the list are advisory: a host can't be withdrawn from the module"
+            )
         self._engine = Engine(settings, config.seed, clock, self.counters, log, make, subset)
 
         def upstream(host: Host) -> Upstream:
@@ -111,7 +108,7 @@
 
     @property
     def places_taken(self) -> int:
-        """Clients' connections that are open."""
+        """The number of open client connections."""
         return self._connections.count
 
     def _beliefs(self) -> dict[str, float]:
@@ -122,7 +119,7 @@
         }
 
     def _max_client_connections(self) -> int:
-        # They leave a sixth of the descriptors to the hosts and room for those to grow, but have a third.
+        # Leaves a sixth of the descriptors or more to the hosts, with room to grow, but keeps a third for clients.
         sockets = self._config.sockets
         return max(sockets // 3, sockets - RESERVED_DESCRIPTORS - max(sockets // 6, self._pool.open + sockets // 16))
 
@@ -131,9 +128,10 @@
         return min(sockets * 7 // 16, sockets - RESERVED_DESCRIPTORS - self._connections.count)
 
     async def start(self) -> tuple[str, int]:
-        """Listen; return the address, which matters where port 0 was asked for."""
+        """Start to listen; return the actual address, for example if the configured port is 0."""
         sock = socket.create_server(self._config.listen)
-        # Guards the descriptors against a flood: asyncio accepts ``backlog`` before ``ClientConnections`` sees any.
+        # Guards the descriptors against floods: asyncio accepts up to ``backlog`` connections in one loop iteration,
+        # before ``ClientConnections`` counts any.
         loop = asyncio.get_running_loop()
         self._socket = sock
         self._listener = await loop.create_server(self._connections, sock=sock, backlog=ACCEPTS_PER_TURN)
@@ -143,34 +141,33 @@
         return address
 
     async def _close_listener(self) -> None:
-        for _ in range(BACKLOG // ACCEPTS_PER_TURN):  # whom the kernel has let in is let in here, too
+        for _ in range(BACKLOG // ACCEPTS_PER_TURN):  # serve the connections that the kernel has accepted
             if not any(map(readable, self._listener.sockets)):
                 break
             await asyncio.sleep(0)
         await stop_accepting(self._listener)
-        with contextlib.suppress(OSError):  # those who came meanwhile; out of descriptors, they are reset
+        with contextlib.suppress(OSError):  # late connections; they are reset if descriptors run out
             while self._listener.sockets and readable(self._socket):
                 client, _ = self._socket.accept()
                 await asyncio.get_running_loop().connect_accepted_socket(self._connections, client)
-        self._listener.close()  # nothing is awaited since the last look
+        self._listener.close()  # nothing is awaited since the last check
 
     def reload(self, config: Config) -> None:
-        """Take over what a running proxy can: the address of discovery (requests, legs and the list stay as
-        they are), the log's settings and the time to linger."""
+        """Apply the settings that a running proxy can change: the address of discovery (requests, legs and the list are
+        kept), the log settings and the linger time."""
         self._table.set_address(config.discovery)
         self._log.set(config.layers.own.log)
         self._counter_log.every(config.layers.own.log.tally_s)
         self._linger = config.layers.own.stop.linger_s
 
     async def stop(self, linger: float | None = None, keep: bool = False) -> None:
-        """Go on accepting for a moment; finish what was taken.
+        """Accept connections for the linger time, then finish the open requests.
 
-        ``keep``: clients go on using the connections that they have for as long as these stay open (PROTOCOL), and
-        where the other proxies of their zone are just starting there is nobody else: they are served until the rest
-        of the time before SIGKILL is needed for the last answers. Otherwise each answer is the last on its connection
-        from now on, and idle ones end a moment before the listener: a request that crosses their end finds it there
-        for its second try. Connections with a request on its way in stay till it is answered or its time to come in
-        is up: aiohttp would drop what they still send (``pre_shutdown``).
+        ``keep``: clients use their connections as long as these stay open (PROTOCOL), and have no other proxy while
+        those of their zone are just starting: they are served until the rest of the time before SIGKILL is needed for
+        the last answers. Otherwise each connection closes after its next answer, and idle ones close shortly before
+        the listener: a request that crosses the close still finds it for its retry. Connections with an incoming
+        request stay until it is answered or its time limit: aiohttp would drop what they still send (``pre_shutdown``).
         """
         self._log.info("stopping", clients=self._connections.count, owed=self._engine.unanswered_count)
         linger = self._linger if linger is None else linger
@@ -201,7 +198,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """How the program was started; a reload reads the same again."""
+    """How the program was started; a reload reads the same sources again."""
 
     environ: Mapping[str, str]
     file: str | None = None
@@ -210,9 +207,10 @@
 
 
 def _reload(proxy: Proxy, current: Config, started: Started, log: Log) -> None:
-    """Read everything again; apply what can be, name what needs a restart, or keep all as it was."""
+    """Reload the configuration: apply what a running proxy can change and log what needs a restart; if it is invalid,
+    keep the current one."""
     try:
-        # GW_DISCOVERY is from the start: it must not mask the address that the file names now.
+        # GW_DISCOVERY dates from the start of the process: it must not override the address in the file.
         environ = {name: value for name, value in started.environ.items() if name != "GW_DISCOVERY"}
         config = load(environ, started.file, started.flags)
     except ConfigError as error:
@@ -224,7 +222,7 @@
 
 
 async def _run(config: Config, started: Started, early_reloads: list[int]) -> None:
-    # Guards the descriptor limit: past it accepting pauses and dials fail, which are outcomes, not crashes.
+    # Enforces the descriptor limit: beyond it, accepting pauses and dials fail, both of which are handled.
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     max_descriptors = config.sockets if hard == resource.RLIM_INFINITY else min(config.sockets, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, hard))
@@ -235,7 +233,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, proxy, config, started, log)
-    if early_reloads:  # while it started: what was read then may be older
+    if early_reloads:  # SIGHUP came during the start: the configuration may be outdated
         loop.call_soon(_reload, proxy, config, started, log)
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(proxy.counters.text(), file=sys.stderr, flush=True))
     host, port = await proxy.start()
@@ -246,9 +244,9 @@
 
 
 def serve(started: Started) -> int:
-    """Run one proxy until SIGTERM or SIGINT; return the exit code: 0, or 2 where it can't start so."""
+    """Run one proxy until SIGTERM or SIGINT; return the exit code: 0, or 2 if it can't start."""
     early_reloads: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))  # until there is something to reload
+    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))  # until the proxy can reload
     try:
         config = load(started.environ, started.file, started.flags)
         asyncio.run(_run(config, started, early_reloads))
--- a/cranebank/decayed_rate.py
+++ b/cranebank/decayed_rate.py
@@ -1,4 +1,4 @@
-"""A rate of something by the second, averaged with exponential decay."""
+"""A rate per second, averaged with exponential decay."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DecayedRate:
-    """What came by the second; in ``over_s`` what is known fades to a third. Times are a steady clock's seconds."""
+    """A rate per second; past amounts decay by a factor of e in ``over_s``. Times are seconds of a monotonic clock."""
 
     __slots__ = ("_at", "_over_s", "_value")
 
@@ -15,10 +15,10 @@
         self._value = self._at = 0.0
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        """So much came."""
+        """Add an amount at ``now``."""
         self._value = self.at(now) + amount / self._over_s
         self._at = now
 
     def at(self, now: float) -> float:
-        """How much comes in a second."""
+        """Return the rate per second at ``now``."""
         return self._value * exp(-(now - self._at) / self._over_s)
