--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""An exception that ends a callback or a background task is counted, and a test or a soak that sees it fails."""
+"""Unhandled exceptions in callbacks and background tasks are counted and fail the test or soak where they occur."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 @pytest.fixture
 def lines() -> Iterator[list[str]]:
-    """What is logged."""
-    kept: list[str] = []
-    number = logger.add(kept.append, format="{message}")
-    yield kept
-    logger.remove(number)
+    """The messages that are logged."""
+    messages: list[str] = []
+    handler_id = logger.add(messages.append, format="{message}")
+    yield messages
+    logger.remove(handler_id)
 
 
 async def _fails() -> None:
@@ -91,7 +91,7 @@
 def test_a_dialer_goes_on_after_an_attempt_that_failed_by_a_fault_of_the_code(
     monkeypatch: pytest.MonkeyPatch, lines: list[str]
 ) -> None:
-    """Were its task over, the peer would never be linked again."""
+    """If its task ended, the peer would never be connected again."""
     attempts = 0
 
     async def dial(*_arguments: object) -> Link:
@@ -112,7 +112,7 @@
 
 
 class _IgnoringOwner:
-    """An owner of links that wants to hear nothing."""
+    """An owner of links that ignores all events."""
 
     def link_up(self, link: Link) -> None:
         """Ignore it."""
@@ -125,7 +125,7 @@
 
 
 def run_tests(folder: Path, source: str) -> str:
-    """Run a test file beside a copy of this folder's ``conftest``; what pytest prints."""
+    """Run a test file beside a copy of this folder's ``conftest``; return the output of pytest."""
     own = Path(__file__).parent
     for name in ("conftest.py", "known_red.py"):
         (folder / name).write_text((own / name).read_text(encoding="utf-8"), encoding="utf-8")
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("how", ["callback", "task"])
 def test_a_test_that_sees_an_exception_unhandled_fails(tmp_path: Path, how: str) -> None:
-    """The fixture of ``conftest`` is run on a test that leaves one behind."""
+    """Runs the fixture of ``conftest`` on a test that leaves an unhandled exception."""
     result = run_tests(
         tmp_path,
         f"""
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Stories of clients that ask for what can't be served, or for nothing; the others are served."""
+"""Clients that send invalid or incomplete requests, or none: the others are still served."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent_bytes",
     [
         b"",
         HEAD,
@@ -28,25 +28,25 @@
     ],
     ids=["silent", "head", "body", "chunks"],
 )
-def test_a_request_that_does_not_end_in_time_is_closed_on(tmp_path: Path, said: bytes) -> None:
+def test_a_request_that_does_not_end_in_time_is_closed_on(tmp_path: Path, sent_bytes: bytes) -> None:
     own = ("door.kept_idle_s=0.1", "door.request_s=0.3", "door.most_idle_s=0.3")
 
-    async def story(s: ProxyHarness) -> None:
-        for before in (b"", WHOLE_REQUEST):  # on a fresh connection, and on one that has had an answer
+    async def scenario(s: ProxyHarness) -> None:
+        for before in (b"", WHOLE_REQUEST):  # on a new connection, and on one that has had an answer
             reader, writer = await connected(s)
             if before:
                 writer.write(before)
                 assert (await reader.readuntil(b"\r\n\r\nok")).startswith(b"HTTP/1.1 200")
-            writer.write(said)
+            writer.write(sent_bytes)
             assert await reader.read() == b""
-        assert s.proxy.counters["requests_unfinished"] == (2 if said else 1)
+        assert s.proxy.counters["requests_unfinished"] == (2 if sent_bytes else 1)
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, UpstreamHost(), own=own)
+    play(tmp_path, scenario, UpstreamHost(), own=own)
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("sent_bytes", "status"),
     [
         (HEAD + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
         (HEAD + b"Content-Length: 60000000\r\n\r\n", 413),
@@ -60,25 +60,25 @@
     ids=["both lengths", "60 MB", "two lengths", "two classes", "method", "path", "id", "fields"],
 )
 def test_what_no_usual_client_sends_is_answered_with_an_error_and_gets_no_leg(
-    tmp_path: Path, said: bytes, status: int
+    tmp_path: Path, sent_bytes: bytes, status: int
 ) -> None:
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         reader, writer = await connected(s)
-        writer.write(said)
+        writer.write(sent_bytes)
         assert int((await reader.readline()).split()[1]) == status
-        await reader.read()  # and the connection ends
+        await reader.read()  # until the connection is closed
         assert s.proxy.counters["legs_sent"] == 0
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
 
 
 def test_the_id_of_a_request_that_is_open_is_refused_and_may_come_again_later(tmp_path: Path) -> None:
     host = UpstreamHost(lambda n: None if n == 1 else b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         first = asyncio.ensure_future(s.ask())
         await until(lambda: len(host.requests) == 1)
         assert (await s.ask("order"))[0] == 400
@@ -86,7 +86,7 @@
         await until(lambda: s.proxy.counters["clients_left"] == 1)
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert len(host.requests) == 2
 
 
@@ -95,7 +95,7 @@
 ) -> None:
     monkeypatch.setattr("cranebank.http.client_connections.NEW_CONNECTION_GRACE_US", 0)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         flood = [await connected(s) for _ in range(60)]
         for _ in range(8):
             assert (await s.ask())[0] == 200
@@ -103,25 +103,25 @@
         for _, writer in flood:
             writer.close()
 
-    play(tmp_path, story, UpstreamHost(), sockets=96)
+    play(tmp_path, scenario, UpstreamHost(), sockets=96)
 
 
 def test_clients_that_ask_once_and_stay_are_closed_on_when_room_is_short(tmp_path: Path) -> None:
-    async def story(s: ProxyHarness) -> None:
-        kept = []
+    async def scenario(s: ProxyHarness) -> None:
+        clients = []
         for _ in range(40):
             reader, writer = await connected(s)
             writer.write(WHOLE_REQUEST)
             assert (await reader.readline()).startswith(b"HTTP/1.1 200")
-            kept.append((reader, writer))
-        await kept[0][0].read()  # the longest idle goes
+            clients.append((reader, writer))
+        await clients[0][0].read()  # the connection that was idle longest is closed
         assert s.proxy.counters["requests_unfinished"] == 0
 
-    play(tmp_path, story, UpstreamHost(), sockets=96, own=("door.kept_idle_s=0.1",))
+    play(tmp_path, scenario, UpstreamHost(), sockets=96, own=("door.kept_idle_s=0.1",))
 
 
 def test_when_places_run_short_an_answer_is_the_last_on_its_connection(tmp_path: Path) -> None:
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert "Connection" not in (await s.ask())[2]
         flood = [await connected(s) for _ in range(40)]
         await until(lambda: s.proxy.places_taken >= 40)
@@ -131,4 +131,4 @@
         await until(lambda: s.proxy.places_taken <= 1)
         assert "Connection" not in (await s.ask())[2]
 
-    play(tmp_path, story, UpstreamHost(), sockets=96)
+    play(tmp_path, scenario, UpstreamHost(), sockets=96)
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -1,4 +1,4 @@
-"""No module and no package of cranebank imports itself by way of others, not even lazily or for type checking."""
+"""Checks that modules and packages of cranebank have no import cycles, not even lazy or type-checking ones."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 
 
 def module_name(path: Path) -> str:
-    """The dotted name of a source file."""
+    """Return the dotted module name of a source file."""
     return ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
 
 
 def imported(tree: ast.AST, modules: Iterable[str]) -> frozenset[str]:
-    """Modules of the package that are imported anywhere in a file."""
-    found = set()
+    """Return the modules of the package that are imported anywhere in a file."""
+    names = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
+            names |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom) and node.module:
             assert node.level == 0, "expected absolute imports"
-            found |= {f"{node.module}.{alias.name}" for alias in node.names} | {node.module}
-    return frozenset(found) & frozenset(modules) - {PACKAGE}
+            names |= {f"{node.module}.{alias.name}" for alias in node.names} | {node.module}
+    return frozenset(names) & frozenset(modules) - {PACKAGE}
 
 
 def module_graph(sources: Mapping[str, str]) -> Graph:
-    """What each module imports."""
+    """Map each module to the modules that it imports."""
     return {name: imported(ast.parse(source), sources) - {name} for name, source in sources.items()}
 
 
 def package_of(module: str, packages: Iterable[str]) -> str:
-    """The package right below the root that a module belongs to; a module beside them stands for itself."""
+    """Return the top-level subpackage of a module, or the module itself if it is in none."""
     return next((package for package in packages if module.startswith(f"{package}.")), module)
 
 
 def package_graph(modules: Graph, packages: Iterable[str]) -> Graph:
-    """What each package imports."""
+    """Map each package to the packages that it imports."""
     names = tuple(packages)
     graph: dict[str, set[str]] = {}
     for module, others in modules.items():
@@ -50,28 +50,28 @@
 
 
 def reachable(graph: Graph, start: str) -> set[str]:
-    """All nodes that a node leads to."""
-    seen: set[str] = set()
+    """Return all nodes that can be reached from a node."""
+    visited: set[str] = set()
     waiting = [start]
     while waiting:
-        new = graph.get(waiting.pop(), frozenset()) - seen
-        seen |= new
+        new = graph.get(waiting.pop(), frozenset()) - visited
+        visited |= new
         waiting += new
-    return seen
+    return visited
 
 
 def cycles(graph: Graph) -> set[frozenset[str]]:
-    """Groups of nodes that reach each other."""
+    """Return the groups of nodes that reach each other."""
     reached = {name: reachable(graph, name) for name in graph}
     return {
-        frozenset(other for other in there if name in reached[other])
-        for name, there in reached.items()
-        if name in there
+        frozenset(other for other in reached_nodes if name in reached[other])
+        for name, reached_nodes in reached.items()
+        if name in reached_nodes
     }
 
 
 def sources() -> dict[str, str]:
-    """The text of each module."""
+    """Return the source text of each module."""
     return {module_name(path): path.read_text(encoding="utf-8") for path in (ROOT / PACKAGE).rglob("*.py")}
 
 
