--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -33,14 +33,14 @@
     """Holds each connection from the ``after``-th dial on, once it is up, until ``released`` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, after: int = 1) -> None:
-        self.released, self.dials, self.connections = asyncio.Event(), 0, list[UpstreamConnection]()
+        self.released, self.dials, self.held_connections = asyncio.Event(), 0, list[UpstreamConnection]()
         original_take = ConnectionPool.take
 
         async def take(pool: ConnectionPool, host: str, address: str) -> UpstreamConnection:
             connection = await original_take(pool, host, address)
             self.dials += 1
             if self.dials >= after:
-                self.connections.append(connection)
+                self.held_connections.append(connection)
                 try:
                     await self.released.wait()
                 except BaseException:
@@ -189,7 +189,7 @@
         original_leg_ended = s.proxy._engine._rules._leg_ended
 
         def make_room(message: LegEnded) -> None:
-            (connection,) = held.connections
+            (connection,) = held.held_connections
             assert not connection.sent
             connection._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
             original_leg_ended(message)
