--- a/cranebank/http/socket_state.py
+++ b/cranebank/http/socket_state.py
@@ -1,4 +1,4 @@
-"""A look at a socket without taking anything from it, and a listener's last turn."""
+"""Checks of a socket's state that read nothing from it, and an orderly end of accepting connections."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 def readable(sock: Any) -> bool:
-    """Whether bytes, an end or a new connection wait at a socket."""
-    return _found(sock, select.POLLIN)
+    """Return whether bytes, a FIN or a new connection are pending on a socket."""
+    return _poll(sock, select.POLLIN)
 
 
-def gone(sock: Any) -> bool:
-    """Whether the peer has ended its side or all of it, be it behind bytes that nobody has read."""
-    return _found(sock, select.POLLRDHUP)
+def peer_has_ended(sock: Any) -> bool:
+    """Return whether the peer has closed its sending side or the connection, even if unread bytes precede that."""
+    return _poll(sock, select.POLLRDHUP)
 
 
-def broken(sock: Any) -> bool:
-    """Whether a connection was reset or is over both ways."""
-    return _found(sock, 0)  # POLLERR and POLLHUP are told unasked
+def is_reset_or_closed(sock: Any) -> bool:
+    """Return whether a connection was reset or is closed in both directions."""
+    return _poll(sock, 0)  # POLLERR and POLLHUP are always reported
 
 
-def _found(sock: Any, asked: int) -> bool:
+def _poll(sock: Any, events: int) -> bool:
     poll = select.poll()
-    poll.register(sock.fileno(), asked)
+    poll.register(sock.fileno(), events)
     return bool(poll.poll(0))
 
 
 async def stop_accepting(server: asyncio.Server) -> None:
-    """Accept no more, and let what was accepted in this turn of the loop get its protocol.
+    """Stop accepting, and let connections that were accepted in this loop iteration get their protocols.
 
-    Guards whoever has just been let in: a connection whose protocol is made after ``server.close()`` is dropped by
-    asyncio without being ended, and its client waits for an answer until the garbage is collected.
+    Guards clients accepted last: asyncio drops a connection whose protocol is created after ``server.close()`` without
+    closing it, and its client waits for an answer until garbage collection.
     """
     loop = asyncio.get_running_loop()
     for sock in server.sockets:
