--- a/cranebank/dataplane/attempts.py
+++ b/cranebank/dataplane/attempts.py
@@ -4,8 +4,8 @@
 
 from cranebank.invariants import invariant_error
 
-UNSENT = 4  # calls of one request that never left us, before it is given up
-FURTHER_READINGS = 1  # of one request's prompt after its first
+MAX_UNSENT = 4  # calls of one request that never left us, before it is given up
+MAX_REPEATED_PREFILLS = 1  # of one request's prompt after its first
 
 
 class Attempts:
@@ -33,14 +33,14 @@
     @property
     def never_left(self) -> bool:
         """Whether too many calls have come to nothing before they were sent."""
-        return self._unsent >= UNSENT
+        return self._unsent >= MAX_UNSENT
 
     def may_read(self) -> bool:
         """Whether the prompt may be read apart.
 
         The first reading that a backend takes up is no run; another one takes a try, and must leave one to make tokens.
         """
-        return self.readings <= FURTHER_READINGS and self.has_try_to_read()
+        return self.readings <= MAX_REPEATED_PREFILLS and self.has_try_to_read()
 
     def has_try_to_read(self) -> bool:
         """Whether the tries allow for another reading now, beside the run that makes the tokens."""
--- a/cranebank/dataplane/backend_answers.py
+++ b/cranebank/dataplane/backend_answers.py
@@ -11,7 +11,9 @@
 NOT_RUN_MARK = "x-not-run"
 MISDIRECTED = 421  # this is another backend, or it does other work than it was sent
 REJECTIONS = frozenset({MISDIRECTED, 429, 503})  # with the mark; 421 says it by itself
-PROMISES = frozenset({408, MISDIRECTED, 429, 503})  # to a client these say that the request has not run and never will
+NOT_RUN_STATUSES = frozenset(
+    {408, MISDIRECTED, 429, 503}
+)  # to a client these say that the request has not run and never will
 
 
 class AnswerKind(Enum):
@@ -30,7 +32,7 @@
         return AnswerKind.SEALED if SEAL in headers else AnswerKind.UNSEALED
     if status in REJECTIONS and (status == MISDIRECTED or NOT_RUN_MARK in headers):
         return AnswerKind.REJECTED
-    return AnswerKind.UNPROVEN if status in PROMISES else AnswerKind.FAILED
+    return AnswerKind.UNPROVEN if status in NOT_RUN_STATUSES else AnswerKind.FAILED
 
 
 class _Reading(msgspec.Struct):
--- a/cranebank/dataplane/backend_connections.py
+++ b/cranebank/dataplane/backend_connections.py
@@ -20,16 +20,16 @@
 from cranebank.http.socket_state import readable
 from cranebank.transport.messages import Backend
 
-DIAL_S = 0.3  # many times the way between zones; a backend that has gone dark costs a request no more
+CONNECT_TIMEOUT_S = 0.3  # many times the way between zones; a backend that has gone dark costs a request no more
 TCP_USER_TIMEOUT_MS = 1000  # bytes that a silent machine has not acknowledged for so long end the connection
-REST_S = 0.005  # before a connection is used again: what belongs to no answer comes right behind it
-IDLE_S = 4.0  # kept idle where a backend names no time
-IDLE_MARGIN_S = 0.6  # closed so much before the backend would: a request must not cross its end
-WIRE_BYTES = 64 << 20
-SWEEP_S = 0.5
+REUSE_DELAY_S = 0.005  # before a connection is used again: what belongs to no answer comes right behind it
+DEFAULT_IDLE_S = 4.0  # kept idle where a backend names no time
+IDLE_CLOSE_MARGIN_S = 0.6  # closed so much before the backend would: a request must not cross its end
+MAX_ANSWER_BYTES = 64 << 20
+SWEEP_INTERVAL_S = 0.5
 HIGH_WATER = 256 << 10
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d{3}")
-FREE_S = 2.0  # a backend that does not confirm the freeing of a handle for so long gets its connection closed
+FREE_TIMEOUT_S = 2.0  # a backend that does not confirm the freeing of a handle for so long gets its connection closed
 
 
 class Listener(Protocol):
@@ -60,7 +60,7 @@
         self.transport: asyncio.Transport | None = None
         self._listener: Listener | None = None
         self._leg = 0
-        self.idle_from, self.idle_for = 0.0, IDLE_S
+        self.idle_from, self.idle_for = 0.0, DEFAULT_IDLE_S
         self._busy = self._done = self._strange = False
         self._earlier_named = True  # all earlier calls on this connection carried an attempt's id
 
@@ -132,7 +132,7 @@
                 self._pool.give_back(self)
             else:
                 self._close()
-        elif self._wire > WIRE_BYTES:
+        elif self._wire > MAX_ANSWER_BYTES:
             self._fail()
             self._close()
 
@@ -242,8 +242,8 @@
     for part in headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdigit():
-            return max(0.0, int(value) - max(IDLE_MARGIN_S, 0.1 * int(value)))
-    return IDLE_S
+            return max(0.0, int(value) - max(IDLE_CLOSE_MARGIN_S, 0.1 * int(value)))
+    return DEFAULT_IDLE_S
 
 
 class Pool:
@@ -266,7 +266,7 @@
         found = None
         while held and found is None:
             connection = held.pop()
-            if now - connection.idle_from < REST_S:
+            if now - connection.idle_from < REUSE_DELAY_S:
                 resting.append(connection)
             elif (
                 now - connection.idle_from < connection.idle_for
@@ -288,7 +288,7 @@
         connection = Connection(self, backend)
         held.add(connection)
         try:
-            async with asyncio.timeout(DIAL_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: connection, host, int(port))
         except (OSError, ValueError) as error:
             self.forget(connection)
@@ -302,12 +302,12 @@
     def give_back(self, connection: Connection) -> None:
         """Keep a connection for its next request."""
         connection.idle_from = asyncio.get_running_loop().time()
-        if connection.idle_for <= REST_S:
+        if connection.idle_for <= REUSE_DELAY_S:
             connection.abort()
             return
         self._idle.setdefault(connection.backend.id, []).append(connection)
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
+            self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def forget(self, connection: Connection) -> None:
         """It is over."""
@@ -336,14 +336,14 @@
         nobody = _Nobody()
         request = f"DELETE /api/kv-handle/{handle} HTTP/1.1\r\nHost: {backend.address}\r\n\r\n"
         connection.call(nobody, 0, "", request.encode())
-        asyncio.get_running_loop().call_later(FREE_S, connection.give_up, nobody)
+        asyncio.get_running_loop().call_later(FREE_TIMEOUT_S, connection.give_up, nobody)
 
     def _sweep(self) -> None:
         now = asyncio.get_running_loop().time()
         for held in list(self._idle.values()):
             for connection in [c for c in held if now - c.idle_from >= c.idle_for]:
                 connection.abort()
-        self._timer = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep) if self._idle else None
+        self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep) if self._idle else None
 
 
 class _Nobody:
--- a/cranebank/dataplane/blended_draw.py
+++ b/cranebank/dataplane/blended_draw.py
@@ -12,7 +12,7 @@
 from cranebank.decayed_rate import DecayedRate
 from cranebank.decisions.balance import beta
 
-RATE_S = 2.0  # seconds over which the rate of calls is averaged
+RATE_AVERAGING_S = 2.0  # seconds over which the rate of calls is averaged
 
 
 class BlendedDraw:
@@ -26,7 +26,7 @@
 
     def called(self, now: float, service: str, stage: str) -> None:
         """Any call counts in the rate behind b, also one that is refused, fails or is a repeat."""
-        self._rates.setdefault((service, stage), DecayedRate(RATE_S)).add(now)
+        self._rates.setdefault((service, stage), DecayedRate(RATE_AVERAGING_S)).add(now)
 
     def blend(
         self, now: float, service: str, stage: str, listed: list[BackendView], drawn: tuple[BackendView, BackendView]
@@ -36,7 +36,7 @@
             return 1.0
         age = now - max(self.neighbour_loads_at, min(drawn[0].figured_at, drawn[1].figured_at))
         rate = self._rates.get((service, stage))
-        calls = (rate.at(now) if rate else 0.0) * self.proxies * min(age, RATE_S)
+        calls = (rate.at(now) if rate else 0.0) * self.proxies * min(age, RATE_AVERAGING_S)
         return min(1.0, beta(len(listed), calls))
 
     def draw(self, listed: list[BackendView]) -> tuple[BackendView, BackendView]:
--- a/cranebank/dataplane/by_zone.py
+++ b/cranebank/dataplane/by_zone.py
@@ -5,7 +5,7 @@
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.candidates import Candidates
 
-NONE: list[BackendView] = []
+EMPTY: list[BackendView] = []
 
 
 class ByZone:
@@ -18,7 +18,7 @@
     def of(self, listed: list[BackendView], zone: str) -> list[BackendView]:
         """Those of a ready list that are in a zone; not to be changed."""
         if not zone or not listed:
-            return NONE
+            return EMPTY
         backend, version = listed[0].backend, self._candidates.version
         key = (backend.target, backend.stage)
         known = self._known.get(key)
@@ -27,4 +27,4 @@
             for seen in listed:
                 zones.setdefault(seen.backend.zone, []).append(seen)
             known = self._known[key] = (listed, version, zones)
-        return known[2].get(zone, NONE)
+        return known[2].get(zone, EMPTY)
--- a/cranebank/dataplane/cache_view.py
+++ b/cranebank/dataplane/cache_view.py
@@ -12,7 +12,7 @@
 
 CACHE_SHARE = 0.8  # of a backend's memory: the rest is for what runs
 PREFILL_CACHE_SHARE = 1.0  # of a prefill backend's: nothing runs there for long, and a part missed is read once more
-ENTRIES = 4096  # parts a backend, whatever their size
+MAX_ENTRIES = 4096  # parts a backend, whatever their size
 
 
 class _Entry(msgspec.Struct, frozen=True, gc=False):
@@ -37,7 +37,7 @@
         self.entries[name] = entry
 
     def trim(self, most: float) -> None:
-        while self.entries and (self.tokens > most or len(self.entries) > ENTRIES):
+        while self.entries and (self.tokens > most or len(self.entries) > MAX_ENTRIES):
             self.tokens -= self.entries.popitem(last=False)[1].tokens
 
 
--- a/cranebank/dataplane/candidates.py
+++ b/cranebank/dataplane/candidates.py
@@ -11,11 +11,13 @@
 from cranebank.membership.backends import newer
 from cranebank.transport.messages import Backend
 
-GONE_KEPT = 4096  # ended backends that are remembered, so that late news of them changes nothing
-LOST_KEPT = 8192  # backends whose heartbeats ceased that are remembered: all of a large fleet may be lost at once
-CHECK_S = 0.1  # between two checks of an empty list against all backends
-AWAY_S = (0.5, 8.0)  # a backend that failed us is left alone for so long, at first and at most
-DOUBT_S = 1.5  # behind that one that was not reached may be cold: by then its next heartbeat has told
+MAX_REMEMBERED_GONE = 4096  # ended backends that are remembered, so that late news of them changes nothing
+MAX_REMEMBERED_LOST = (
+    8192  # backends whose heartbeats ceased that are remembered: all of a large fleet may be lost at once
+)
+EMPTY_CHECK_INTERVAL_S = 0.1  # between two checks of an empty list against all backends
+BACKOFF_S = (0.5, 8.0)  # a backend that failed us is left alone for so long, at first and at most
+COLD_DOUBT_S = 1.5  # behind that one that was not reached may be cold: by then its next heartbeat has told
 
 
 def _place(backend: Backend) -> Place:
@@ -52,11 +54,11 @@
                 over.append(record.id)
                 self._forget(record.id)
                 self._gone[record.id] = None
-                while len(self._gone) > GONE_KEPT:
+                while len(self._gone) > MAX_REMEMBERED_GONE:
                     del self._gone[next(iter(self._gone))]
             else:
                 self._replace(record, now)
-        while len(self._lost) > LOST_KEPT:
+        while len(self._lost) > MAX_REMEMBERED_LOST:
             oldest = next(iter(self._lost))
             over.append(oldest)
             self._forget(oldest)
@@ -243,7 +245,7 @@
         """Look at all backends, which may be thousands, once in a while."""
         if now < self._check_again_at:
             return
-        self._check_again_at = now + CHECK_S
+        self._check_again_at = now + EMPTY_CHECK_INTERVAL_S
         if any(
             _place(seen.backend) == place and self._may_be_tried(now, seen)
             for seen in self._usable(now, list(self.views.values()), without)
@@ -279,11 +281,11 @@
         if seen is None:
             return
         if seen.away_until <= now:
-            seen.away_for = min(max(2 * seen.away_for, AWAY_S[0]), AWAY_S[1])
+            seen.away_for = min(max(2 * seen.away_for, BACKOFF_S[0]), BACKOFF_S[1])
             seen.away_until = now + seen.away_for
             self._away.add(backend)
         if may_be_down:
-            self.cold.doubt(seen.backend, seen.away_until + DOUBT_S)
+            self.cold.doubt(seen.backend, seen.away_until + COLD_DOUBT_S)
 
     def answered(self, now: float, backend: str) -> None:
         """An answer came."""
--- a/cranebank/dataplane/dispatch.py
+++ b/cranebank/dataplane/dispatch.py
@@ -10,7 +10,7 @@
 from cranebank.dataplane.client_answer import ClientAnswer
 from cranebank.dataplane.exchange_events import Call
 from cranebank.dataplane.open_legs import Handle, Leg, OpenLegs
-from cranebank.dataplane.pair import ALONE
+from cranebank.dataplane.pair import MAX_LOCAL_PREFILL_TOKENS
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Engine, Route
 from cranebank.dataplane.shared import Shared
@@ -18,9 +18,14 @@
 from cranebank.transport.messages import PrefillBegun
 
 HANDLE_MARGIN_S = 0.5  # of a handle's life that is not relied on
-SILENT_READ = 4.0  # a reading is given up after so many times its estimate with what is read before it, and a start
-SILENT_START_S = 0.4
-SILENT_MAKE_S, SILENT_GOALS = 0.9, 3.0  # a second copy goes out after so long, or so many goals, without a head
+PREFILL_TIMEOUT_FACTOR = (
+    4.0  # a reading is given up after so many times its estimate with what is read before it, and a start
+)
+PREFILL_TIMEOUT_BASE_S = 0.4
+SECOND_COPY_DELAY_S, SECOND_COPY_DELAY_GOALS = (
+    0.9,
+    3.0,
+)  # a second copy goes out after so long, or so many goals, without a head
 
 
 class Dispatch:
@@ -142,7 +147,9 @@
         )  # one with much to read is late with it, and not silent
         estimate_s = wait_s + pairs.pace(self._service, "prefill").estimate(tokens) / 1e3
         headers = (("X-Stage", "prefill"), self._priority())
-        leg, call = self._send(now, prefill_backend, tokens, True, headers, SILENT_START_S + SILENT_READ * estimate_s)
+        leg, call = self._send(
+            now, prefill_backend, tokens, True, headers, PREFILL_TIMEOUT_BASE_S + PREFILL_TIMEOUT_FACTOR * estimate_s
+        )
         leg.is_counted = is_counted
         # What is thought to be kept may not be: only a whole prompt at an idle backend tells how fast it reads.
         leg.found_idle = leg.found_idle and not wait_s and tokens >= self._prompt.tokens
@@ -172,7 +179,7 @@
         self._attempts.make()
         silent_s = None
         if self._route.repeatable and self._attempts.are_left:
-            silent_s = max(SILENT_MAKE_S, SILENT_GOALS * self._route.goal_ms / 1e3)
+            silent_s = max(SECOND_COPY_DELAY_S, SECOND_COPY_DELAY_GOALS * self._route.goal_ms / 1e3)
         leg, call = self._send(now, decode_backend, tokens, False, tuple(headers), silent_s)
         leg.handle = handle
         return call
@@ -206,7 +213,9 @@
         leg = self._legs.open(now, seen, tokens, reads, silent_s)
         choices = self._shared.choices
         choices.draws.called(now, self._service, seen.backend.stage)
-        if reads or tokens > ALONE:  # also what is read where tokens are made since nobody is there to read it
+        if (
+            reads or tokens > MAX_LOCAL_PREFILL_TOKENS
+        ):  # also what is read where tokens are made since nobody is there to read it
             leg.reading_s = choices.pairs.pace(self._service, "prefill").token * tokens / 1e3
             self._shared.load.add_prefill(now, self._service, leg.reading_s)
         if self._engine is not None:
--- a/cranebank/dataplane/events_stream.py
+++ b/cranebank/dataplane/events_stream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-MOST = 1 << 20  # bytes of one unfinished event; an engine's events are some hundred bytes
+MAX_EVENT_BYTES = 1 << 20  # bytes of one unfinished event; an engine's events are some hundred bytes
 
 
 class EventTooLong(Exception):
@@ -25,7 +25,7 @@
         if end < 2 or (end < 4 and b"\n\n" not in held):
             end = 0
         whole, self._rest = held[:end], held[end:]
-        if len(self._rest) > MOST:
+        if len(self._rest) > MAX_EVENT_BYTES:
             raise EventTooLong
         at = whole.rfind(b"id:")
         while at > 0 and whole[at - 1 : at] != b"\n":
--- a/cranebank/dataplane/exchange.py
+++ b/cranebank/dataplane/exchange.py
@@ -39,24 +39,24 @@
 from cranebank.dataplane.shared import Shared
 from cranebank.invariants import invariant_error
 
-SILENT_STREAM_S = 0.6  # a stream that may be resumed is given up after so long without an event
-UNPASSED_BYTES = 1 << 20  # of an answer that is held until it is whole
+STREAM_SILENCE_TIMEOUT_S = 0.6  # a stream that may be resumed is given up after so long without an event
+MAX_HELD_ANSWER_BYTES = 1 << 20  # of an answer that is held until it is whole
 
 
 class State(Enum):
     """Of one request."""
 
     NEW = auto()
-    READING = auto()  # a prefill backend reads the prompt
-    MAKING = auto()  # a decode backend has the request; nothing was passed on
+    PREFILLING = auto()  # a prefill backend reads the prompt
+    DECODING = auto()  # a decode backend has the request; nothing was passed on
     STREAMING = auto()  # part of the answer was passed on
     OVER = auto()
 
 
-NEXT = {
-    State.NEW: {State.READING, State.MAKING, State.OVER},
-    State.READING: {State.READING, State.MAKING, State.OVER},
-    State.MAKING: {State.READING, State.MAKING, State.STREAMING, State.OVER},
+TRANSITIONS = {
+    State.NEW: {State.PREFILLING, State.DECODING, State.OVER},
+    State.PREFILLING: {State.PREFILLING, State.DECODING, State.OVER},
+    State.DECODING: {State.PREFILLING, State.DECODING, State.STREAMING, State.OVER},
     State.STREAMING: {State.OVER},
     State.OVER: set(),
 }
@@ -138,7 +138,7 @@
         return self.state is State.OVER
 
     def _change(self, state: State) -> None:
-        if state not in NEXT[self.state]:
+        if state not in TRANSITIONS[self.state]:
             raise invariant_error("states of a request follow one another", f"{self.state} to {state}")
         self.state = state
 
@@ -161,9 +161,9 @@
         if leg is None:
             raise invariant_error("a planned call has its leg")
         if leg.reads:
-            self._change(State.READING)
+            self._change(State.PREFILLING)
         elif self.state is not State.STREAMING:
-            self._change(State.MAKING)
+            self._change(State.DECODING)
         self._actions.append(call)
 
     def _abort(self, now: float, leg: Leg) -> None:
@@ -197,14 +197,14 @@
         if leg is None:
             return
         if not leg.answering:
-            if len(leg.body) + len(data) > UNPASSED_BYTES:
+            if len(leg.body) + len(data) > MAX_HELD_ANSWER_BYTES:
                 self._abort(now, leg)
                 self._again_or_end(now, leg)
                 return
             leg.body += data
             return
         if self._answer.is_resumable:
-            leg.silent_at = now + SILENT_STREAM_S if self._attempts.are_left else None
+            leg.silent_at = now + STREAM_SILENCE_TIMEOUT_S if self._attempts.are_left else None
         try:
             self._pass(self._answer.pass_on(leg, data))
         except EventTooLong:
--- a/cranebank/dataplane/front.py
+++ b/cranebank/dataplane/front.py
@@ -19,9 +19,9 @@
 from cranebank.http.socket_state import readable
 from cranebank.invariants import invariant_error
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 HIGH_WATER = 128 << 10
-AHEAD_BYTES = 64 << 10  # of a next request that came too early; more is left in the kernel
+MAX_PIPELINED_BYTES = 64 << 10  # of a next request that came too early; more is left in the kernel
 LINGER_S = 0.5
 
 
@@ -90,7 +90,7 @@
             return
         if self.open or self._ahead:
             self._ahead += data
-            if len(self._ahead) > AHEAD_BYTES and self.transport is not None:
+            if len(self._ahead) > MAX_PIPELINED_BYTES and self.transport is not None:
                 self.transport.pause_reading()
             return
         self._feed(data)
@@ -255,7 +255,7 @@
         """A client has connected."""
         self._clients.add(client)
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
+            self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def lost(self, client: ClientConnection) -> None:
         """It has gone."""
@@ -270,4 +270,4 @@
         now, limits = asyncio.get_running_loop().time(), self.limits()
         for client in list(self._clients):
             client.sweep(now, limits)
-        self._timer = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep) if self._clients else None
+        self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep) if self._clients else None
--- a/cranebank/dataplane/offered_load.py
+++ b/cranebank/dataplane/offered_load.py
@@ -18,7 +18,7 @@
     10.0  # a burst, or a start with nothing kept, is no lasting load; a lost backend shows at once all the same
 )
 MAX_REPORTED_SERVICES = 64  # services that are told of: those with the most load
-LEAST = 0.001  # erlangs; less is not told
+MIN_REPORTED_ERLANGS = 0.001  # erlangs; less is not told
 
 
 class OfferedLoad:
@@ -47,7 +47,7 @@
             StageLoad(service, round(reading.get(service, 0.0), 4), round(self._decode_load.get(service, 0.0), 4))
             for service in reading.keys() | self._decode_load.keys()
         ]
-        loads = [load for load in loads if max(load.prefill, load.decode) >= LEAST]
+        loads = [load for load in loads if max(load.prefill, load.decode) >= MIN_REPORTED_ERLANGS]
         if len(loads) > MAX_REPORTED_SERVICES:
             loads = sorted(loads, key=lambda load: -max(load.prefill, load.decode))[:MAX_REPORTED_SERVICES]
         return tuple(loads)
@@ -68,5 +68,9 @@
         }
 
     def _forget_idle(self, reading: dict[str, float]) -> None:
-        self._prefill_load = {name: rate for name, rate in self._prefill_load.items() if reading[name] >= LEAST / 10}
-        self._decode_load = {name: load for name, load in self._decode_load.items() if load >= LEAST / 10}
+        self._prefill_load = {
+            name: rate for name, rate in self._prefill_load.items() if reading[name] >= MIN_REPORTED_ERLANGS / 10
+        }
+        self._decode_load = {
+            name: load for name, load in self._decode_load.items() if load >= MIN_REPORTED_ERLANGS / 10
+        }
--- a/cranebank/dataplane/pair.py
+++ b/cranebank/dataplane/pair.py
@@ -28,16 +28,20 @@
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Engine
 
-KEPT_HOMES = 4096  # shared parts of a service whose homes are remembered
-HOMES = 1  # where a long shared prompt that nobody keeps is read; at two it would be read twice
-ANEW = 3.0  # what is read although it is kept elsewhere counts so many times at least: others wait for it, and it costs
-HOME_LIKELY = 0.5  # how likely a part that nobody is known to keep is at its home still, at least
-WAITS_KEPT = 0.9  # of the waits and readings that congestion is averaged over, at each further one
-MEMORY_S = 10.0  # a proxy that began later than this knows little of what backends keep
-HOLD_UP = 0.1  # of its time, what a reading costs each stream that runs where it is read
-ALONE = 1024  # tokens that a decode backend may read itself: one piece; more would hold up those that stream there
-LATE_COST = 4.0  # a millisecond past the safe part of the goal counts as so many more
-SAFE = 0.6  # part of the goal for which an estimate may be relied on
+MAX_REMEMBERED_HOMES = 4096  # shared parts of a service whose homes are remembered
+HOMES_PER_PREFIX = 1  # where a long shared prompt that nobody keeps is read; at two it would be read twice
+MIN_REREAD_WEIGHT = (
+    3.0  # what is read although it is kept elsewhere counts so many times at least: others wait for it, and it costs
+)
+MIN_HOME_HIT_PROBABILITY = 0.5  # how likely a part that nobody is known to keep is at its home still, at least
+CONGESTION_DECAY = 0.9  # of the waits and readings that congestion is averaged over, at each further one
+CACHE_LEARNING_S = 10.0  # a proxy that began later than this knows little of what backends keep
+STREAM_DELAY_SHARE = 0.1  # of its time, what a reading costs each stream that runs where it is read
+MAX_LOCAL_PREFILL_TOKENS = (
+    1024  # tokens that a decode backend may read itself: one piece; more would hold up those that stream there
+)
+LATE_COST_FACTOR = 4.0  # a millisecond past the safe part of the goal counts as so many more
+SAFE_GOAL_SHARE = 0.6  # part of the goal for which an estimate may be relied on
 
 
 def _hash(key: str, backend: str) -> bytes:
@@ -85,11 +89,11 @@
         """The homes of a shared part; remembered while the list stays as it is."""
         service, version = listed[0].backend.target, self._candidates.version
         known = self._homes.get(service)
-        if known is None or known[0] is not listed or known[1] != version or len(known[2]) >= KEPT_HOMES:
+        if known is None or known[0] is not listed or known[1] != version or len(known[2]) >= MAX_REMEMBERED_HOMES:
             known = self._homes[service] = (listed, version, {})
         found = known[2].get(key)
         if found is None:
-            found = known[2][key] = nlargest(HOMES, listed, key=lambda seen: _hash(key, seen.backend.id))
+            found = known[2][key] = nlargest(HOMES_PER_PREFIX, listed, key=lambda seen: _hash(key, seen.backend.id))
         return found
 
     def visibility(self, now: float) -> float:
@@ -97,7 +101,7 @@
         if self._began_at is None:
             self._began_at = now
         told = (1 + self.prefill_reporters) / max(1, self.draws.proxies)
-        return min(1.0, told) * min(1.0, (now - self._began_at) / MEMORY_S)
+        return min(1.0, told) * min(1.0, (now - self._began_at) / CACHE_LEARNING_S)
 
     def wait_ms(self, now: float, service: str, seen: BackendView) -> float:
         """Milliseconds before a reading that is asked for now begins there."""
@@ -167,9 +171,9 @@
         anew = 0.0
         if tokens == prompt.tokens:  # nothing is known to be kept there
             if is_kept:
-                anew = max(0.0, ANEW - congestion) * prompt.shared_tokens
+                anew = max(0.0, MIN_REREAD_WEIGHT - congestion) * prompt.shared_tokens
             elif self._is_home(service, prompt, seen):
-                likely = max(HOME_LIKELY, 1.0 - self.visibility(now))  # another proxy may have had it read
+                likely = max(MIN_HOME_HIT_PROBABILITY, 1.0 - self.visibility(now))  # another proxy may have had it read
                 tokens -= likely * prompt.shared_tokens
         work = congestion * self._slowness(now, seen) * tokens + anew
         return self.wait_ms(now, service, seen) + self.pace(service, "prefill").token * work
@@ -181,8 +185,8 @@
         if not self._policy.congestion:
             return 1.0
         wait = sum(self.wait_ms(now, service, seen) for seen in drawn) / 2
-        self._waits = WAITS_KEPT * self._waits + wait
-        self._readings = WAITS_KEPT * self._readings + self.pace(service, "prefill").token * prompt.tokens
+        self._waits = CONGESTION_DECAY * self._waits + wait
+        self._readings = CONGESTION_DECAY * self._readings + self.pace(service, "prefill").token * prompt.tokens
         return 1.0 + self._waits / max(1.0, self._readings)
 
     def choose(
@@ -216,14 +220,14 @@
         streams = decode_backend.all_calls
         ahead = pace.token * (decode_backend.tokens + decode_backend.others_tokens) + streams
         tokens = self._unread(prompt, decode_backend)
-        alone = self._cost(pace.estimate(tokens) + ahead, goal_ms) + HOLD_UP * streams * pace.token * tokens
+        alone = self._cost(pace.estimate(tokens) + ahead, goal_ms) + STREAM_DELAY_SHARE * streams * pace.token * tokens
         if reading is None:
             return Plan(decode_backend, None, tokens, alone, blend)
         prefill_backend, read_ms, prefill_tokens = reading
         far = 1.0 if prefill_backend.backend.zone == decode_backend.backend.zone else 2.0
         move = far * prompt.tokens * engine.token_bytes * 8 / max(1.0, engine.link_mbps) / 1e3
         split = self._cost(read_ms + pace.start + move + ahead, goal_ms)
-        if tokens <= ALONE and alone <= split and self._policy.short_prompts_at_makers:
+        if tokens <= MAX_LOCAL_PREFILL_TOKENS and alone <= split and self._policy.short_prompts_at_makers:
             return Plan(decode_backend, None, tokens, alone, blend)
         return Plan(decode_backend, prefill_backend, prefill_tokens, split, blend)
 
@@ -233,7 +237,7 @@
 
     @staticmethod
     def _cost(time: float, goal_ms: float) -> float:
-        return time + LATE_COST * max(0.0, time - SAFE * goal_ms)
+        return time + LATE_COST_FACTOR * max(0.0, time - SAFE_GOAL_SHARE * goal_ms)
 
 
 class StagedChoice:
--- a/cranebank/dataplane/prefill_queue.py
+++ b/cranebank/dataplane/prefill_queue.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-MOST_S = 30.0  # longer than any client waits: a figure beyond it says nothing more
+MAX_QUEUE_S = 30.0  # longer than any client waits: a figure beyond it says nothing more
 SLOWNESS_GAIN = 0.15  # of one observation
 SLOWNESS_BOUNDS = 0.25, 16.0
-SLOWNESS_S = 10.0  # a backend that is avoided since it was slow is tried again when this has faded
+SLOWNESS_FADE_S = 10.0  # a backend that is avoided since it was slow is tried again when this has faded
 
 
 class Ticket(msgspec.Struct, frozen=True, gc=False):
@@ -39,7 +39,7 @@
 
     def add(self, now: float, seconds: float) -> Ticket:
         """A reading that takes so long comes last."""
-        self._until = min(max(now, self._until) + seconds, now + MOST_S)
+        self._until = min(max(now, self._until) + seconds, now + MAX_QUEUE_S)
         return Ticket(seconds, self._until - self._slipped)
 
     def take_back(self, ticket: Ticket) -> None:
@@ -50,7 +50,7 @@
         """A reading of our own is over: all that follow it are as early or late as it was."""
         slip = now - ticket.over_at - self._slipped
         self._slipped += slip
-        self._until = min(max(now, self._until + slip), now + MOST_S)
+        self._until = min(max(now, self._until + slip), now + MAX_QUEUE_S)
 
 
 class Slowness:
@@ -70,4 +70,4 @@
 
     def at(self, now: float) -> float:
         """What is thought now."""
-        return 1.0 + (self._value - 1.0) * exp(-max(0.0, now - self._at) / SLOWNESS_S)
+        return 1.0 + (self._value - 1.0) * exp(-max(0.0, now - self._at) / SLOWNESS_FADE_S)
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -48,9 +48,9 @@
 from cranebank.dataplane.stage_watch import StageWatch
 from cranebank.transport.messages import Backend, PrefillBegun, StageLoad, WarmUpPermits
 
-OWN_HEADERS = frozenset({"x-deadline-left", "last-event-id", "x-target-instance", "x-stage", "kv-from", "priority"})
-TOKENS_MOST = 1 << 24  # of one prompt; a figure beyond it is none
-DEADLINE_MS = 60_000.0  # where a client names none
+PROXY_HEADERS = frozenset({"x-deadline-left", "last-event-id", "x-target-instance", "x-stage", "kv-from", "priority"})
+MAX_PROMPT_TOKENS = 1 << 24  # of one prompt; a figure beyond it is none
+DEFAULT_DEADLINE_MS = 60_000.0  # where a client names none
 
 
 class RetryRule(msgspec.Struct, frozen=True):
@@ -91,7 +91,7 @@
         self.wakes_at = 0.0
         self.paused = False
         lines = [f"{request.method} {request.target} HTTP/1.1\r\n"]
-        lines += [f"{name}: {value}\r\n" for name, value in request.headers if name.lower() not in OWN_HEADERS]
+        lines += [f"{name}: {value}\r\n" for name, value in request.headers if name.lower() not in PROXY_HEADERS]
         if request.body or "content-length" in request.named or "transfer-encoding" in request.named:
             lines.append(f"Content-Length: {len(request.body)}\r\n")
         self.prefix = "".join(lines)
@@ -344,7 +344,7 @@
     def reading_begun(self, told: PrefillBegun) -> None:
         """Another proxy has asked a backend to read a prompt."""
         seen = self.shared.candidates.views.get(told.backend)
-        if seen is None or seen.backend.stage != "prefill" or not 0 < told.tokens <= TOKENS_MOST:
+        if seen is None or seen.backend.stage != "prefill" or not 0 < told.tokens <= MAX_PROMPT_TOKENS:
             return
         now = asyncio.get_running_loop().time()
         if told.slowness > 0.0:
@@ -375,7 +375,7 @@
         if left and not (left.isascii() and left.replace(".", "", 1).isdigit()):
             client.reply(Malformed("x-deadline-left"), None)
             return
-        until = now + (float(left) if left else DEADLINE_MS) / 1e3
+        until = now + (float(left) if left else DEFAULT_DEADLINE_MS) / 1e3
         service = route.service(self._random)
         known = self.table.services.get(service)
         exchange = Exchange(
--- a/cranebank/dataplane/readiness.py
+++ b/cranebank/dataplane/readiness.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import cast
 
-HELD_BYTES_MOST = 16_384  # of a request that is not complete
+MAX_HELD_BYTES = 16_384  # of a request that is not complete
 
 
 class Readiness(asyncio.Protocol):
@@ -29,5 +29,5 @@
             _, _, self._held = self._held.partition(b"\r\n\r\n")
             line = b"200 OK" if self._is_ready() else b"503 Service Unavailable"
             self._transport.write(b"HTTP/1.1 " + line + b"\r\ncontent-length: 0\r\n\r\n")
-        if len(self._held) > HELD_BYTES_MOST and self._transport is not None:
+        if len(self._held) > MAX_HELD_BYTES and self._transport is not None:
             self._transport.abort()
--- a/cranebank/dataplane/stage_watch.py
+++ b/cranebank/dataplane/stage_watch.py
@@ -1,7 +1,7 @@
 """Reports in the log when a stage of a service loses its last ready backend, and when it has one again.
 
 Requests for such a service are refused until then, so the loss is an ERROR: it writes out the log ring with what led
-to it. A stage that comes and goes is reported once in ``REPORT_AGAIN_S`` at most.
+to it. A stage that comes and goes is reported once in ``REPORT_INTERVAL_S`` at most.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from cranebank.transport.messages import Backend
 
-REPORT_AGAIN_S = 10.0  # between two reports of the same stage
-STAGES_MOST = 1024  # that are remembered; all are forgotten when there are more
+REPORT_INTERVAL_S = 10.0  # between two reports of the same stage
+MAX_REPORTED_STAGES = 1024  # that are remembered; all are forgotten when there are more
 
 
 class StageWatch:
@@ -32,11 +32,15 @@
         self._staffed = staffed
         for place in sorted(filled & self._reported.keys()):
             logger.info("service {}: a {} backend is ready again", *place)
-        due = [place for place in sorted(emptied) if now - self._reported.get(place, -REPORT_AGAIN_S) >= REPORT_AGAIN_S]
+        due = [
+            place
+            for place in sorted(emptied)
+            if now - self._reported.get(place, -REPORT_INTERVAL_S) >= REPORT_INTERVAL_S
+        ]
         if not due:
             return
         known = tuple(records)
-        if len(self._reported) >= STAGES_MOST:
+        if len(self._reported) >= MAX_REPORTED_STAGES:
             self._reported.clear()
         for service, stage in due:
             self._reported[service, stage] = now
--- a/cranebank/dataplane/suspects.py
+++ b/cranebank/dataplane/suspects.py
@@ -11,8 +11,10 @@
 
 from cranebank.dataplane.backend_view import BackendView
 
-ANSWERED_S = 3.0  # an answer vouches for so long: less than the time after which a dead backend is lost
-SUSPECT_S = 60.0  # a backend that was lost, and gave no answer, for longer is dead; controllers forget it then too
+ANSWER_VOUCHES_S = 3.0  # an answer vouches for so long: less than the time after which a dead backend is lost
+MAX_SUSPECT_AGE_S = (
+    60.0  # a backend that was lost, and gave no answer, for longer is dead; controllers forget it then too
+)
 FAIL_OPEN_SHARE = 0.5  # of the backends thought to be alive are ready: with fewer, suspects are used like them
 
 Place = tuple[str, str]
@@ -66,14 +68,14 @@
         unfailed = [seen for seen in self._by_place.get(place, {}).values() if not seen.has_failed]
         if not _are_enough(now, ready, len(unfailed)):
             return unfailed
-        return [seen for seen in unfailed if now - seen.answered_at <= ANSWERED_S]
+        return [seen for seen in unfailed if now - seen.answered_at <= ANSWER_VOUCHES_S]
 
     def _forget(self, now: float, place: Place) -> None:
         for backend, seen in list(self._by_place[place].items()):
-            if now - seen.lost_at <= SUSPECT_S:
+            if now - seen.lost_at <= MAX_SUSPECT_AGE_S:
                 return
             self.remove(place, backend)
-            if now - seen.answered_at <= SUSPECT_S:  # alive since: its minute begins anew
+            if now - seen.answered_at <= MAX_SUSPECT_AGE_S:  # alive since: its minute begins anew
                 seen.lost_at = seen.answered_at
                 self.add(place, seen)
 
@@ -91,4 +93,4 @@
 
 def is_last_resort(now: float, seen: BackendView) -> bool:
     """Whether a suspect may be tried where there is no other."""
-    return not seen.is_replaced and now - seen.lost_at <= SUSPECT_S and seen.away_until <= now
+    return not seen.is_replaced and now - seen.lost_at <= MAX_SUSPECT_AGE_S and seen.away_until <= now
--- a/tests/test_call_faults.py
+++ b/tests/test_call_faults.py
@@ -31,7 +31,7 @@
 SHORT_SILENCE_S = 0.03
 LONG_SILENCE_S = 0.12  # longer than this process stalls on a busy machine
 NO_SILENCE_S = 60.0  # where no backend falls silent, a stall of this process must not pass for one
-PROMISES = {408, 421, 429, 503}  # to clients: it has not run and never will
+NOT_RUN_STATUSES = {408, 421, 429, 503}  # to clients: it has not run and never will
 EVENTS = 2
 END = b"\r\n\r\nhi"  # of every request
 
@@ -225,7 +225,7 @@
         assert expected.startswith(found.body), f"{attempt}: {found.body!r}"
         assert found.body == expected or not found.is_whole, f"{attempt}: looks whole"
         return "whole" if found.is_whole else "unclear"
-    if found.status in PROMISES:
+    if found.status in NOT_RUN_STATUSES:
         assert not record.ran[attempt], f"{attempt}: {found.status} for what has run"
         return "refused"
     assert found.status in (0, 500, 502, 504), f"{attempt}: {found.status}"
@@ -245,10 +245,10 @@
 ) -> Record:
     """A proxy before scripted backends, which retries at once, after ``silence_s`` of silence, and without a bound on
     its budget."""
-    monkeypatch.setattr(backend_connections, "REST_S", 0.0)
-    monkeypatch.setattr(backend_connections, "DIAL_S", PATIENT_DIAL_S)
-    monkeypatch.setattr(dispatch, "SILENT_MAKE_S", silence_s)
-    monkeypatch.setattr(exchange, "SILENT_STREAM_S", silence_s)
+    monkeypatch.setattr(backend_connections, "REUSE_DELAY_S", 0.0)
+    monkeypatch.setattr(backend_connections, "CONNECT_TIMEOUT_S", PATIENT_DIAL_S)
+    monkeypatch.setattr(dispatch, "SECOND_COPY_DELAY_S", silence_s)
+    monkeypatch.setattr(exchange, "STREAM_SILENCE_TIMEOUT_S", silence_s)
     record = Record()
 
     async def run() -> None:
@@ -639,7 +639,7 @@
 
 def test_a_freeing_that_is_not_confirmed_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """Found by a review: the connection stayed busy for ever, and counted against the backend's bound."""
-    monkeypatch.setattr(backend_connections, "FREE_S", 0.01)
+    monkeypatch.setattr(backend_connections, "FREE_TIMEOUT_S", 0.01)
     monkeypatch.setattr(ScriptedBackend, "_request", lambda *_: None)
 
     async def story(made: Proxy, address: Address, record: Record) -> None:
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cranebank.dataplane.client_request import ClientRequest
-from cranebank.dataplane.front import SWEEP_S, ClientConnection, Front, Handler
+from cranebank.dataplane.front import SWEEP_INTERVAL_S, ClientConnection, Front, Handler
 from cranebank.dataplane.routes import ClientLimits
 
 LIMITS = ClientLimits(header_bytes=400, body_bytes=100, header_read_ms=3_000, idle_ms=15_000)
@@ -33,7 +33,7 @@
         """Let time pass, with every timer of the sweep run at its turn."""
         end = self.now + seconds
         while self.now < end:
-            self.now = min(end, self.now + SWEEP_S)
+            self.now = min(end, self.now + SWEEP_INTERVAL_S)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -16,7 +16,7 @@
 
 from cranebank.dataplane import prompt as prompts
 from cranebank.dataplane import proxy as plane
-from cranebank.dataplane.candidates import AWAY_S, DOUBT_S
+from cranebank.dataplane.candidates import BACKOFF_S, COLD_DOUBT_S
 from cranebank.dataplane.cold_backends import COLD_MARGIN_S
 from cranebank.dataplane.exchange import Exchange
 from cranebank.dataplane.exchange_events import Begin, Call
@@ -167,8 +167,8 @@
     proxy = proxy_of(1, 2)
     now = asyncio.get_running_loop().time()
     proxy.shared.candidates.failed(now, "0", may_be_down=True)
-    until = AWAY_S[0] + DOUBT_S
-    assert ids(proxy, AWAY_S[0] + 0.1) == ["1"] and ids(proxy, AWAY_S[0] + 0.1, frozenset({"1"})) == ["0"]
+    until = BACKOFF_S[0] + COLD_DOUBT_S
+    assert ids(proxy, BACKOFF_S[0] + 0.1) == ["1"] and ids(proxy, BACKOFF_S[0] + 0.1, frozenset({"1"})) == ["0"]
     assert sorted(ids(proxy, until + 0.1)) == ["0", "1"]
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -13,7 +13,7 @@
 from cranebank.dataplane.cache_view import CacheView
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.choices import Choices
-from cranebank.dataplane.dispatch import SILENT_READ, SILENT_START_S
+from cranebank.dataplane.dispatch import PREFILL_TIMEOUT_BASE_S, PREFILL_TIMEOUT_FACTOR
 from cranebank.dataplane.events_stream import EventSplitter
 from cranebank.dataplane.evidence import SendEvidence
 from cranebank.dataplane.exchange import Exchange, State
@@ -646,7 +646,7 @@
         next(a.at for a in story.begin("17020,17", "s:13300,o:3720") if isinstance(a, WakeAt)) - story.now
         for story in (idle, busy)
     ]
-    assert due[0] == pytest.approx(SILENT_START_S + SILENT_READ * (20.0 + 0.02 * 17_020) / 1e3)
+    assert due[0] == pytest.approx(PREFILL_TIMEOUT_BASE_S + PREFILL_TIMEOUT_FACTOR * (20.0 + 0.02 * 17_020) / 1e3)
     assert due[1] == 3.0  # the end of the request's time comes first
 
 
--- a/tests/test_exchange_parts.py
+++ b/tests/test_exchange_parts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cranebank.dataplane.attempts import UNSENT, Attempts
+from cranebank.dataplane.attempts import MAX_UNSENT, Attempts
 from cranebank.dataplane.backend_answers import AnswerKind, handle_in, kind_of
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.client_answer import ClientAnswer
@@ -42,7 +42,7 @@
 
 def test_what_never_left_counts_nowhere_and_is_bounded() -> None:
     attempts = Attempts(1)
-    for number in range(UNSENT):
+    for number in range(MAX_UNSENT):
         assert not attempts.never_left and not attempts.are_used_up, number
         attempts.make()
         assert attempts.are_used_up
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -28,7 +28,7 @@
 from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings
 from cranebank.control.registry import TOMBSTONE_S, Registry
 from cranebank.dataplane.budget import Budget
-from cranebank.dataplane.candidates import GONE_KEPT, LOST_KEPT, Candidates
+from cranebank.dataplane.candidates import MAX_REMEMBERED_GONE, MAX_REMEMBERED_LOST, Candidates
 from cranebank.dataplane.evidence import SendEvidence
 from cranebank.dataplane.exchange_events import LegFailed
 from cranebank.dataplane.proxy import Proxy, RetryRule
@@ -332,14 +332,14 @@
             candidates.merge([msgspec.structs.replace(backend(one, "ready"), phase=end)])
 
     growth(step)
-    assert len(candidates._gone) <= GONE_KEPT
+    assert len(candidates._gone) <= MAX_REMEMBERED_GONE
     assert len(candidates._ready) == 0
-    assert len(candidates.records) == len(candidates.views) == (LOST_KEPT if end == "lost" else 0)
+    assert len(candidates.records) == len(candidates.views) == (MAX_REMEMBERED_LOST if end == "lost" else 0)
 
 
 def test_a_backend_that_was_forgotten_as_lost_may_come_back() -> None:
     candidates = Candidates()
-    for number in range(LOST_KEPT + 1):
+    for number in range(MAX_REMEMBERED_LOST + 1):
         lost = msgspec.structs.replace(backend(number, "ready"), phase="lost")
         over = candidates.merge([backend(number, "ready"), lost])
     assert over == ["b-0"]
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -16,7 +16,7 @@
 from cranebank.dataplane.cache_view import CacheView
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.choice import Plan
-from cranebank.dataplane.pair import ANEW, HOMES, MEMORY_S, PairChooser
+from cranebank.dataplane.pair import CACHE_LEARNING_S, HOMES_PER_PREFIX, MIN_REREAD_WEIGHT, PairChooser
 from cranebank.dataplane.prefill_queue import PrefillQueue
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Document, Engine, Route, RouteTable
@@ -136,14 +136,14 @@
             plan = choose.choose(100.0, "svc", ENGINE, LONG, 600.0, set())
             assert plan is not None and plan.prefill_backend is not None
             homes.add(plan.prefill_backend.backend.id)
-    assert len(homes) == HOMES
+    assert len(homes) == HOMES_PER_PREFIX
 
 
 def test_a_shared_prompt_that_nobody_keeps_is_read_where_it_waits_least_where_all_tell() -> None:
     choose, candidates = chooser(readers=4)
     choose.draws.proxies, choose.prefill_reporters = 9, 8
-    assert choose.visibility(100.0) == 0.0 and choose.visibility(100.0 + 2 * MEMORY_S) == 1.0
-    now = 100.0 + 2 * MEMORY_S
+    assert choose.visibility(100.0) == 0.0 and choose.visibility(100.0 + 2 * CACHE_LEARNING_S) == 1.0
+    now = 100.0 + 2 * CACHE_LEARNING_S
     for name in ("p0", "p1", "p2"):
         candidates.views[name].readings.add(now, 2.0)
     found = Counter(
@@ -221,7 +221,7 @@
 
 
 def test_a_part_that_is_kept_elsewhere_is_read_anew_only_where_three_readings_of_it_are_saved() -> None:
-    for wait, is_left in ((ANEW - 0.5, False), (ANEW + 0.5, True)):
+    for wait, is_left in ((MIN_REREAD_WEIGHT - 0.5, False), (MIN_REREAD_WEIGHT + 0.5, True)):
         choose, candidates, cache = with_cache()
         cache.record_prefix("p3", "s", 13_300, 400_000)
         candidates.views["p3"].readings.add(100.0, wait * choose.pace("svc", "prefill").token * 13.300)
@@ -232,7 +232,7 @@
 
 
 def test_the_more_waits_the_more_a_keeper_is_worth() -> None:
-    wait = 1.2 * ANEW  # of the time that its shared part takes to read
+    wait = 1.2 * MIN_REREAD_WEIGHT  # of the time that its shared part takes to read
     for congested in (False, True):
         choose, candidates, cache = with_cache()
         cache.record_prefix("p3", "s", 13_300, 400_000)
--- a/tests/test_prefill_queue.py
+++ b/tests/test_prefill_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cranebank.dataplane.prefill_queue import MOST_S, SLOWNESS_BOUNDS, SLOWNESS_S, PrefillQueue, Slowness
+from cranebank.dataplane.prefill_queue import MAX_QUEUE_S, SLOWNESS_BOUNDS, SLOWNESS_FADE_S, PrefillQueue, Slowness
 
 
 def test_readings_stand_one_behind_the_other_and_time_ends_them() -> None:
@@ -45,7 +45,7 @@
             queue.over(now, ticket)
         else:
             ticket = queue.add(now, seconds)
-        assert 0.0 <= queue.wait(now) <= MOST_S + 1e-6
+        assert 0.0 <= queue.wait(now) <= MAX_QUEUE_S + 1e-6
 
 
 def test_a_slow_backend_is_known_after_some_readings_and_tried_again_after_a_while() -> None:
@@ -54,7 +54,7 @@
     for _ in range(30):
         slowness.observe(10.0, 5.0)
     assert 4.9 < slowness.at(10.0) <= 5.0
-    assert slowness.at(10.0 + 5 * SLOWNESS_S) < 1.05
+    assert slowness.at(10.0 + 5 * SLOWNESS_FADE_S) < 1.05
     for ratio in (1e9, 0.0):
         for _ in range(90):
             slowness.observe(100.0, ratio)
--- a/tests/test_stage_watch.py
+++ b/tests/test_stage_watch.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.stage_watch import REPORT_AGAIN_S, STAGES_MOST, StageWatch
+from cranebank.dataplane.stage_watch import MAX_REPORTED_STAGES, REPORT_INTERVAL_S, StageWatch
 from cranebank.transport.messages import Backend
 
 
@@ -57,13 +57,13 @@
         watched.learn(number / 10, backend("d1", "decode", "lost" if number % 2 else "ready", number))
     assert sum(line.startswith("ERROR") for line in lines) == 1
     watched.learn(10, backend("d1", "decode", "ready", 200))
-    watched.learn(10 + REPORT_AGAIN_S, backend("d1", "decode", "lost", 201))
+    watched.learn(10 + REPORT_INTERVAL_S, backend("d1", "decode", "lost", 201))
     assert sum(line.startswith("ERROR") for line in lines) == 2
 
 
 def test_what_is_remembered_of_reports_is_bounded(lines: list[str]) -> None:
     watch = StageWatch()
-    for number in range(STAGES_MOST + 5):
+    for number in range(MAX_REPORTED_STAGES + 5):
         watch.observe(number, frozenset({(f"svc-{number}", "decode")}), ())
-    assert len(watch._reported) <= STAGES_MOST
-    assert sum(line.startswith("ERROR") for line in lines) == STAGES_MOST + 4
+    assert len(watch._reported) <= MAX_REPORTED_STAGES
+    assert sum(line.startswith("ERROR") for line in lines) == MAX_REPORTED_STAGES + 4
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -12,7 +12,7 @@
 from cranebank.dataplane import candidates as candidates_module
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.suspects import ANSWERED_S, SUSPECT_S, Suspects
+from cranebank.dataplane.suspects import ANSWER_VOUCHES_S, MAX_SUSPECT_AGE_S, Suspects
 from cranebank.invariants import violations
 from cranebank.transport.messages import Backend
 
@@ -49,7 +49,7 @@
     candidates.answered(LOST_AT - 0.5, "b2")
     candidates.merge([backend(2, "lost")], LOST_AT)
     assert listed(candidates, LOST_AT) == {"b0", "b1", "b2"}
-    assert listed(candidates, LOST_AT - 0.5 + ANSWERED_S + 0.01) == {"b0", "b1"}
+    assert listed(candidates, LOST_AT - 0.5 + ANSWER_VOUCHES_S + 0.01) == {"b0", "b1"}
     candidates.answered(LOST_AT + 5.0, "b2")
     assert listed(candidates, LOST_AT + 5.0) == {"b0", "b1", "b2"}
     candidates.failed(LOST_AT + 5.1, "b2")
@@ -99,8 +99,8 @@
     assert listed(candidates, LOST_AT + 1.0) == {"b7"}
     candidates.merge([backend(7, "gone", address="10.0.0.1:1")], LOST_AT + 2.0)
     assert listed(candidates, LOST_AT + 2.0) == {"b0"}
-    assert listed(candidates, LOST_AT + SUSPECT_S) == {"b0"}
-    assert listed(candidates, LOST_AT + SUSPECT_S + 0.1) == set()
+    assert listed(candidates, LOST_AT + MAX_SUSPECT_AGE_S) == {"b0"}
+    assert listed(candidates, LOST_AT + MAX_SUSPECT_AGE_S + 0.1) == set()
 
 
 def test_one_that_is_lost_after_its_address_has_passed_on_is_no_suspect() -> None:
@@ -171,10 +171,10 @@
 def test_suspects_that_answer_are_not_given_up_after_a_minute() -> None:
     """They are cut off from the controllers for longer than that, and serve all the while."""
     candidates = known(0, lost=2)
-    candidates.answered(LOST_AT + SUSPECT_S, "b0")
-    assert listed(candidates, LOST_AT + SUSPECT_S + 0.5) == {"b0"}
-    assert listed(candidates, LOST_AT + 2 * SUSPECT_S - 0.5) == {"b0"}
-    assert listed(candidates, LOST_AT + 2 * SUSPECT_S + 0.5) == set()
+    candidates.answered(LOST_AT + MAX_SUSPECT_AGE_S, "b0")
+    assert listed(candidates, LOST_AT + MAX_SUSPECT_AGE_S + 0.5) == {"b0"}
+    assert listed(candidates, LOST_AT + 2 * MAX_SUSPECT_AGE_S - 0.5) == {"b0"}
+    assert listed(candidates, LOST_AT + 2 * MAX_SUSPECT_AGE_S + 0.5) == set()
 
 
 def test_a_service_without_backends_costs_no_look_at_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
