--- a/cranebank/dataplane/attempts.py
+++ b/cranebank/dataplane/attempts.py
@@ -11,14 +11,14 @@
 class Attempts:
     """The counts of one request."""
 
-    __slots__ = ("_readings_rejected", "_tries", "_unsent", "arrivals", "count", "readings")
+    __slots__ = ("_prefills_rejected", "_tries", "_unsent", "arrivals", "count", "prefills")
 
     def __init__(self, tries: int) -> None:
         self._tries = tries
         self.count = 0  # that take one of the tries
         self.arrivals = 0  # of the request, at backends that make tokens or rejected a reading
-        self.readings = 0
-        self._readings_rejected = self._unsent = 0
+        self.prefills = 0
+        self._prefills_rejected = self._unsent = 0
 
     @property
     def are_used_up(self) -> bool:
@@ -31,45 +31,45 @@
         return self.count < self._tries
 
     @property
-    def never_left(self) -> bool:
+    def has_too_many_unsent(self) -> bool:
         """Whether too many calls have come to nothing before they were sent."""
         return self._unsent >= MAX_UNSENT
 
-    def may_read(self) -> bool:
+    def may_prefill(self) -> bool:
         """Whether the prompt may be read apart.
 
         The first reading that a backend takes up is no run; another one takes a try, and must leave one to make tokens.
         """
-        return self.readings <= MAX_REPEATED_PREFILLS and self.has_try_to_read()
+        return self.prefills <= MAX_REPEATED_PREFILLS and self.has_try_for_prefill()
 
-    def has_try_to_read(self) -> bool:
+    def has_try_for_prefill(self) -> bool:
         """Whether the tries allow for another reading now, beside the run that makes the tokens."""
-        return self.readings == self._readings_rejected or self.count + 2 <= self._tries
+        return self.prefills == self._prefills_rejected or self.count + 2 <= self._tries
 
-    def read(self) -> bool:
+    def count_prefill(self) -> bool:
         """The prompt is sent to be read. Whether that takes a try."""
-        is_counted = self.readings > self._readings_rejected
-        self.readings += 1
+        is_counted = self.prefills > self._prefills_rejected
+        self.prefills += 1
         self.count += is_counted
         return is_counted
 
-    def make(self) -> None:
+    def count_decode(self) -> None:
         """The request is sent to a backend that makes its tokens."""
         self.count += 1
         self.arrivals += 1
 
-    def reading_rejected(self, is_counted: bool) -> None:
+    def prefill_rejected(self, is_counted: bool) -> None:
         """A backend has read nothing, and said so. ``is_counted``: this reading took a try."""
-        self._readings_rejected += 1
+        self._prefills_rejected += 1
         self.count += not is_counted
         self.arrivals += 1
 
-    def unsent(self, reads: bool, is_counted: bool) -> None:
+    def unsent(self, is_prefill: bool, is_counted: bool) -> None:
         """A call never left us: it counts nowhere but here."""
         self._unsent += 1
         self.count -= is_counted
-        if reads:
-            self.readings -= 1
+        if is_prefill:
+            self.prefills -= 1
         else:
             self.arrivals -= 1
 
--- a/cranebank/dataplane/backend_connections.py
+++ b/cranebank/dataplane/backend_connections.py
@@ -61,19 +61,19 @@
         self._listener: Listener | None = None
         self._leg = 0
         self.idle_from, self.idle_for = 0.0, DEFAULT_IDLE_S
-        self._busy = self._done = self._strange = False
-        self._earlier_named = True  # all earlier calls on this connection carried an attempt's id
+        self._busy = self._done = self._is_other_attempt = False
+        self._all_identified = True  # all earlier calls on this connection carried an attempt's id
 
     def call(self, listener: Listener, leg: int, attempt: str, request: bytes, is_head: bool = False) -> None:
         """Send a request; the listener hears of its answer. ``is_head``: it is a HEAD, whose answer has no body."""
         assert self.transport is not None
         self._listener, self._leg, self._attempt, self._is_head = listener, leg, attempt, is_head
         self._parser = httptools.HttpResponseParser(self)
-        self._busy, self._done, self._strange, self._to_end = True, False, False, False
-        self._takes_unnamed = self._earlier_named or not attempt
-        self._earlier_named = self._earlier_named and bool(attempt)
+        self._busy, self._done, self._is_other_attempt, self._until_close = True, False, False, False
+        self._accepts_unidentified = self._all_identified or not attempt
+        self._all_identified = self._all_identified and bool(attempt)
         self._headers: dict[str, str] = {}
-        self._wire = 0
+        self._wire_bytes = 0
         self.transport.write(request)
 
     def abort(self) -> None:
@@ -118,7 +118,7 @@
         if not self._busy:
             self._close()
             return
-        self._wire += len(data)
+        self._wire_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -132,7 +132,7 @@
                 self._pool.give_back(self)
             else:
                 self._close()
-        elif self._wire > MAX_ANSWER_BYTES:
+        elif self._wire_bytes > MAX_ANSWER_BYTES:
             self._fail()
             self._close()
 
@@ -142,7 +142,7 @@
 
     def eof_received(self) -> None:
         """The backend has ended it in order: the end of an answer without a length."""
-        if self._busy and not self._done and self._to_end:
+        if self._busy and not self._done and self._until_close:
             self._done = True
             if self._listener is not None:
                 self._listener.leg_end(self._leg)
@@ -162,7 +162,7 @@
 
     # What the parser calls. An error raised here ends the parsing.
 
-    _keep = _extra = _to_end = _in_head = False
+    _keep = _extra = _until_close = _in_head = False
     _status = 0
 
     def on_message_begin(self) -> None:
@@ -193,12 +193,12 @@
                 raise ValueError("a change of protocol that nobody asked for")
             return
         named = self._headers.get("x-attempt-id")
-        if named is None and not self._takes_unnamed:
+        if named is None and not self._accepts_unidentified:
             raise ValueError("an answer that may belong to an earlier call")
-        self._strange = named is not None and named != self._attempt
-        if self._strange:
+        self._is_other_attempt = named is not None and named != self._attempt
+        if self._is_other_attempt:
             return
-        self._to_end = (
+        self._until_close = (
             "content-length" not in self._headers
             and "transfer-encoding" not in self._headers
             and self._status not in (204, 304)
@@ -210,15 +210,15 @@
 
     def on_body(self, body: bytes) -> None:
         """Part of the body."""
-        if not self._done and not self._strange and self._listener is not None:
+        if not self._done and not self._is_other_attempt and self._listener is not None:
             self._listener.leg_data(self._leg, body)
 
     def on_message_complete(self) -> None:
         """The answer is whole, or one ahead of it."""
         if self._done or self._status < 200:
             return
-        if self._strange:
-            self._strange = False
+        if self._is_other_attempt:
+            self._is_other_attempt = False
             return
         self._finish(self._parser.should_keep_alive())
 
@@ -254,7 +254,7 @@
         self._all: dict[str, set[Connection]] = {}
         self._counters = counters
         self._local = local_ip
-        self.most: Callable[[Backend], int] = lambda backend: 64
+        self.max_connections: Callable[[Backend], int] = lambda backend: 64
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -282,7 +282,7 @@
     async def dial(self, backend: Backend) -> Connection:
         """A new connection. Raises OSError where it isn't up in time or there may be no more."""
         held = self._all.setdefault(backend.id, set())
-        if len(held) >= self.most(backend):
+        if len(held) >= self.max_connections(backend):
             raise NoConnectionFree("all connections to this backend are in use")
         host, _, port = backend.address.rpartition(":")
         connection = Connection(self, backend)
@@ -333,7 +333,7 @@
         connection = self.take(backend)
         if connection is None:
             return
-        nobody = _Nobody()
+        nobody = _NullListener()
         request = f"DELETE /api/kv-handle/{handle} HTTP/1.1\r\nHost: {backend.address}\r\n\r\n"
         connection.call(nobody, 0, "", request.encode())
         asyncio.get_running_loop().call_later(FREE_TIMEOUT_S, connection.give_up, nobody)
@@ -346,7 +346,7 @@
         self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep) if self._idle else None
 
 
-class _Nobody:
+class _NullListener:
     """Whose answer nobody waits for."""
 
     def leg_head(self, leg: int, status: int, headers: dict[str, str]) -> None:
--- a/cranebank/dataplane/backend_view.py
+++ b/cranebank/dataplane/backend_view.py
@@ -12,17 +12,17 @@
 
     __slots__ = (
         "answered_at",
-        "away_for",
-        "away_until",
         "backend",
+        "backoff_s",
+        "backoff_until",
         "calls",
-        "figured_at",
         "held_until",
         "is_replaced",
+        "load_changed_at",
         "lost_at",
         "others_calls",
         "others_tokens",
-        "readings",
+        "prefill_queue",
         "slowness",
         "tokens",
         "unreported_slowness",
@@ -33,18 +33,18 @@
         self.calls = 0
         self.tokens = 0
         self.others_calls = self.others_tokens = 0
-        self.readings, self.slowness = PrefillQueue(), Slowness()
+        self.prefill_queue, self.slowness = PrefillQueue(), Slowness()
         self.unreported_slowness = 0.0  # observed here last, and not told to others yet
-        self.figured_at = 0.0  # when the figures last changed, by a call sent or ended
+        self.load_changed_at = 0.0  # when the figures last changed, by a call sent or ended
         self.answered_at = float("-inf")
         self.lost_at = 0.0  # when its heartbeats ceased, where they have
         self.is_replaced = False  # another backend was last known to serve at its address
-        self.away_until = self.away_for = 0.0
+        self.backoff_until = self.backoff_s = 0.0
         self.held_until = 0.0  # it is about to change its stage: nothing is sent there before
 
-    def stands_back(self, now: float) -> bool:
+    def is_avoided(self, now: float) -> bool:
         """Whether others are asked first: it failed lately, or is about to change its stage."""
-        return max(self.away_until, self.held_until) > now
+        return max(self.backoff_until, self.held_until) > now
 
     @property
     def all_calls(self) -> int:
@@ -54,4 +54,4 @@
     @property
     def has_failed(self) -> bool:
         """Whether a call failed since the last answer."""
-        return self.away_for > 0.0
+        return self.backoff_s > 0.0
--- a/cranebank/dataplane/blended_draw.py
+++ b/cranebank/dataplane/blended_draw.py
@@ -24,7 +24,7 @@
         self.neighbour_loads_at = 0.0  # when neighbours told their figures last
         self._rates: dict[tuple[str, str], DecayedRate] = {}
 
-    def called(self, now: float, service: str, stage: str) -> None:
+    def count_call(self, now: float, service: str, stage: str) -> None:
         """Any call counts in the rate behind b, also one that is refused, fails or is a repeat."""
         self._rates.setdefault((service, stage), DecayedRate(RATE_AVERAGING_S)).add(now)
 
@@ -34,7 +34,7 @@
         """Beta for two draws: falls as their figures age and as proxies become more."""
         if not self._is_blended:
             return 1.0
-        age = now - max(self.neighbour_loads_at, min(drawn[0].figured_at, drawn[1].figured_at))
+        age = now - max(self.neighbour_loads_at, min(drawn[0].load_changed_at, drawn[1].load_changed_at))
         rate = self._rates.get((service, stage))
         calls = (rate.at(now) if rate else 0.0) * self.proxies * min(age, RATE_AVERAGING_S)
         return min(1.0, beta(len(listed), calls))
@@ -46,11 +46,11 @@
         first, second = self._random.sample(listed, 2)
         return first, second
 
-    def one_of(self, listed: list[BackendView]) -> list[BackendView]:
+    def sample_one(self, listed: list[BackendView]) -> list[BackendView]:
         """One uniform draw from a list that may be empty."""
         return [self._random.choice(listed)] if listed else []
 
-    def takes_second(self, blend: float, first: float, second: float) -> bool:
+    def prefers_second(self, blend: float, first: float, second: float) -> bool:
         """Whether the second draw is taken, by the two figures: the lower one with probability ``blend``, ties at
         random; else the first."""
         is_tie_won = second == first and self._random.random() < 0.5
--- a/cranebank/dataplane/budget.py
+++ b/cranebank/dataplane/budget.py
@@ -22,7 +22,7 @@
         self._requests: deque[float] = deque()
         self._spent: deque[float] = deque()
 
-    def request(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """A client's request for the service."""
         self._requests.append(now)
         self._trim(now)
--- a/cranebank/dataplane/cache_view.py
+++ b/cranebank/dataplane/cache_view.py
@@ -36,8 +36,8 @@
         self.tokens += entry.tokens - (old.tokens if old is not None else 0)
         self.entries[name] = entry
 
-    def trim(self, most: float) -> None:
-        while self.entries and (self.tokens > most or len(self.entries) > MAX_ENTRIES):
+    def trim(self, max_tokens: float) -> None:
+        while self.entries and (self.tokens > max_tokens or len(self.entries) > MAX_ENTRIES):
             self.tokens -= self.entries.popitem(last=False)[1].tokens
 
 
@@ -62,20 +62,22 @@
                 total = before
         return total
 
-    def record_prefix(self, backend: str, part: str, tokens: int, most: int, share: float = CACHE_SHARE) -> None:
-        """Another proxy had the backend read a prompt up to and with this part; ``most``: tokens of the backend's
+    def record_prefix(self, backend: str, part: str, tokens: int, max_tokens: int, share: float = CACHE_SHARE) -> None:
+        """Another proxy had the backend read a prompt up to and with this part; ``max_tokens``: tokens of the backend's
         memory, of which ``share`` is for parts."""
         held = self._kept.setdefault(backend, _Kept())
         held.put(part, _Entry(tokens, is_prefix=True))
-        held.trim(most * share)
+        held.trim(max_tokens * share)
 
-    def touch(self, backend: str, parts: tuple[tuple[str, int], ...], most: int, share: float = CACHE_SHARE) -> None:
-        """The backend has just read or fetched these parts; ``most``: tokens of its memory, of which ``share`` is for
-        parts."""
+    def touch(
+        self, backend: str, parts: tuple[tuple[str, int], ...], max_tokens: int, share: float = CACHE_SHARE
+    ) -> None:
+        """Record that the backend has just read or fetched these parts. ``max_tokens``: its memory, of which ``share``
+        is for cached parts."""
         held = self._kept.setdefault(backend, _Kept())
         for name, size in parts:
             held.put(name, held.entries.get(name) or _Entry(size, is_prefix=False))
-        held.trim(most * share)
+        held.trim(max_tokens * share)
 
     def forget(self, backend: str) -> None:
         """The backend has ended."""
--- a/cranebank/dataplane/candidates.py
+++ b/cranebank/dataplane/candidates.py
@@ -6,7 +6,7 @@
 
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.cold_backends import ColdBackends
-from cranebank.dataplane.suspects import Place, Suspects, is_last_resort
+from cranebank.dataplane.suspects import StageKey, Suspects, is_last_resort
 from cranebank.invariants import invariant_error, record_violation
 from cranebank.membership.backends import newer
 from cranebank.transport.messages import Backend
@@ -20,7 +20,7 @@
 COLD_DOUBT_S = 1.5  # behind that one that was not reached may be cold: by then its next heartbeat has told
 
 
-def _place(backend: Backend) -> Place:
+def _stage_key(backend: Backend) -> StageKey:
     return backend.target, backend.stage
 
 
@@ -30,11 +30,11 @@
     def __init__(self) -> None:
         self.records: dict[str, Backend] = {}
         self.views: dict[str, BackendView] = {}
-        self._ready: dict[Place, list[BackendView]] = {}
+        self._ready: dict[StageKey, list[BackendView]] = {}
         self._suspects = Suspects()
-        self._holders: dict[str, str] = {}  # address: id of who was last known to serve there
+        self._last_served_by: dict[str, str] = {}  # address: id of who was last known to serve there
         self.version = 0  # rises whenever the ready ones or the suspects of a service and stage change
-        self._check_again_at = float("-inf")
+        self._next_check_at = float("-inf")
         self.cold = ColdBackends()
         self._away: set[str] = set()  # those that failed lately or are held off
         self._gone: dict[str, None] = {}
@@ -47,7 +47,7 @@
         """Take records of any source; return the ids of backends that are over."""
         over: list[str] = []
         for record in records:
-            self._tell_cold(now, record)
+            self._record_cold(now, record)
             if record.id in self._gone or not newer(self.records.get(record.id), record):
                 continue
             if record.phase == "gone":
@@ -64,7 +64,7 @@
             self._forget(oldest)
         return over
 
-    def _tell_cold(self, now: float, record: Backend) -> None:
+    def _record_cold(self, now: float, record: Backend) -> None:
         """Also a record that is known already may be the first to say that its backend is cold."""
         known = self.records.get(record.id)
         is_current = known is None or record.call_seq >= known.call_seq
@@ -77,7 +77,7 @@
         if known is None:
             known = self.views[record.id] = BackendView(record)
             self._list(known, now)
-        elif (known.backend.phase, *_place(known.backend)) == (record.phase, *_place(record)):
+        elif (known.backend.phase, *_stage_key(known.backend)) == (record.phase, *_stage_key(record)):
             known.backend = record
         else:
             self._unlist(known)
@@ -96,8 +96,8 @@
         if ended is None:
             return
         self._unlist(ended)
-        if self._holders.get(ended.backend.address) == backend:
-            del self._holders[ended.backend.address]
+        if self._last_served_by.get(ended.backend.address) == backend:
+            del self._last_served_by[ended.backend.address]
 
     def _list(self, seen: BackendView, now: float) -> None:
         backend = seen.backend
@@ -105,42 +105,42 @@
             self._take_address(seen)
         elif backend.phase == "lost":
             seen.lost_at = now
-            seen.is_replaced = self._holders.get(backend.address, backend.id) != backend.id
+            seen.is_replaced = self._last_served_by.get(backend.address, backend.id) != backend.id
         self._enter(seen)
 
     def _enter(self, seen: BackendView) -> None:
-        backend, place = seen.backend, _place(seen.backend)
+        backend, key = seen.backend, _stage_key(seen.backend)
         is_suspect = backend.phase == "lost" and not seen.is_replaced
         if backend.zone in self._evacuated_zones:
             if backend.phase == "ready" or is_suspect:
                 self._evacuated[backend.id] = seen
         elif backend.phase == "ready":
-            self._ready.setdefault(place, []).append(seen)
+            self._ready.setdefault(key, []).append(seen)
         elif is_suspect:
-            self._suspects.add(place, seen)
+            self._suspects.add(key, seen)
         self.version += 1
 
     def _take_address(self, seen: BackendView) -> None:
         """A suspect whose address has passed to another backend is dead."""
         backend = seen.backend
-        before = self.views.get(self._holders.get(backend.address, ""))
-        self._holders[backend.address] = backend.id
+        before = self.views.get(self._last_served_by.get(backend.address, ""))
+        self._last_served_by[backend.address] = backend.id
         seen.is_replaced = False
         if before is not None and before is not seen and before.backend.phase == "lost":
             before.is_replaced = True
             self._evacuated.pop(before.backend.id, None)
-            self._suspects.remove(_place(before.backend), before.backend.id)
+            self._suspects.remove(_stage_key(before.backend), before.backend.id)
 
     def _unlist(self, seen: BackendView) -> None:
-        place = _place(seen.backend)
+        key = _stage_key(seen.backend)
         if self._evacuated.pop(seen.backend.id, None) is not None:
             pass
         elif seen.backend.phase == "ready":
-            self._ready[place].remove(seen)
-            if not self._ready[place]:
-                del self._ready[place]
+            self._ready[key].remove(seen)
+            if not self._ready[key]:
+                del self._ready[key]
         elif seen.backend.phase == "lost":
-            self._suspects.remove(place, seen.backend.id)
+            self._suspects.remove(key, seen.backend.id)
         self.version += 1
 
     def evacuate(self, now: float, zones: frozenset[str]) -> None:
@@ -153,7 +153,7 @@
         for seen in moved:
             self._enter(seen)
         if returned:
-            self.returned(now, returned)
+            self.restore_zones(now, returned)
 
     def is_evacuated(self, backend: Backend) -> bool:
         """Whether nothing is to be sent there: its zone is evacuated."""
@@ -192,9 +192,9 @@
             return False
         return not self.cold or now <= permitted_until or not self.cold.is_known_cold(now, backend)
 
-    def returned(self, now: float, zones: Set[str]) -> None:
+    def restore_zones(self, now: float, zones: Set[str]) -> None:
         """These zones are taken back from an evacuation."""
-        self.cold.returned(now, [record for record in self.records.values() if record.zone in zones])
+        self.cold.assume_cold(now, [record for record in self.records.values() if record.zone in zones])
         self.version += 1
 
     def ready(self, now: float, service: str, stage: str, without: Set[str] = frozenset()) -> list[BackendView]:
@@ -203,54 +203,56 @@
         Invariant: it is empty only where no backend of the service and stage is ready, nor lost and not backed off,
         ``without``, those of evacuated zones and those that are cold without a free permit left out.
         """
-        place = (service, stage)
-        listed = self._ready.get(place, [])
+        key = (service, stage)
+        listed = self._ready.get(key, [])
         if self._suspects:
-            listed = self._suspects.merged(now, place, listed)
+            listed = self._suspects.merged(now, key, listed)
         if self._away:
-            self._away = {name for name in self._away if self.views[name].stands_back(now)}
+            self._away = {name for name in self._away if self.views[name].is_avoided(now)}
         if self.cold:
             self.cold.forget_expired(now)
         if without or self._away or self.cold:
             listed = self._usable(now, listed, without)
-            listed = [seen for seen in listed if not seen.stands_back(now)] or listed
+            listed = [seen for seen in listed if not seen.is_avoided(now)] or listed
         if self.cold:
-            listed = [seen for seen in listed if not self.cold.is_doubted(now, seen)] or listed
+            listed = [seen for seen in listed if not self.cold.may_be_cold(now, seen)] or listed
         if not listed:
-            listed = self._usable(now, self._suspects.last_resort(now, place), without)
-        if self._evacuated and self._may_be_cut_off(place):
-            listed = self._usable(now, self._ready_in_evacuated_zones(place), without) or listed
+            listed = self._usable(now, self._suspects.last_resort(now, key), without)
+        if self._evacuated and self._may_be_cut_off(key):
+            listed = self._usable(now, self._ready_in_evacuated_zones(key), without) or listed
         if not listed:
-            self._check_empty(now, place, without)
+            self._check_empty(now, key, without)
         return listed
 
-    def _may_be_cut_off(self, place: Place) -> bool:
+    def _may_be_cut_off(self, key: StageKey) -> bool:
         """Whether no controller is heard that knows what is in force, and half of the other zones' backends have failed
         a call since they answered last: then the evacuated zone may be all that this proxy reaches."""
         if not self.has_lost_contact():
             return False
-        others = self._ready.get(place, [])
+        others = self._ready.get(key, [])
         return 2 * sum(seen.has_failed for seen in others) >= len(others)
 
-    def _ready_in_evacuated_zones(self, place: Place) -> list[BackendView]:
+    def _ready_in_evacuated_zones(self, key: StageKey) -> list[BackendView]:
         return [
-            seen for seen in self._evacuated.values() if _place(seen.backend) == place and seen.backend.phase == "ready"
+            seen
+            for seen in self._evacuated.values()
+            if _stage_key(seen.backend) == key and seen.backend.phase == "ready"
         ]
 
     def _usable(self, now: float, listed: list[BackendView], without: Set[str]) -> list[BackendView]:
         listed = [seen for seen in listed if seen.backend.id not in without]
         return [seen for seen in listed if not self.cold.refuses(now, seen)] if self.cold else listed
 
-    def _check_empty(self, now: float, place: Place, without: Set[str]) -> None:
+    def _check_empty(self, now: float, key: StageKey, without: Set[str]) -> None:
         """Look at all backends, which may be thousands, once in a while."""
-        if now < self._check_again_at:
+        if now < self._next_check_at:
             return
-        self._check_again_at = now + EMPTY_CHECK_INTERVAL_S
+        self._next_check_at = now + EMPTY_CHECK_INTERVAL_S
         if any(
-            _place(seen.backend) == place and self._may_be_tried(now, seen)
+            _stage_key(seen.backend) == key and self._may_be_tried(now, seen)
             for seen in self._usable(now, list(self.views.values()), without)
         ):
-            record_violation("nobody is passed over where a backend may be tried", f"{place}")
+            record_violation("nobody is passed over where a backend may be tried", f"{key}")
 
     def _may_be_tried(self, now: float, seen: BackendView) -> bool:
         phase = seen.backend.phase
@@ -266,7 +268,7 @@
         """How many are ready, well or not."""
         return len(self._ready.get((service, stage), ()))
 
-    def staffed(self) -> frozenset[tuple[str, str]]:
+    def stages_with_ready(self) -> frozenset[tuple[str, str]]:
         """The services and stages that have a ready backend, well or not."""
         return frozenset(self._ready)
 
@@ -280,19 +282,19 @@
         seen = self.views.get(backend)
         if seen is None:
             return
-        if seen.away_until <= now:
-            seen.away_for = min(max(2 * seen.away_for, BACKOFF_S[0]), BACKOFF_S[1])
-            seen.away_until = now + seen.away_for
+        if seen.backoff_until <= now:
+            seen.backoff_s = min(max(2 * seen.backoff_s, BACKOFF_S[0]), BACKOFF_S[1])
+            seen.backoff_until = now + seen.backoff_s
             self._away.add(backend)
         if may_be_down:
-            self.cold.doubt(seen.backend, seen.away_until + COLD_DOUBT_S)
+            self.cold.doubt(seen.backend, seen.backoff_until + COLD_DOUBT_S)
 
     def answered(self, now: float, backend: str) -> None:
         """An answer came."""
         seen = self.views.get(backend)
         if seen is not None:
             seen.answered_at = now
-            seen.away_until = seen.away_for = 0.0
+            seen.backoff_until = seen.backoff_s = 0.0
             if seen.held_until <= now:
                 self._away.discard(backend)
 
--- a/cranebank/dataplane/choice.py
+++ b/cranebank/dataplane/choice.py
@@ -21,7 +21,7 @@
     decode_backend: BackendView
     prefill_backend: BackendView | None
     prefill_tokens: int
-    figure: float
+    cost: float
     blend: float
 
 
@@ -31,5 +31,5 @@
     def choose(self, now: float, prompt: Prompt, goal_ms: float, without: Set[str]) -> Plan | None:
         """A plan for one request, or none where nobody is ready. ``without``: backends that failed this request."""
 
-    def has_backend(self, now: float, without: Set[str]) -> bool:
+    def has_candidate(self, now: float, without: Set[str]) -> bool:
         """Whether another run could go anywhere."""
--- a/cranebank/dataplane/cold_backends.py
+++ b/cranebank/dataplane/cold_backends.py
@@ -35,10 +35,10 @@
 class _State:
     """Of one backend."""
 
-    __slots__ = ("calls", "doubted_until", "permits", "told_until")
+    __slots__ = ("calls", "cold_until", "doubted_until", "permits")
 
     def __init__(self) -> None:
-        self.told_until = self.doubted_until = NEVER
+        self.cold_until = self.doubted_until = NEVER
         self.permits: list[_Permit] = []
         self.calls = 0  # under permits
 
@@ -47,7 +47,7 @@
 
     def is_over(self, now: float) -> bool:
         self.drop_expired(now)
-        return not self.permits and max(self.told_until, self.doubted_until) <= now
+        return not self.permits and max(self.cold_until, self.doubted_until) <= now
 
 
 class ColdBackends:
@@ -65,7 +65,7 @@
         if record.cold_left_ms > 0:
             self._extend(record.id, now + record.cold_left_ms / MS_PER_S)
 
-    def returned(self, now: float, records: Iterable[Backend]) -> None:
+    def assume_cold(self, now: float, records: Iterable[Backend]) -> None:
         """These backends may be sent to again, and may have turned cold meanwhile."""
         for record in records:
             limit = self.limits.get(record.target)
@@ -100,12 +100,12 @@
     def is_known_cold(self, now: float, backend: Backend) -> bool:
         """Whether a backend of a service with a limit is told to be cold."""
         state = self._states.get(backend.id)
-        return state is not None and state.told_until > now and backend.target in self.limits
+        return state is not None and state.cold_until > now and backend.target in self.limits
 
-    def is_doubted(self, now: float, seen: BackendView) -> bool:
+    def may_be_cold(self, now: float, seen: BackendView) -> bool:
         """Whether others go first, since it may be cold."""
         state = self._states.get(seen.backend.id)
-        return state is not None and state.doubted_until > now >= state.told_until
+        return state is not None and state.doubted_until > now >= state.cold_until
 
     def refuses(self, now: float, seen: BackendView) -> bool:
         """Whether it is told to be cold and no permit is free."""
@@ -126,9 +126,9 @@
     def as_of(self, now: float, record: Backend) -> Backend:
         """The record as it is to be told to others: cold for what is left now, not for what was left once."""
         state = self._states.get(record.id)
-        left_s = 0.0 if state is None else max(0.0, state.told_until - COLD_MARGIN_S - now)
+        left_s = 0.0 if state is None else max(0.0, state.cold_until - COLD_MARGIN_S - now)
         return replace_cold_left(record, left_s)
 
     def _extend(self, backend: str, until: float) -> None:
         state = self._states.setdefault(backend, _State())
-        state.told_until = max(state.told_until, until + COLD_MARGIN_S)
+        state.cold_until = max(state.cold_until, until + COLD_MARGIN_S)
--- a/cranebank/dataplane/dispatch.py
+++ b/cranebank/dataplane/dispatch.py
@@ -87,14 +87,14 @@
             return None
         self._plan = plan
         if self.handle is not None and now < self.handle.until:
-            return self._make(now, plan.decode_backend, 0)
+            return self._send_decode(now, plan.decode_backend, 0)
         self.handle = None
         alone = self._answer.is_begun or bool(self._legs)  # no time for a reading
-        if plan.prefill_backend is not None and self._attempts.may_read() and not alone:
-            return self._read(now, plan.prefill_backend, plan.prefill_tokens)
-        return self._make(now, plan.decode_backend, plan.prefill_tokens)
+        if plan.prefill_backend is not None and self._attempts.may_prefill() and not alone:
+            return self._send_prefill(now, plan.prefill_backend, plan.prefill_tokens)
+        return self._send_decode(now, plan.decode_backend, plan.prefill_tokens)
 
-    def call_after_reading(self, now: float, prefill_backend: Leg, handle: str) -> Call | None:
+    def call_after_prefill(self, now: float, prefill_backend: Leg, handle: str) -> Call | None:
         """The prompt was read: go on with the memory under this handle."""
         took_ms = (now - prefill_backend.sent_at) * 1e3
         self._shared.choices.pairs.end_prefill(now, self._service, prefill_backend)
@@ -103,20 +103,20 @@
         if self._engine is None:
             raise invariant_error("a service without engines reads no prompt apart")
         self.handle = Handle(prefill_backend.seen.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
-        decode_backend = self._maker(now)
-        return self._make(now, decode_backend, 0) if decode_backend is not None else None
+        decode_backend = self._usable_decode_backend(now)
+        return self._send_decode(now, decode_backend, 0) if decode_backend is not None else None
 
     def unsent(self, now: float, leg: Leg) -> None:
         """A call never left us: nobody was asked to read."""
-        self._shared.load.add_prefill(now, self._service, -leg.reading_s)
+        self._shared.load.add_prefill(now, self._service, -leg.prefill_load_s)
         if leg.ticket is not None:
-            leg.seen.readings.take_back(leg.ticket)
-        if not leg.reads:
+            leg.seen.prefill_queue.cancel(leg.ticket)
+        if not leg.is_prefill:
             self.handle = leg.handle  # nobody took it
 
-    def can_go_on(self, now: float) -> bool:
+    def can_retry(self, now: float) -> bool:
         """Whether there is what another run needs besides a try: budget, and somebody to run it."""
-        return self._has_budget(now) and self._choice.has_backend(now, self.without)
+        return self._has_budget(now) and self._choice.has_candidate(now, self.without)
 
     def _choose(self, now: float, without: set[str]) -> Plan | None:
         return self._choice.choose(now, self._prompt, self._route.goal_ms, without)
@@ -124,28 +124,28 @@
     def _has_budget(self, now: float) -> bool:
         return self.budget.may(now, self._shared.choices.draws.proxies)
 
-    def _maker(self, now: float) -> BackendView | None:
+    def _usable_decode_backend(self, now: float) -> BackendView | None:
         """The planned maker, or another where it may take nothing any more or has failed lately."""
         assert self._plan is not None
         decode_backend = self._plan.decode_backend
         may_begin = self._shared.candidates.may_begin(now, decode_backend)
-        if may_begin and not decode_backend.stands_back(now):
+        if may_begin and not decode_backend.is_avoided(now):
             return decode_backend
         plan = self._choose(now, self.without | {decode_backend.backend.id})
         if plan is not None:
             return plan.decode_backend
         return decode_backend if may_begin else None
 
-    def _read(self, now: float, prefill_backend: BackendView, tokens: int) -> Call | None:
+    def _send_prefill(self, now: float, prefill_backend: BackendView, tokens: int) -> Call | None:
         """Send the request to a backend that reads its prompt only."""
-        if self._attempts.readings and not self._may_repeat(now):
+        if self._attempts.prefills and not self._may_repeat(now):
             return None
-        is_counted = self._attempts.read()
+        is_counted = self._attempts.count_prefill()
         pairs = self._shared.choices.pairs
         wait_s = (
             pairs.wait_ms(now, self._service, prefill_backend) / 1e3
         )  # one with much to read is late with it, and not silent
-        estimate_s = wait_s + pairs.pace(self._service, "prefill").estimate(tokens) / 1e3
+        estimate_s = wait_s + pairs.latency(self._service, "prefill").estimate(tokens) / 1e3
         headers = (("X-Stage", "prefill"), self._priority())
         leg, call = self._send(
             now, prefill_backend, tokens, True, headers, PREFILL_TIMEOUT_BASE_S + PREFILL_TIMEOUT_FACTOR * estimate_s
@@ -154,10 +154,10 @@
         # What is thought to be kept may not be: only a whole prompt at an idle backend tells how fast it reads.
         leg.found_idle = leg.found_idle and not wait_s and tokens >= self._prompt.tokens
         leg.ticket = pairs.begin_prefill(now, self._service, prefill_backend, tokens)
-        self._tell_reading(prefill_backend, tokens)
+        self._announce_prefill(prefill_backend, tokens)
         return call
 
-    def _tell_reading(self, prefill_backend: BackendView, tokens: int) -> None:
+    def _announce_prefill(self, prefill_backend: BackendView, tokens: int) -> None:
         """Other proxies count it in the queue of the backend, and as kept there."""
         tell, prompt = self._shared.on_prefill_begun, self._prompt
         if tell is not None:
@@ -165,7 +165,7 @@
             slowness, prefill_backend.unreported_slowness = prefill_backend.unreported_slowness, 0.0
             tell(PrefillBegun(prefill_backend.backend.id, tokens, prompt.home_key, shared, round(slowness, 2)))
 
-    def _make(self, now: float, decode_backend: BackendView, tokens: int) -> Call | None:
+    def _send_decode(self, now: float, decode_backend: BackendView, tokens: int) -> Call | None:
         """Send the request to the backend that makes the tokens."""
         if self._attempts.arrivals and not self._may_repeat(now):
             return None
@@ -176,7 +176,7 @@
             self.handle, tokens = None, 0
         if self._answer.last_event_id is not None:
             headers.append(("Last-Event-Id", self._answer.last_event_id))
-        self._attempts.make()
+        self._attempts.count_decode()
         silent_s = None
         if self._route.repeatable and self._attempts.are_left:
             silent_s = max(SECOND_COPY_DELAY_S, SECOND_COPY_DELAY_GOALS * self._route.goal_ms / 1e3)
@@ -203,24 +203,24 @@
         now: float,
         seen: BackendView,
         tokens: int,
-        reads: bool,
+        is_prefill: bool,
         headers: tuple[tuple[str, str], ...],
         silent_s: float | None,
     ) -> tuple[Leg, Call]:
         permitted_until = self._shared.candidates.begin_call(now, seen)
         if permitted_until:
             self._shared.count("cold_calls")
-        leg = self._legs.open(now, seen, tokens, reads, silent_s)
+        leg = self._legs.open(now, seen, tokens, is_prefill, silent_s)
         choices = self._shared.choices
-        choices.draws.called(now, self._service, seen.backend.stage)
+        choices.draws.count_call(now, self._service, seen.backend.stage)
         if (
-            reads or tokens > MAX_LOCAL_PREFILL_TOKENS
+            is_prefill or tokens > MAX_LOCAL_PREFILL_TOKENS
         ):  # also what is read where tokens are made since nobody is there to read it
-            leg.reading_s = choices.pairs.pace(self._service, "prefill").token * tokens / 1e3
-            self._shared.load.add_prefill(now, self._service, leg.reading_s)
+            leg.prefill_load_s = choices.pairs.latency(self._service, "prefill").token_ms * tokens / 1e3
+            self._shared.load.add_prefill(now, self._service, leg.prefill_load_s)
         if self._engine is not None:
             self._shared.count(f"tokens_asked_{seen.backend.stage}", tokens)
-            share = PREFILL_CACHE_SHARE if reads else CACHE_SHARE
+            share = PREFILL_CACHE_SHARE if is_prefill else CACHE_SHARE
             self._shared.cache.touch(seen.backend.id, self._prompt.parts, self._engine.cache_tokens, share)
-        self._shared.count("reads" if reads else "makes")
+        self._shared.count("reads" if is_prefill else "makes")
         return leg, Call(leg.number, seen.backend, headers, permitted_until)
--- a/cranebank/dataplane/exchange.py
+++ b/cranebank/dataplane/exchange.py
@@ -120,20 +120,20 @@
             case LegFailed(number, evidence):
                 self._failed(now, self._legs.get(number), evidence)
             case Begin():
-                self._dispatch.budget.request(now)
-                self._replan(now)
+                self._dispatch.budget.count_request(now)
+                self._send_next(now)
             case Wake():
                 self._wake(now)
             case ClientGone():
                 self._shared.count("clients_gone")
                 self._over(now)
         self._check()
-        if not self.over:
+        if not self.is_over:
             self._actions.append(WakeAt(self._legs.next_silence(self._until)))
         return self._actions
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the one answer is given."""
         return self.state is State.OVER
 
@@ -149,18 +149,18 @@
             raise invariant_error("what can't be repeated runs once")
         self._attempts.check()
 
-    def _replan(self, now: float) -> None:
+    def _send_next(self, now: float) -> None:
         """Send the request on; where that can't be, end."""
-        self._go_on(now, self._dispatch.next_call(now))
+        self._send_or_give_up(now, self._dispatch.next_call(now))
 
-    def _go_on(self, now: float, call: Call | None) -> None:
+    def _send_or_give_up(self, now: float, call: Call | None) -> None:
         if call is None:
             self._give_up(now)
             return
         leg = self._legs.get(call.leg)
         if leg is None:
             raise invariant_error("a planned call has its leg")
-        if leg.reads:
+        if leg.is_prefill:
             self._change(State.PREFILLING)
         elif self.state is not State.STREAMING:
             self._change(State.DECODING)
@@ -177,9 +177,9 @@
             return
         leg.status, leg.headers = status, headers
         self._shared.candidates.answered(now, leg.seen.backend.id)
-        if leg.reads:
+        if leg.is_prefill:
             return
-        read = self._legs.read(now, leg)
+        read = self._legs.mark_prompt_read(now, leg)
         kind = kind_of(status, headers)
         if kind is not AnswerKind.REJECTED:
             self._answer.may_have_run = True
@@ -190,8 +190,8 @@
             if other is not leg:
                 self._abort(now, other)
         if read:
-            self._shared.choices.pairs.pace(self._service, "decode").learn(read, (now - leg.sent_at) * 1e3)
-            self._tell_read(leg, read)
+            self._shared.choices.pairs.latency(self._service, "decode").learn(read, (now - leg.sent_at) * 1e3)
+            self._report_cached_prefix(leg, read)
 
     def _data(self, now: float, leg: Leg | None, data: bytes) -> None:
         if leg is None:
@@ -199,7 +199,7 @@
         if not leg.answering:
             if len(leg.body) + len(data) > MAX_HELD_ANSWER_BYTES:
                 self._abort(now, leg)
-                self._again_or_end(now, leg)
+                self._retry_or_give_up(now, leg)
                 return
             leg.body += data
             return
@@ -220,8 +220,8 @@
         if leg is None:
             return
         self._legs.close(now, leg)
-        if leg.reads:
-            self._reading_ended(now, leg)
+        if leg.is_prefill:
+            self._prefill_ended(now, leg)
         elif leg.answering:
             self._pass(self._answer.finish(leg))
             self._shared.count("served")
@@ -234,8 +234,8 @@
         kind = kind_of(leg.status, leg.headers)
         if kind is AnswerKind.REJECTED:
             self._rejected(now, leg)
-        elif kind is AnswerKind.UNSEALED or (leg.status >= 500 and self._can_repeat()):
-            self._again_or_end(now, leg)
+        elif kind is AnswerKind.UNSEALED or (leg.status >= 500 and self._may_repeat_run()):
+            self._retry_or_give_up(now, leg)
         elif self._answer.is_begun or self._legs or kind is AnswerKind.UNPROVEN:
             self._give_up(now)
         else:
@@ -243,26 +243,26 @@
             self._shared.count("failed_there")
             self._over(now)
 
-    def _reading_ended(self, now: float, leg: Leg) -> None:
+    def _prefill_ended(self, now: float, leg: Leg) -> None:
         """The answer of a reading is whole."""
         backend = leg.seen.backend
         handle = handle_in(leg.body) if leg.status == 200 else ""
         if handle:
-            self._go_on(now, self._dispatch.call_after_reading(now, leg, handle))
+            self._send_or_give_up(now, self._dispatch.call_after_prefill(now, leg, handle))
             return
         self._dispatch.without.add(backend.id)
         if leg.status in REJECTIONS:
             self._shared.count("readings_rejected")
             if leg.status == MISDIRECTED:
                 self._shared.candidates.failed(now, backend.id)
-            self._attempts.reading_rejected(leg.is_counted)
+            self._attempts.prefill_rejected(leg.is_counted)
             if self._attempts.arrivals > 1:
                 self._dispatch.budget.spend(now)
         else:
             self._shared.candidates.failed(now, backend.id)
-        self._replan(now)
+        self._send_next(now)
 
-    def _tell_read(self, leg: Leg, tokens: int) -> None:
+    def _report_cached_prefix(self, leg: Leg, tokens: int) -> None:
         """A backend has read so many tokens: where shared ones were among them, others want to know."""
         prompt, tell = self._prompt, self._shared.on_prefix_cached
         if tell is not None and prompt.home_key and tokens > prompt.tokens - prompt.shared_tokens:
@@ -275,7 +275,7 @@
         if leg.status == MISDIRECTED:
             self._shared.candidates.failed(now, leg.seen.backend.id)
         if not self._legs:  # else another copy is out
-            self._replan(now)
+            self._send_next(now)
 
     def _failed(self, now: float, leg: Leg | None, evidence: SendEvidence) -> None:
         if leg is None:
@@ -288,38 +288,38 @@
         self._shared.count("legs_broken" if evidence.may_have_run else "legs_unsent")
         if not evidence.may_have_run:
             self._unsent(now, leg)
-        elif leg.reads:
-            self._replan(now)
+        elif leg.is_prefill:
+            self._send_next(now)
         else:
             self._answer.may_have_run = True
-            self._again_or_end(now, leg)
+            self._retry_or_give_up(now, leg)
 
     def _unsent(self, now: float, leg: Leg) -> None:
         """A call never left us."""
-        self._attempts.unsent(leg.reads, leg.is_counted)
+        self._attempts.unsent(leg.is_prefill, leg.is_counted)
         self._dispatch.unsent(now, leg)
-        if self._attempts.never_left:
+        if self._attempts.has_too_many_unsent:
             self._give_up(now)
         elif not self._legs:
-            self._replan(now)
+            self._send_next(now)
 
     # Another run.
 
-    def _can_repeat(self) -> bool:
+    def _may_repeat_run(self) -> bool:
         return self._route.repeatable and self._attempts.are_left and self._answer.can_continue
 
-    def _can_go_on(self, now: float) -> bool:
+    def _can_retry(self, now: float) -> bool:
         """Whether there is what another run needs: a try, budget, and somebody to run it."""
-        return self._can_repeat() and self._dispatch.can_go_on(now)
+        return self._may_repeat_run() and self._dispatch.can_retry(now)
 
-    def _again_or_end(self, now: float, leg: Leg) -> None:
+    def _retry_or_give_up(self, now: float, leg: Leg) -> None:
         """A run that may have begun has come to nothing."""
         self._dispatch.without.add(leg.seen.backend.id)
         self._answer.drop_rest()
         if self._legs:
             return
-        if self._can_repeat():
-            self._replan(now)
+        if self._may_repeat_run():
+            self._send_next(now)
         else:
             self._give_up(now)
 
@@ -337,18 +337,18 @@
         self._shared.count("silent")
         self._shared.candidates.failed(now, leg.seen.backend.id, may_be_down=True)
         self._dispatch.without.add(leg.seen.backend.id)
-        if leg.reads and not self._attempts.has_try_to_read():
+        if leg.is_prefill and not self._attempts.has_try_for_prefill():
             return  # no other may read it, and a maker that reads it holds up its other requests: late is better
-        if leg.reads:
+        if leg.is_prefill:
             self._abort(now, leg)
-            self._replan(now)
-        elif not self._can_go_on(now):
+            self._send_next(now)
+        elif not self._can_retry(now):
             return  # its silence alone gives no reason to end it
         elif leg.answering:
             self._abort(now, leg)
-            self._again_or_end(now, leg)
+            self._retry_or_give_up(now, leg)
         else:
-            self._replan(now)  # a second copy beside the first; whoever answers first is passed on
+            self._send_next(now)  # a second copy beside the first; whoever answers first is passed on
 
     # Ends.
 
--- a/cranebank/dataplane/front.py
+++ b/cranebank/dataplane/front.py
@@ -34,7 +34,7 @@
     def gone(self, client: ClientConnection) -> None:
         """Nobody waits any more."""
 
-    def drained(self, client: ClientConnection, paused: bool) -> None:
+    def set_write_paused(self, client: ClientConnection, paused: bool) -> None:
         """The client's buffer is full, or has room again."""
 
 
@@ -45,7 +45,7 @@
         self._front = front
         self.transport: asyncio.Transport | None = None
         self._parser = RequestParser(front.limits, self._allow_body)
-        self._ahead = b""  # came while a request was open; read as soon as its answer is complete
+        self._pipelined = b""  # came while a request was open; read as soon as its answer is complete
         self.open = False  # a request is with the handler
         self._is_reading = False  # part of a request is in
         self._is_undrained = False  # the last answer may not have left this process yet
@@ -74,11 +74,11 @@
 
     def pause_writing(self) -> None:
         """The client reads slowly."""
-        self._front.handler.drained(self, True)
+        self._front.handler.set_write_paused(self, True)
 
     def resume_writing(self) -> None:
         """There is room again."""
-        self._front.handler.drained(self, False)
+        self._front.handler.set_write_paused(self, False)
 
     def eof_received(self) -> bool:
         """The client has ended its side: usual clients do so only when they leave."""
@@ -88,9 +88,9 @@
         """Bytes of a request, or of the next one."""
         if self._is_ending:
             return
-        if self.open or self._ahead:
-            self._ahead += data
-            if len(self._ahead) > MAX_PIPELINED_BYTES and self.transport is not None:
+        if self.open or self._pipelined:
+            self._pipelined += data
+            if len(self._pipelined) > MAX_PIPELINED_BYTES and self.transport is not None:
                 self.transport.pause_reading()
             return
         self._feed(data)
@@ -160,14 +160,14 @@
         if not self._response.keeps_connection or self._front.closing:
             self._end()
             return
-        if self.transport is not None and self._ahead:
-            asyncio.get_running_loop().call_soon(self._read_ahead)
+        if self.transport is not None and self._pipelined:
+            asyncio.get_running_loop().call_soon(self._feed_pipelined)
 
-    def _read_ahead(self) -> None:
+    def _feed_pipelined(self) -> None:
         """Read what came early. Until then it stays in place, so that what comes later is put behind it."""
         if self.transport is None or self._is_ending or self.open:
             return
-        data, self._ahead = self._ahead, b""
+        data, self._pipelined = self._pipelined, b""
         with contextlib.suppress(RuntimeError):
             self.transport.resume_reading()
         self._feed(data)
@@ -202,7 +202,7 @@
 
     def sweep(self, now: float, limits: ClientLimits) -> None:
         """Close it where it has been idle, or has taken too long over a request."""
-        if self.open or self._is_ending or self._ahead or self.transport is None:
+        if self.open or self._is_ending or self._pipelined or self.transport is None:
             return
         if self._is_undrained:
             self._is_undrained = self.transport.get_write_buffer_size() > 0
@@ -218,7 +218,7 @@
 
     def dismiss(self) -> None:
         """Close it if nothing is open on it and nothing is on its way in."""
-        if self.open or self._is_reading or self._is_ending or self._ahead or self.transport is None:
+        if self.open or self._is_reading or self._is_ending or self._pipelined or self.transport is None:
             return
         if not self._has_unread():
             self.transport.close()  # a request that crosses it is left unread, so that its client may send it again
--- a/cranebank/dataplane/pace.py
+++ b/cranebank/dataplane/latency_model.py
@@ -5,15 +5,15 @@
 import msgspec
 
 
-class Pace(msgspec.Struct):
+class LatencyModel(msgspec.Struct):
     """What reading takes at one stage of one service, learnt from answers: a start and a time a token, in ms.
 
     Of a prefill backend only answers count that found it idle: a pace that holds waiting would count it twice where a
     queue is estimated, and would make a stage look slower the more is asked of it.
     """
 
-    start: float
-    token: float
+    base_ms: float
+    token_ms: float
     weight: float = 4.0  # answers that the prior counts for
     mean_x: float = 0.0
     mean_y: float = 0.0
@@ -25,21 +25,21 @@
         gain = max(1.0 / self.weight, 0.02)
         self.weight += 1.0
         if self.var == 0.0:
-            self.mean_x, self.mean_y = tokens, self.start + self.token * tokens
-            self.var, self.cov = 1e6, self.token * 1e6  # the prior's slope, as one that was seen
+            self.mean_x, self.mean_y = tokens, self.base_ms + self.token_ms * tokens
+            self.var, self.cov = 1e6, self.token_ms * 1e6  # the prior's slope, as one that was seen
         off_x, off_y = tokens - self.mean_x, took_ms - self.mean_y
         self.mean_x += gain * off_x
         self.mean_y += gain * off_y
         self.var += gain * (off_x * off_x - self.var)
         self.cov += gain * (off_x * off_y - self.cov)
-        self.token = min(max(self.cov / self.var, 0.002), 1.0)
-        self.start = max(0.0, self.mean_y - self.token * self.mean_x)
+        self.token_ms = min(max(self.cov / self.var, 0.002), 1.0)
+        self.base_ms = max(0.0, self.mean_y - self.token_ms * self.mean_x)
 
     def estimate(self, tokens: float) -> float:
         """Milliseconds to the first byte."""
-        return self.start + self.token * tokens
+        return self.base_ms + self.token_ms * tokens
 
 
-def prior(stage: str) -> Pace:
+def prior(stage: str) -> LatencyModel:
     """What is assumed before anything was seen: middling figures, soon outweighed."""
-    return Pace(20.0, 0.02) if stage == "prefill" else Pace(30.0, 0.04)
+    return LatencyModel(20.0, 0.02) if stage == "prefill" else LatencyModel(30.0, 0.04)
--- a/cranebank/dataplane/offered_load.py
+++ b/cranebank/dataplane/offered_load.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._prefill_load: dict[str, DecayedRate] = {}
         self._decode_load: dict[str, float] = {}
-        self._looked_at: float | None = None
+        self._sampled_at: float | None = None
 
     def add_prefill(self, now: float, service: str, seconds: float) -> None:
         """A backend is asked for a reading that takes it so long, waiting left out; below zero: it never was."""
@@ -40,7 +40,7 @@
 
     def report(self, now: float, backends: Iterable[BackendView]) -> tuple[StageLoad, ...]:
         """The load of each service; ``backends`` are all that are known, with the calls that are out there."""
-        self._average_making(now, backends)
+        self._sample_decode(now, backends)
         reading = {service: max(0.0, rate.at(now)) for service, rate in self._prefill_load.items()}
         self._forget_idle(reading)
         loads = [
@@ -52,15 +52,15 @@
             loads = sorted(loads, key=lambda load: -max(load.prefill, load.decode))[:MAX_REPORTED_SERVICES]
         return tuple(loads)
 
-    def _average_making(self, now: float, backends: Iterable[BackendView]) -> None:
+    def _sample_decode(self, now: float, backends: Iterable[BackendView]) -> None:
         present: dict[str, float] = {}
         for seen in backends:
             backend = seen.backend
             if seen.calls and backend.stage == "decode":
                 present[backend.target] = present.get(backend.target, 0.0) + seen.calls / backend.capacity
-        since = self._looked_at if self._looked_at is not None else now  # both loads are averaged from nothing on
+        since = self._sampled_at if self._sampled_at is not None else now  # both loads are averaged from nothing on
         kept = exp(-max(0.0, now - since) / LOAD_AVERAGING_S)
-        self._looked_at = now
+        self._sampled_at = now
         services = present.keys() | self._decode_load.keys()
         self._decode_load = {
             service: kept * self._decode_load.get(service, 0.0) + (1.0 - kept) * present.get(service, 0.0)
--- a/cranebank/dataplane/open_legs.py
+++ b/cranebank/dataplane/open_legs.py
@@ -29,9 +29,9 @@
         "handle",
         "headers",
         "is_counted",
+        "is_prefill",
         "number",
-        "reading_s",
-        "reads",
+        "prefill_load_s",
         "seen",
         "sent_at",
         "silent_at",
@@ -41,18 +41,18 @@
     )
 
     def __init__(
-        self, number: int, seen: BackendView, tokens: int, reads: bool, now: float, silent_at: float | None
+        self, number: int, seen: BackendView, tokens: int, is_prefill: bool, now: float, silent_at: float | None
     ) -> None:
-        self.number, self.seen, self.tokens, self.reads = number, seen, tokens, reads
+        self.number, self.seen, self.tokens, self.is_prefill = number, seen, tokens, is_prefill
         self.found_idle = not seen.calls and not seen.others_calls  # as far as this proxy and its neighbours know
         self.sent_at, self.silent_at = now, silent_at
         self.ticket: Ticket | None = None  # of a reading, in the queue of its backend
-        self.reading_s = 0.0  # that it counts for in the load of its service
+        self.prefill_load_s = 0.0  # that it counts for in the load of its service
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b""
         self.answering = False
-        self.is_counted = not reads  # it takes one of the route's tries
+        self.is_counted = not is_prefill  # it takes one of the route's tries
         self.handle: Handle | None = None  # that it takes
 
 
@@ -75,27 +75,27 @@
     @property
     def runs(self) -> int:
         """How many are out that run the request, and don't only read its prompt."""
-        return sum(not leg.reads for leg in self._legs.values())
+        return sum(not leg.is_prefill for leg in self._legs.values())
 
     def get(self, number: int) -> Leg | None:
         """A leg, if it is still out."""
         return self._legs.get(number)
 
-    def open(self, now: float, seen: BackendView, tokens: int, reads: bool, silent_s: float | None) -> Leg:
+    def open(self, now: float, seen: BackendView, tokens: int, is_prefill: bool, silent_s: float | None) -> Leg:
         """A call goes out; ``silent_s`` from now without a word it counts as silent."""
         self._opened += 1
         silent_at = None if silent_s is None else now + silent_s
-        leg = self._legs[self._opened] = Leg(self._opened, seen, tokens, reads, now, silent_at)
+        leg = self._legs[self._opened] = Leg(self._opened, seen, tokens, is_prefill, now, silent_at)
         seen.calls += 1
         seen.tokens += tokens
-        seen.figured_at = now
+        seen.load_changed_at = now
         return leg
 
-    def read(self, now: float, leg: Leg) -> int:
+    def mark_prompt_read(self, now: float, leg: Leg) -> int:
         """Its backend has read the prompt: how many tokens count as read no longer."""
         tokens, leg.tokens = leg.tokens, 0
         leg.seen.tokens -= tokens
-        leg.seen.figured_at = now
+        leg.seen.load_changed_at = now
         return tokens
 
     def close(self, now: float, leg: Leg) -> None:
@@ -103,7 +103,7 @@
         self._legs.pop(leg.number, None)
         leg.seen.calls -= 1
         leg.seen.tokens -= leg.tokens
-        leg.seen.figured_at = now
+        leg.seen.load_changed_at = now
 
     def next_silence(self, until: float) -> float:
         """When the first of them counts as silent, ``until`` at the latest."""
--- a/cranebank/dataplane/pair.py
+++ b/cranebank/dataplane/pair.py
@@ -21,8 +21,8 @@
 from cranebank.dataplane.cache_view import CacheView
 from cranebank.dataplane.candidates import Candidates
 from cranebank.dataplane.choice import Plan
+from cranebank.dataplane.latency_model import LatencyModel, prior
 from cranebank.dataplane.open_legs import Leg
-from cranebank.dataplane.pace import Pace, prior
 from cranebank.dataplane.policy import ALL_ON, Policy
 from cranebank.dataplane.prefill_queue import Ticket
 from cranebank.dataplane.prompt import Prompt
@@ -58,20 +58,20 @@
         self.zone = ""  # this proxy's own
         self.prefill_reporters = 0  # other proxies that tell this one of the readings they begin
         self._began_at: float | None = None
-        self._waits = self._readings = 0.0  # milliseconds, decayed at each reading
-        self._paces: dict[tuple[str, str], Pace] = {}
+        self._wait_sum_ms = self._work_sum_ms = 0.0  # milliseconds, decayed at each reading
+        self._latencies: dict[tuple[str, str], LatencyModel] = {}
         self._homes: dict[
             str, tuple[list[BackendView], int, dict[str, list[BackendView]]]
         ] = {}  # by service: list, version, homes
 
-    def pace(self, service: str, stage: str) -> Pace:
+    def latency(self, service: str, stage: str) -> LatencyModel:
         """What reading takes there."""
-        found = self._paces.get((service, stage))
+        found = self._latencies.get((service, stage))
         if found is None:
-            found = self._paces[service, stage] = prior(stage)
+            found = self._latencies[service, stage] = prior(stage)
         return found
 
-    def keepers(self, listed: list[BackendView], prompt: Prompt) -> list[BackendView]:
+    def cache_holders(self, listed: list[BackendView], prompt: Prompt) -> list[BackendView]:
         """Who keeps a prompt's long shared part, as far as is known; none known: its home."""
         shared = prompt.shared_tokens
         found = [seen for seen in listed if self._cache.cached_tokens(seen.backend.id, prompt.shared) >= shared]
@@ -105,27 +105,27 @@
 
     def wait_ms(self, now: float, service: str, seen: BackendView) -> float:
         """Milliseconds before a reading that is asked for now begins there."""
-        wait = seen.readings.wait(now) * 1e3
+        wait = seen.prefill_queue.wait(now) * 1e3
         if wait:
             return wait
-        return self.pace(service, "prefill").token * (seen.tokens + seen.others_tokens)  # late, or not told of
+        return self.latency(service, "prefill").token_ms * (seen.tokens + seen.others_tokens)  # late, or not told of
 
     def begin_prefill(self, now: float, service: str, seen: BackendView, tokens: int) -> Ticket:
         """A reading of so many tokens is asked for there, by whichever proxy."""
-        token_ms = self.pace(service, "prefill").token * self._slowness(now, seen)
-        return seen.readings.add(now, token_ms * tokens / 1e3)
+        token_ms = self.latency(service, "prefill").token_ms * self._slowness(now, seen)
+        return seen.prefill_queue.add(now, token_ms * tokens / 1e3)
 
     def end_prefill(self, now: float, service: str, leg: Leg) -> None:
         """A reading of our own was answered."""
-        pace, seen = self.pace(service, "prefill"), leg.seen
+        latency, seen = self.latency(service, "prefill"), leg.seen
         if leg.ticket is not None:
-            seen.readings.over(now - pace.start / 1e3, leg.ticket)
+            seen.prefill_queue.finish(now - latency.base_ms / 1e3, leg.ticket)
         if not leg.found_idle:  # it waited for others as well, and the pace would grow with the queue
             return
         took_ms = (now - leg.sent_at) * 1e3
-        seen.unreported_slowness = took_ms / pace.estimate(leg.tokens)
+        seen.unreported_slowness = took_ms / latency.estimate(leg.tokens)
         seen.slowness.observe(now, seen.unreported_slowness)
-        pace.learn(leg.tokens, took_ms)
+        latency.learn(leg.tokens, took_ms)
 
     def choose_prefill(
         self, now: float, service: str, prompt: Prompt, without: Set[str]
@@ -137,23 +137,23 @@
         first, second = self.draws.draw(listed)
         blend = self.draws.blend(now, service, "prefill", listed, (first, second))
         congestion = self._congestion(now, service, prompt, (first, second))
-        keepers = self.keepers(listed, prompt) if prompt.home_key and self._policy.keepers else []
-        is_kept = any(self._unread(prompt, seen) < prompt.tokens for seen in keepers)
+        holders = self.cache_holders(listed, prompt) if prompt.home_key and self._policy.keepers else []
+        is_cached = any(self._uncached_tokens(prompt, seen) < prompt.tokens for seen in holders)
 
         def cost(seen: BackendView) -> float:
-            return self._reading_cost(now, service, prompt, seen, congestion, is_kept)
+            return self._prefill_cost(now, service, prompt, seen, congestion, is_cached)
 
-        chosen = second if self.draws.takes_second(blend, cost(first), cost(second)) else first
-        chosen = min((*self._near(listed, self.zone), *keepers, chosen), key=cost)
-        tokens = self._unread(prompt, chosen)
-        read_ms = self.pace(service, "prefill").estimate(tokens)  # slowness is for the choice among readers only
+        chosen = second if self.draws.prefers_second(blend, cost(first), cost(second)) else first
+        chosen = min((*self._draw_in_zone(listed, self.zone), *holders, chosen), key=cost)
+        tokens = self._uncached_tokens(prompt, chosen)
+        read_ms = self.latency(service, "prefill").estimate(tokens)  # slowness is for the choice among readers only
         return chosen, self.wait_ms(now, service, chosen) + read_ms, tokens
 
-    def _near(self, listed: list[BackendView], zone: str) -> list[BackendView]:
+    def _draw_in_zone(self, listed: list[BackendView], zone: str) -> list[BackendView]:
         """One draw from those in a zone, if there are any."""
-        return self.draws.one_of(self._by_zone.of(listed, zone)) if self._policy.near_zone else []
+        return self.draws.sample_one(self._by_zone.of(listed, zone)) if self._policy.near_zone else []
 
-    def _unread(self, prompt: Prompt, seen: BackendView) -> int:
+    def _uncached_tokens(self, prompt: Prompt, seen: BackendView) -> int:
         """Tokens that a backend is thought to have to read."""
         if not self._policy.cached_parts:
             return max(1, prompt.tokens)
@@ -162,21 +162,23 @@
     def _slowness(self, now: float, seen: BackendView) -> float:
         return seen.slowness.at(now) if self._policy.slowness else 1.0
 
-    def _reading_cost(
-        self, now: float, service: str, prompt: Prompt, seen: BackendView, congestion: float, is_kept: bool
+    def _prefill_cost(
+        self, now: float, service: str, prompt: Prompt, seen: BackendView, congestion: float, is_cached: bool
     ) -> float:
-        """The wait there, and the work, which whoever comes behind it waits for as well. ``is_kept``: some backend
+        """The wait there, and the work, which whoever comes behind it waits for as well. ``is_cached``: some backend
         keeps the shared part."""
-        tokens = float(self._unread(prompt, seen))
-        anew = 0.0
+        tokens = float(self._uncached_tokens(prompt, seen))
+        reread = 0.0
         if tokens == prompt.tokens:  # nothing is known to be kept there
-            if is_kept:
-                anew = max(0.0, MIN_REREAD_WEIGHT - congestion) * prompt.shared_tokens
+            if is_cached:
+                reread = max(0.0, MIN_REREAD_WEIGHT - congestion) * prompt.shared_tokens
             elif self._is_home(service, prompt, seen):
-                likely = max(MIN_HOME_HIT_PROBABILITY, 1.0 - self.visibility(now))  # another proxy may have had it read
-                tokens -= likely * prompt.shared_tokens
-        work = congestion * self._slowness(now, seen) * tokens + anew
-        return self.wait_ms(now, service, seen) + self.pace(service, "prefill").token * work
+                home_hit = max(
+                    MIN_HOME_HIT_PROBABILITY, 1.0 - self.visibility(now)
+                )  # another proxy may have had it read
+                tokens -= home_hit * prompt.shared_tokens
+        work = congestion * self._slowness(now, seen) * tokens + reread
+        return self.wait_ms(now, service, seen) + self.latency(service, "prefill").token_ms * work
 
     def _congestion(self, now: float, service: str, prompt: Prompt, drawn: tuple[BackendView, BackendView]) -> float:
         """How many times work counts: one, and how many readings wait at a backend on average, by the draws that this
@@ -185,9 +187,11 @@
         if not self._policy.congestion:
             return 1.0
         wait = sum(self.wait_ms(now, service, seen) for seen in drawn) / 2
-        self._waits = CONGESTION_DECAY * self._waits + wait
-        self._readings = CONGESTION_DECAY * self._readings + self.pace(service, "prefill").token * prompt.tokens
-        return 1.0 + self._waits / max(1.0, self._readings)
+        self._wait_sum_ms = CONGESTION_DECAY * self._wait_sum_ms + wait
+        self._work_sum_ms = (
+            CONGESTION_DECAY * self._work_sum_ms + self.latency(service, "prefill").token_ms * prompt.tokens
+        )
+        return 1.0 + self._wait_sum_ms / max(1.0, self._work_sum_ms)
 
     def choose(
         self, now: float, service: str, engine: Engine, prompt: Prompt, goal_ms: float, without: Set[str]
@@ -202,7 +206,7 @@
         plan = self._plan(first, reading, service, engine, prompt, goal_ms, blend)
         if second is not first:
             other = self._plan(second, reading, service, engine, prompt, goal_ms, blend)
-            if self.draws.takes_second(blend, plan.figure, other.figure):
+            if self.draws.prefers_second(blend, plan.cost, other.cost):
                 plan = other
         return plan
 
@@ -216,22 +220,25 @@
         goal_ms: float,
         blend: float,
     ) -> Plan:
-        pace = self.pace(service, "decode")
+        latency = self.latency(service, "decode")
         streams = decode_backend.all_calls
-        ahead = pace.token * (decode_backend.tokens + decode_backend.others_tokens) + streams
-        tokens = self._unread(prompt, decode_backend)
-        alone = self._cost(pace.estimate(tokens) + ahead, goal_ms) + STREAM_DELAY_SHARE * streams * pace.token * tokens
+        queued_ms = latency.token_ms * (decode_backend.tokens + decode_backend.others_tokens) + streams
+        tokens = self._uncached_tokens(prompt, decode_backend)
+        local_cost = (
+            self._cost(latency.estimate(tokens) + queued_ms, goal_ms)
+            + STREAM_DELAY_SHARE * streams * latency.token_ms * tokens
+        )
         if reading is None:
-            return Plan(decode_backend, None, tokens, alone, blend)
+            return Plan(decode_backend, None, tokens, local_cost, blend)
         prefill_backend, read_ms, prefill_tokens = reading
-        far = 1.0 if prefill_backend.backend.zone == decode_backend.backend.zone else 2.0
-        move = far * prompt.tokens * engine.token_bytes * 8 / max(1.0, engine.link_mbps) / 1e3
-        split = self._cost(read_ms + pace.start + move + ahead, goal_ms)
-        if tokens <= MAX_LOCAL_PREFILL_TOKENS and alone <= split and self._policy.short_prompts_at_makers:
-            return Plan(decode_backend, None, tokens, alone, blend)
-        return Plan(decode_backend, prefill_backend, prefill_tokens, split, blend)
-
-    def has_maker(self, now: float, service: str, without: Set[str]) -> bool:
+        link_factor = 1.0 if prefill_backend.backend.zone == decode_backend.backend.zone else 2.0
+        transfer_ms = link_factor * prompt.tokens * engine.token_bytes * 8 / max(1.0, engine.link_mbps) / 1e3
+        split_cost = self._cost(read_ms + latency.base_ms + transfer_ms + queued_ms, goal_ms)
+        if tokens <= MAX_LOCAL_PREFILL_TOKENS and local_cost <= split_cost and self._policy.short_prompts_at_makers:
+            return Plan(decode_backend, None, tokens, local_cost, blend)
+        return Plan(decode_backend, prefill_backend, prefill_tokens, split_cost, blend)
+
+    def has_decode_backend(self, now: float, service: str, without: Set[str]) -> bool:
         """Whether anybody is ready to make tokens."""
         return bool(self._candidates.ready(now, service, "decode", without))
 
@@ -250,6 +257,6 @@
         """A pair for one request, or none where nobody is ready."""
         return self._pairs.choose(now, self._service, self._engine, prompt, goal_ms, without)
 
-    def has_backend(self, now: float, without: Set[str]) -> bool:
+    def has_candidate(self, now: float, without: Set[str]) -> bool:
         """Whether another run could go anywhere."""
-        return self._pairs.has_maker(now, self._service, without)
+        return self._pairs.has_decode_backend(now, self._service, without)
--- a/cranebank/dataplane/plain_choice.py
+++ b/cranebank/dataplane/plain_choice.py
@@ -31,10 +31,10 @@
             return None
         first, second = self._draws.draw(listed)
         blend = self._draws.blend(now, self._service, stage, listed, (first, second))
-        chosen = second if self._draws.takes_second(blend, _taken(first), _taken(second)) else first
-        return Plan(chosen, None, 0, _taken(chosen), blend)
+        chosen = second if self._draws.prefers_second(blend, _utilisation(first), _utilisation(second)) else first
+        return Plan(chosen, None, 0, _utilisation(chosen), blend)
 
-    def has_backend(self, now: float, without: Set[str]) -> bool:
+    def has_candidate(self, now: float, without: Set[str]) -> bool:
         """Whether another run could go anywhere."""
         return bool(self._ready(now, without)[0])
 
@@ -45,6 +45,6 @@
         return candidates.ready(now, service, DECODE, without), DECODE
 
 
-def _taken(seen: BackendView) -> float:
+def _utilisation(seen: BackendView) -> float:
     """The part of a backend's places that is taken."""
     return seen.all_calls / max(1, seen.backend.capacity)
--- a/cranebank/dataplane/prefill_queue.py
+++ b/cranebank/dataplane/prefill_queue.py
@@ -21,7 +21,7 @@
     """One reading in a queue: how long it takes, and when it should be over, but for what the queue slips from now."""
 
     seconds: float
-    over_at: float
+    expected_end_at: float
 
 
 class PrefillQueue:
@@ -42,13 +42,13 @@
         self._until = min(max(now, self._until) + seconds, now + MAX_QUEUE_S)
         return Ticket(seconds, self._until - self._slipped)
 
-    def take_back(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: Ticket) -> None:
         """A reading that was added has never reached the backend."""
         self._until -= ticket.seconds
 
-    def over(self, now: float, ticket: Ticket) -> None:
+    def finish(self, now: float, ticket: Ticket) -> None:
         """A reading of our own is over: all that follow it are as early or late as it was."""
-        slip = now - ticket.over_at - self._slipped
+        slip = now - ticket.expected_end_at - self._slipped
         self._slipped += slip
         self._until = min(max(now, self._until + slip), now + MAX_QUEUE_S)
 
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -62,7 +62,7 @@
     fresh: bool
 
 
-class Open:
+class OpenRequest:
     """One request that is open: its exchange, its client, its legs."""
 
     __slots__ = (
@@ -137,7 +137,7 @@
                     self.proxy.free(backend, handle)
         if out:
             self.client.write(b"".join(out))
-        if self.exchange.over:
+        if self.exchange.is_over:
             if self.timer is not None:
                 self.timer.cancel()
             self.proxy.closed(self)
@@ -180,9 +180,9 @@
         if connection.transport is None or connection.transport.is_closing():
             self.do(LegFailed(call.leg, SendEvidence.CLOSED_BEFORE_SEND))
             return
-        if self.exchange.over or not self._may_write(call):
+        if self.exchange.is_over or not self._may_write(call):
             self.proxy.pool.give_back(connection)
-            if not self.exchange.over:
+            if not self.exchange.is_over:
                 self.do(LegFailed(call.leg, SendEvidence.BACKEND_WITHDRAWN))
             return
         self._send(call, connection)
@@ -247,9 +247,9 @@
         choices = Choices(candidates, cache, random, policy)
         self.shared = Shared(candidates, choices, cache, self._budget, self.counters)
         self.pool = Pool(self.counters)
-        self.pool.most = self._most
+        self.pool.max_connections = self._max_connections
         self.front = Front(self, self.limits)
-        self._open: dict[ClientConnection, Open] = {}
+        self._open: dict[ClientConnection, OpenRequest] = {}
         self._stages = StageWatch()
         self.evacuation_number = 0  # of the newest evacuations known; 0: none were ever
         self.evacuated: frozenset[str] = frozenset()
@@ -258,7 +258,7 @@
         """The clients' limits in force."""
         return self.table.limits if self.table is not None else ClientLimits()
 
-    def _most(self, backend: Backend) -> int:
+    def _max_connections(self, backend: Backend) -> int:
         """Connections to one backend: this proxy's part of what the service allows, never under four."""
         service = self.table.services.get(backend.target) if self.table is not None else None
         return max(4, (service.max_conns if service else 64) // (self.shared.choices.draws.proxies + 1))
@@ -294,7 +294,7 @@
         for over in candidates.merge(backends, now):
             self.pool.drop(over)
             self.shared.cache.forget(over)
-        self._stages.observe(now, candidates.staffed(), candidates.records.values())
+        self._stages.observe(now, candidates.stages_with_ready(), candidates.records.values())
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
         """Send nothing more to backends of these zones, unless newer evacuations are known; the number in force."""
@@ -389,7 +389,7 @@
             request.named.get("last-event-id"),
         )
         self.shared.count("requests")
-        opened = Open(self, client, request, exchange, min(until, now + route.timeout_ms / 1e3))
+        opened = OpenRequest(self, client, request, exchange, min(until, now + route.timeout_ms / 1e3))
         self._open[client] = opened
         opened.do(Begin())
 
@@ -399,13 +399,13 @@
         if opened is not None:
             opened.do(ClientGone())
 
-    def drained(self, client: ClientConnection, paused: bool) -> None:
+    def set_write_paused(self, client: ClientConnection, paused: bool) -> None:
         """Its client's buffer is full, or has room again."""
         opened = self._open.get(client)
         if opened is not None:
             opened.hold(paused)
 
-    def closed(self, opened: Open) -> None:
+    def closed(self, opened: OpenRequest) -> None:
         """A request is over."""
         if self._open.get(opened.client) is opened:
             del self._open[opened.client]
--- a/cranebank/dataplane/stage_watch.py
+++ b/cranebank/dataplane/stage_watch.py
@@ -21,22 +21,18 @@
     """Compares the stages that have ready backends with those that had some before."""
 
     def __init__(self) -> None:
-        self._staffed: frozenset[tuple[str, str]] = frozenset()
+        self._with_ready: frozenset[tuple[str, str]] = frozenset()
         self._reported: dict[tuple[str, str], float] = {}
 
-    def observe(self, now: float, staffed: frozenset[tuple[str, str]], records: Iterable[Backend]) -> None:
+    def observe(self, now: float, stages_with_ready: frozenset[tuple[str, str]], records: Iterable[Backend]) -> None:
         """Take which (service, stage) have a ready backend now. ``records``: all backends known, for the report."""
-        if staffed == self._staffed:
+        if stages_with_ready == self._with_ready:
             return
-        emptied, filled = self._staffed - staffed, staffed - self._staffed
-        self._staffed = staffed
-        for place in sorted(filled & self._reported.keys()):
-            logger.info("service {}: a {} backend is ready again", *place)
-        due = [
-            place
-            for place in sorted(emptied)
-            if now - self._reported.get(place, -REPORT_INTERVAL_S) >= REPORT_INTERVAL_S
-        ]
+        emptied, filled = self._with_ready - stages_with_ready, stages_with_ready - self._with_ready
+        self._with_ready = stages_with_ready
+        for key in sorted(filled & self._reported.keys()):
+            logger.info("service {}: a {} backend is ready again", *key)
+        due = [key for key in sorted(emptied) if now - self._reported.get(key, -REPORT_INTERVAL_S) >= REPORT_INTERVAL_S]
         if not due:
             return
         known = tuple(records)
--- a/cranebank/dataplane/suspects.py
+++ b/cranebank/dataplane/suspects.py
@@ -17,7 +17,7 @@
 )
 FAIL_OPEN_SHARE = 0.5  # of the backends thought to be alive are ready: with fewer, suspects are used like them
 
-Place = tuple[str, str]
+StageKey = tuple[str, str]
 """A service and a stage."""
 
 
@@ -25,72 +25,72 @@
     """The suspects of each service and stage, in the order in which they were lost."""
 
     def __init__(self) -> None:
-        self._by_place: dict[Place, dict[str, BackendView]] = {}
-        self._merged: dict[Place, list[BackendView]] = {}  # the list that was made last
+        self._by_place: dict[StageKey, dict[str, BackendView]] = {}
+        self._merged: dict[StageKey, list[BackendView]] = {}  # the list that was made last
 
     def __bool__(self) -> bool:
         return bool(self._by_place)
 
-    def has_any(self, place: Place) -> bool:
+    def has_any(self, key: StageKey) -> bool:
         """Whether there is a suspect of this service and stage."""
-        return place in self._by_place
+        return key in self._by_place
 
-    def add(self, place: Place, seen: BackendView) -> None:
+    def add(self, key: StageKey, seen: BackendView) -> None:
         """Its heartbeats ceased."""
-        self._by_place.setdefault(place, {})[seen.backend.id] = seen
+        self._by_place.setdefault(key, {})[seen.backend.id] = seen
 
-    def remove(self, place: Place, backend: str) -> None:
+    def remove(self, key: StageKey, backend: str) -> None:
         """It beats again, or is over."""
-        suspects = self._by_place.get(place, {})
+        suspects = self._by_place.get(key, {})
         suspects.pop(backend, None)
         if not suspects:
-            self._by_place.pop(place, None)
-            self._merged.pop(place, None)
+            self._by_place.pop(key, None)
+            self._merged.pop(key, None)
 
-    def merged(self, now: float, place: Place, ready: list[BackendView]) -> list[BackendView]:
+    def merged(self, now: float, key: StageKey, ready: list[BackendView]) -> list[BackendView]:
         """The ready ones, and the suspects that are used like them; the same list for as long as it holds."""
-        if place not in self._by_place:
+        if key not in self._by_place:
             return ready
-        self._forget(now, place)
-        chosen = self._like_ready(now, place, ready)
+        self._forget(now, key)
+        chosen = self._usable_suspects(now, key, ready)
         if not chosen:
             return ready
         merged = ready + chosen
-        if self._merged.get(place) != merged:
-            self._merged[place] = merged
-        return self._merged[place]
+        if self._merged.get(key) != merged:
+            self._merged[key] = merged
+        return self._merged[key]
 
-    def last_resort(self, now: float, place: Place) -> list[BackendView]:
+    def last_resort(self, now: float, key: StageKey) -> list[BackendView]:
         """Suspects that may be tried for want of any other: also those that failed a call, one call at a time."""
-        return [seen for seen in self._by_place.get(place, {}).values() if is_last_resort(now, seen)]
+        return [seen for seen in self._by_place.get(key, {}).values() if is_last_resort(now, seen)]
 
-    def _like_ready(self, now: float, place: Place, ready: list[BackendView]) -> list[BackendView]:
-        unfailed = [seen for seen in self._by_place.get(place, {}).values() if not seen.has_failed]
-        if not _are_enough(now, ready, len(unfailed)):
+    def _usable_suspects(self, now: float, key: StageKey, ready: list[BackendView]) -> list[BackendView]:
+        unfailed = [seen for seen in self._by_place.get(key, {}).values() if not seen.has_failed]
+        if not _has_enough_ready(now, ready, len(unfailed)):
             return unfailed
         return [seen for seen in unfailed if now - seen.answered_at <= ANSWER_VOUCHES_S]
 
-    def _forget(self, now: float, place: Place) -> None:
-        for backend, seen in list(self._by_place[place].items()):
+    def _forget(self, now: float, key: StageKey) -> None:
+        for backend, seen in list(self._by_place[key].items()):
             if now - seen.lost_at <= MAX_SUSPECT_AGE_S:
                 return
-            self.remove(place, backend)
+            self.remove(key, backend)
             if now - seen.answered_at <= MAX_SUSPECT_AGE_S:  # alive since: its minute begins anew
                 seen.lost_at = seen.answered_at
-                self.add(place, seen)
+                self.add(key, seen)
 
 
-def _are_enough(now: float, ready: list[BackendView], suspects: int) -> bool:
+def _has_enough_ready(now: float, ready: list[BackendView], suspects: int) -> bool:
     """Whether so many are ready and not backed off that so many suspects are left out. It looks at no more of the ready
     ones than it must: there may be thousands."""
-    well = 0
+    healthy = 0
     for seen in ready:
-        if well >= FAIL_OPEN_SHARE * (well + suspects):
+        if healthy >= FAIL_OPEN_SHARE * (healthy + suspects):
             return True
-        well += seen.away_until <= now
-    return well >= FAIL_OPEN_SHARE * (well + suspects)
+        healthy += seen.backoff_until <= now
+    return healthy >= FAIL_OPEN_SHARE * (healthy + suspects)
 
 
 def is_last_resort(now: float, seen: BackendView) -> bool:
     """Whether a suspect may be tried where there is no other."""
-    return not seen.is_replaced and now - seen.lost_at <= MAX_SUSPECT_AGE_S and seen.away_until <= now
+    return not seen.is_replaced and now - seen.lost_at <= MAX_SUSPECT_AGE_S and seen.backoff_until <= now
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -108,7 +108,7 @@
     """One call for each permit until it is free again; the empty list breaks no invariant."""
     before = dict(violations())
     proxy = cold_proxy()
-    assert calls_of(proxy) == [] and not proxy.shared.choices.of("svc", None).has_backend(0.0, frozenset())
+    assert calls_of(proxy) == [] and not proxy.shared.choices.of("svc", None).has_candidate(0.0, frozenset())
     permit(proxy, "0", 2)
     assert [len(calls_of(proxy)) for _ in range(4)] == [1, 1, 0, 0]
     assert ids(proxy, PERMIT_REUSE_INTERVAL_S - 0.05) == [] and ids(proxy, PERMIT_REUSE_INTERVAL_S) == ["0"]
@@ -176,7 +176,7 @@
 async def test_the_backends_of_a_zone_that_is_taken_back_are_cold() -> None:
     proxy = proxy_of(1, 2)
     proxy.learn([structs.replace(backend("1", 0, 2), zone="other")])
-    proxy.shared.candidates.returned(asyncio.get_running_loop().time(), {"z"})
+    proxy.shared.candidates.restore_zones(asyncio.get_running_loop().time(), {"z"})
     assert ids(proxy) == ["1"]
 
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -101,7 +101,7 @@
         assert evacuating.any_ready() == plain.any_ready()
     evacuating.evacuate(99, frozenset())
     for candidates in (evacuating, plain):
-        candidates.returned(99, frozenset())
+        candidates.restore_zones(99, frozenset())
     assert {one.backend.id for one in evacuating.ready(99, "s", "decode")} == {
         one.backend.id for one in plain.ready(99, "s", "decode")
     }
--- a/tests/test_exchange_parts.py
+++ b/tests/test_exchange_parts.py
@@ -43,26 +43,26 @@
 def test_what_never_left_counts_nowhere_and_is_bounded() -> None:
     attempts = Attempts(1)
     for number in range(MAX_UNSENT):
-        assert not attempts.never_left and not attempts.are_used_up, number
-        attempts.make()
+        assert not attempts.has_too_many_unsent and not attempts.are_used_up, number
+        attempts.count_decode()
         assert attempts.are_used_up
-        attempts.unsent(reads=False, is_counted=True)
-    assert attempts.never_left and not attempts.arrivals
+        attempts.unsent(is_prefill=False, is_counted=True)
+    assert attempts.has_too_many_unsent and not attempts.arrivals
 
 
 @pytest.mark.parametrize(("tries", "may"), [(1, False), (2, True)])
 def test_a_further_reading_needs_a_try_and_leaves_one(tries: int, may: bool) -> None:
     attempts = Attempts(tries)
-    assert not attempts.read() and attempts.may_read() is may
+    assert not attempts.count_prefill() and attempts.may_prefill() is may
     if may:
-        assert attempts.read() and not attempts.may_read() and not attempts.are_used_up
+        assert attempts.count_prefill() and not attempts.may_prefill() and not attempts.are_used_up
 
 
 def test_a_rejected_reading_takes_a_try_and_the_next_is_the_first_again() -> None:
     attempts = Attempts(2)
-    is_counted = attempts.read()
-    attempts.reading_rejected(is_counted)
-    assert attempts.count == attempts.arrivals == 1 and attempts.may_read() and not attempts.read()
+    is_counted = attempts.count_prefill()
+    attempts.prefill_rejected(is_counted)
+    assert attempts.count == attempts.arrivals == 1 and attempts.may_prefill() and not attempts.count_prefill()
 
 
 def test_figures_of_a_backend_come_back_to_nothing() -> None:
@@ -70,7 +70,7 @@
     first, second = legs.open(1.0, seen, 100, True, 2.0), legs.open(1.5, seen, 30, False, None)
     assert (seen.calls, seen.tokens, legs.runs, len(legs)) == (2, 130, 1, 2)
     assert legs.next_silence(9.0) == 3.0 and legs.next_silence(2.0) == 2.0
-    assert legs.read(2.0, second) == 30 and seen.tokens == 100
+    assert legs.mark_prompt_read(2.0, second) == 30 and seen.tokens == 100
     for leg in legs:
         legs.close(2.0, leg)
     assert (seen.calls, seen.tokens, len(legs)) == (0, 0, 0) and legs.get(first.number) is None
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -22,7 +22,7 @@
 import uvloop
 from test_configuration import body, document, route
 from test_control_program import ONE, PROXY, REPLACE, Caller, caller, controller_settings, free_port
-from test_exchange import Story, calls
+from test_exchange import ExchangeHarness, calls
 from test_registry import beat
 
 from cranebank.control.consensus_replica import ConsensusReplica, ConsensusSettings
@@ -303,7 +303,7 @@
         proxy = Proxy(RetryRule(0.1, 10, 30.0, True), Random(2), loop.time())
         for number in range(1, CHANGES + 1):
             proxy.configure(change(number))
-            proxy.shared.budget(f"service-{number:05}").request(loop.time() - 31.0)
+            proxy.shared.budget(f"service-{number:05}").count_request(loop.time() - 31.0)
         assert len(proxy._budgets) <= 2
         proxy.shared.budget("spent").spend(loop.time())
         proxy.shared.budget("another")
@@ -315,7 +315,7 @@
 
 def test_a_request_spends_from_the_budget_that_is_kept_now() -> None:
     """An open request may outlive the budget that it began with; what it spends counts all the same."""
-    story = Story(slack=50.0)
+    story = ExchangeHarness(slack=50.0)
     (call,) = calls(story.begin())
     story.budget = Budget(0.2, 0.0, 10.0, 0.0)
     assert not calls(story.do(LegFailed(call.leg, SendEvidence.WRITTEN)))
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -48,13 +48,13 @@
     """Backend number i has i calls out; the figures are of this moment."""
     for name, seen in candidates.views.items():
         if name.startswith(stage):
-            seen.calls, seen.tokens, seen.figured_at = int(name[1:]), 400 * int(name[1:]), now
+            seen.calls, seen.tokens, seen.load_changed_at = int(name[1:]), 400 * int(name[1:]), now
 
 
 def rate(choose: PairChooser, now: float, calls: int, stage: str = "decode") -> None:
     """So many calls within the last moment."""
     for _ in range(calls):
-        choose.draws.called(now, "svc", stage)
+        choose.draws.count_call(now, "svc", stage)
 
 
 def shares(choose: PairChooser, now: float, count: int = 20_000) -> Counter[str]:
@@ -145,21 +145,21 @@
     assert choose.visibility(100.0) == 0.0 and choose.visibility(100.0 + 2 * CACHE_LEARNING_S) == 1.0
     now = 100.0 + 2 * CACHE_LEARNING_S
     for name in ("p0", "p1", "p2"):
-        candidates.views[name].readings.add(now, 2.0)
+        candidates.views[name].prefill_queue.add(now, 2.0)
     found = Counter(
         plan.prefill_backend.backend.id for plan in plans(choose, now, 400) if plan.prefill_backend is not None
     )
-    home = Counter(seen.backend.id for seen in choose.keepers(candidates.ready(now, "svc", "prefill"), LONG))
+    home = Counter(seen.backend.id for seen in choose.cache_holders(candidates.ready(now, "svc", "prefill"), LONG))
     assert abs(found["p3"] / 400 - 1 / 2) < 0.1 or "p3" in home, "it is among two of four in half of all draws"
 
 
 def test_a_keeper_is_taken_unless_reading_anew_costs_less_than_the_wait() -> None:
     choose, candidates, cache = with_cache()
     cache.record_prefix("p3", "s", 13_300, 400_000)
-    pace = choose.pace("svc", "prefill")
-    candidates.views["p3"].readings.add(100.0, 0.9 * pace.token * 13.300)
+    latency = choose.latency("svc", "prefill")
+    candidates.views["p3"].prefill_queue.add(100.0, 0.9 * latency.token_ms * 13.300)
     assert {p.prefill_backend.backend.id for p in plans(choose, 100.0, 50) if p.prefill_backend is not None} == {"p3"}
-    candidates.views["p3"].readings.add(100.0, 40 * pace.token * 13.300)
+    candidates.views["p3"].prefill_queue.add(100.0, 40 * latency.token_ms * 13.300)
     assert "p3" not in {p.prefill_backend.backend.id for p in plans(choose, 100.0, 50) if p.prefill_backend is not None}
 
 
@@ -177,7 +177,7 @@
     assert choose.choose_prefill(100.0, "svc", own, {"p0", "p2", "p3"}) is not None, "alone it is used"
     for seen in candidates.views.values():
         if seen.backend.id != "p1":
-            seen.readings.add(160.0, 0.05)
+            seen.prefill_queue.add(160.0, 0.05)
     assert "p1" in readers(160.0), "what was seen has faded, and the others have something to do"
 
 
@@ -213,7 +213,7 @@
     choose, candidates = zoned({"a": 4, "b": 4, "c": 4}, "b")
     for name, seen in candidates.views.items():
         if name.startswith("p-b"):
-            seen.readings.add(100.0, 9.0)
+            seen.prefill_queue.add(100.0, 9.0)
     own = Prompt(6_000, 10, (("o", 6_000),))
     readings = [choose.choose_prefill(100.0, "svc", own, set()) for _ in range(400)]
     away = sum(reading[0].backend.zone != "b" for reading in readings if reading is not None)
@@ -224,7 +224,7 @@
     for wait, is_left in ((MIN_REREAD_WEIGHT - 0.5, False), (MIN_REREAD_WEIGHT + 0.5, True)):
         choose, candidates, cache = with_cache()
         cache.record_prefix("p3", "s", 13_300, 400_000)
-        candidates.views["p3"].readings.add(100.0, wait * choose.pace("svc", "prefill").token * 13.300)
+        candidates.views["p3"].prefill_queue.add(100.0, wait * choose.latency("svc", "prefill").token_ms * 13.300)
         readers = {
             plan.prefill_backend.backend.id for plan in plans(choose, 100.0, 100) if plan.prefill_backend is not None
         }
@@ -236,16 +236,16 @@
     for congested in (False, True):
         choose, candidates, cache = with_cache()
         cache.record_prefix("p3", "s", 13_300, 400_000)
-        second = choose.pace("svc", "prefill").token * 13.300
+        second = choose.latency("svc", "prefill").token_ms * 13.300
         if congested:
             for _ in range(60):  # waits of eight readings are what this proxy has met
                 for seen in candidates.views.values():
-                    seen.readings = PrefillQueue()
-                    seen.readings.add(100.0, 8 * second)
+                    seen.prefill_queue = PrefillQueue()
+                    seen.prefill_queue.add(100.0, 8 * second)
                 choose.choose_prefill(100.0, "svc", LONG, set())
         for seen in candidates.views.values():
-            seen.readings = PrefillQueue()
-        candidates.views["p3"].readings.add(100.0, wait * second)
+            seen.prefill_queue = PrefillQueue()
+        candidates.views["p3"].prefill_queue.add(100.0, wait * second)
         reading = choose.choose_prefill(100.0, "svc", LONG, set())
         assert reading is not None and (reading[0].backend.id == "p3") is congested
 
@@ -269,10 +269,10 @@
 
     candidates.merge([Backend("p3", "svc", "10.0.1.3:1", "z", "prefill", 32, "gone", 2)])
     listed = candidates.ready(100.0, "svc", "prefill")
-    before = [{seen.backend.id for seen in choose.keepers(listed, prompt)} for prompt in prompts_]
+    before = [{seen.backend.id for seen in choose.cache_holders(listed, prompt)} for prompt in prompts_]
     candidates.merge([Backend("p4", "svc", "10.0.1.4:1", "z", "prefill", 32, "gone", 2)])
     listed = candidates.ready(100.0, "svc", "prefill")
-    after = [{seen.backend.id for seen in choose.keepers(listed, prompt)} for prompt in prompts_]
+    after = [{seen.backend.id for seen in choose.cache_holders(listed, prompt)} for prompt in prompts_]
     assert all(old - {"p4"} <= new for old, new in zip(before, after, strict=True))
 
 
@@ -291,7 +291,7 @@
     for at, asks in sorted(steps):
         for part in parts:
             if asks:
-                part.request(at)
+                part.count_request(at)
                 asked.append(at)
             while part.may(at, proxies):
                 part.spend(at)
@@ -391,7 +391,7 @@
     prompt = Prompt(17_000, 1, (("s", 13_000), ("o", 4_000)))
 
     def home() -> str:
-        (found,) = choose.keepers(candidates.ready(100.0, "svc", "prefill"), prompt)
+        (found,) = choose.cache_holders(candidates.ready(100.0, "svc", "prefill"), prompt)
         return found.backend.id
 
     first = home()
--- a/tests/test_plain_service.py
+++ b/tests/test_plain_service.py
@@ -69,9 +69,9 @@
     choices.draws.proxies = proxies
     for i in range(size):
         seen = candidates.views[f"b{i}"]
-        seen.calls, seen.figured_at = i, NOW - age
+        seen.calls, seen.load_changed_at = i, NOW - age
     for _ in range(calls):
-        choices.draws.called(NOW, "svc", "")
+        choices.draws.count_call(NOW, "svc", "")
     between_refreshes = calls / 2.0 * proxies * age  # calls a second are averaged over two seconds
     edge = size * log(size)
     blend = 1.0 if between_refreshes <= edge else sqrt(edge / between_refreshes)
@@ -94,7 +94,7 @@
 def test_a_staged_service_sends_nothing_to_a_backend_without_a_stage() -> None:
     choices, candidates = choices_over(backend("plain"))
     assert chosen(choices, ENGINE) == {"none": 1}
-    assert not choices.of("svc", ENGINE).has_backend(NOW, set())
+    assert not choices.of("svc", ENGINE).has_candidate(NOW, set())
     candidates.merge([backend("d", "decode")])
     assert chosen(choices, ENGINE, 20) == {"d": 20}
 
@@ -115,7 +115,7 @@
     assert set(chosen(choices, None, 50)) == {"a", "b"}  # all did: any may be tried
 
 
-class Story:
+class ExchangeHarness:
     """A proxy's shared state, and one request to the plain service ``svc``."""
 
     def __init__(self, variant: str = "effectful", tries: int = 1, names: tuple[str, ...] = ("a", "b")) -> None:
@@ -144,27 +144,27 @@
 
 
 def test_the_answer_is_passed_on_and_the_place_is_free_again() -> None:
-    story = Story()
-    call = story.call()
-    assert story.out() == 1 and not {name for name, _ in call.headers} & {"X-Stage", "Kv-From"}
-    actions = story.answer(call.leg, 200, {"x-server-seal": "s"})
+    harness = ExchangeHarness()
+    call = harness.call()
+    assert harness.out() == 1 and not {name for name, _ in call.headers} & {"X-Stage", "Kv-From"}
+    actions = harness.answer(call.leg, 200, {"x-server-seal": "s"})
     assert [a.status for a in actions if isinstance(a, Head)] == [200]
     assert b"".join(a.data for a in actions if isinstance(a, Data)) == b"ok"
-    assert any(isinstance(a, Finish) for a in actions) and story.out() == 0
+    assert any(isinstance(a, Finish) for a in actions) and harness.out() == 0
 
 
 def test_a_backends_own_failure_is_passed_on_as_it_came() -> None:
-    story = Story()
-    actions = story.answer(story.call().leg, 500, {"x-server-seal": "s"}, b"failed")
+    harness = ExchangeHarness()
+    actions = harness.answer(harness.call().leg, 500, {"x-server-seal": "s"}, b"failed")
     assert [a.status for a in actions if isinstance(a, Head)] == [500]
     assert b"".join(a.data for a in actions if isinstance(a, Data)) == b"failed"
 
 
 @pytest.mark.parametrize(("tries", "calls"), [(1, 0), (2, 1)])
 def test_what_did_not_run_goes_on_elsewhere_where_the_tries_allow(tries: int, calls: int) -> None:
-    story = Story(tries=tries)
-    first = story.call()
-    actions = story.answer(first.leg, 503, {"x-not-run": "1"})
+    harness = ExchangeHarness(tries=tries)
+    first = harness.call()
+    actions = harness.answer(first.leg, 503, {"x-not-run": "1"})
     further = [a for a in actions if isinstance(a, Call)]
     assert len(further) == calls and all(call.backend.id != first.backend.id for call in further)
     refusals = [a for a in actions if isinstance(a, Reply)]
@@ -172,30 +172,30 @@
 
 
 def test_an_effectful_request_whose_answer_is_lost_is_neither_sent_again_nor_refused() -> None:
-    story = Story(tries=3)
-    actions = story.do(LegFailed(story.call().leg, SendEvidence.WRITTEN))
+    harness = ExchangeHarness(tries=3)
+    actions = harness.do(LegFailed(harness.call().leg, SendEvidence.WRITTEN))
     assert not [a for a in actions if isinstance(a, (Call, Break))]
     assert [type(a.error) for a in actions if isinstance(a, Reply)] == [Unknown]
 
 
 def test_an_idempotent_request_whose_answer_is_lost_is_sent_to_another() -> None:
-    story = Story(variant="idempotent", tries=2)
-    first = story.call()
-    (again,) = [a for a in story.do(LegFailed(first.leg, SendEvidence.WRITTEN)) if isinstance(a, Call)]
+    harness = ExchangeHarness(variant="idempotent", tries=2)
+    first = harness.call()
+    (again,) = [a for a in harness.do(LegFailed(first.leg, SendEvidence.WRITTEN)) if isinstance(a, Call)]
     assert again.backend.id != first.backend.id
 
 
 def test_a_call_that_never_left_goes_to_another_backend_and_takes_no_try() -> None:
-    story = Story()
-    first = story.call()
-    (again,) = [a for a in story.do(LegFailed(first.leg, SendEvidence.NEVER_CONNECTED)) if isinstance(a, Call)]
+    harness = ExchangeHarness()
+    first = harness.call()
+    (again,) = [a for a in harness.do(LegFailed(first.leg, SendEvidence.NEVER_CONNECTED)) if isinstance(a, Call)]
     assert again.backend.id != first.backend.id
 
 
 def test_with_nobody_ready_it_is_refused_at_once() -> None:
-    story = Story(names=())
-    (reply,) = [action for action in story.do(Begin()) if isinstance(action, Reply)]
-    assert isinstance(reply.error, NotRun) and story.counters["without_backend"] == 1
+    harness = ExchangeHarness(names=())
+    (reply,) = [action for action in harness.do(Begin()) if isinstance(action, Reply)]
+    assert isinstance(reply.error, NotRun) and harness.counters["without_backend"] == 1
 
 
 def test_backends_of_a_plain_service_are_served_by_the_plain_choice_alone() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -83,7 +83,7 @@
     return made, candidates, cache
 
 
-def readers(made: Choices, now: float = 100.0) -> set[str]:
+def prefill_backends(made: Choices, now: float = 100.0) -> set[str]:
     """Who reads a long shared prompt."""
     plans = [made.of("svc", ENGINE).choose(now, LONG, 600.0, set()) for _ in range(200)]
     return {plan.prefill_backend.backend.id for plan in plans if plan is not None and plan.prefill_backend is not None}
@@ -94,20 +94,20 @@
     for off in ((), (mechanism,)):
         made, _, cache = choices("near_zone", "homes", *off)
         cache.record_prefix("prefill-3", "s", 13_300, 400_000)
-        assert (readers(made) == {"prefill-3"}) is not bool(off)
+        assert (prefill_backends(made) == {"prefill-3"}) is not bool(off)
 
 
 def test_homes_are_gone_to_only_where_they_are_on() -> None:
     for off in ((), ("homes",)):
         made, _, _ = choices(*off)
         made.draws.proxies = 350
-        assert (len(readers(made)) == 1) is not bool(off)
+        assert (len(prefill_backends(made)) == 1) is not bool(off)
 
 
 def test_the_nearest_zone_counts_only_where_it_is_on() -> None:
     for off in ((), ("near_zone",)):
         made, _, _ = choices("homes", *off)
-        assert readers(made) == ({f"prefill-{n}" for n in range(4)} if off else {"prefill-0", "prefill-2"})
+        assert prefill_backends(made) == ({f"prefill-{n}" for n in range(4)} if off else {"prefill-0", "prefill-2"})
 
 
 def test_slow_readers_are_avoided_only_where_it_is_on() -> None:
@@ -115,7 +115,7 @@
         made, candidates, _ = choices("near_zone", "homes", *off)
         for _ in range(9):
             candidates.views["prefill-0"].slowness.observe(100.0, 8.0)
-        assert ("prefill-0" in readers(made)) is bool(off)
+        assert ("prefill-0" in prefill_backends(made)) is bool(off)
 
 
 def test_short_prompts_are_read_apart_only_where_makers_may_not_read() -> None:
@@ -130,7 +130,7 @@
         made, candidates, _ = choices(*off)
         made.draws.proxies = 350
         for _ in range(400):
-            made.draws.called(100.0, "svc", "decode")
+            made.draws.count_call(100.0, "svc", "decode")
         listed = candidates.ready(100.0, "svc", "decode")
         blend = made.draws.blend(100.0, "svc", "decode", listed, (listed[0], listed[1]))
         assert (blend == 1.0) is bool(off)
--- a/tests/test_prefill_queue.py
+++ b/tests/test_prefill_queue.py
@@ -11,19 +11,19 @@
 def test_readings_stand_one_behind_the_other_and_time_ends_them() -> None:
     queue = PrefillQueue()
     assert queue.wait(10.0) == 0.0
-    assert queue.add(10.0, 0.3).over_at == 10.3 and queue.add(10.1, 0.2).over_at == 10.5
+    assert queue.add(10.0, 0.3).expected_end_at == 10.3 and queue.add(10.1, 0.2).expected_end_at == 10.5
     assert abs(queue.wait(10.2) - 0.3) < 1e-9 and queue.wait(11.0) == 0.0
-    assert queue.add(12.0, 0.1).over_at == 12.1, "nothing is gained by a pause"
+    assert queue.add(12.0, 0.1).expected_end_at == 12.1, "nothing is gained by a pause"
 
 
 def test_the_end_of_one_reading_shows_how_late_or_early_those_behind_it_are() -> None:
     queue = PrefillQueue()
     first, second, third = (queue.add(10.0, 0.3) for _ in range(3))
-    queue.over(10.5, first)
+    queue.finish(10.5, first)
     assert abs(queue.wait(10.5) - 0.6) < 1e-9
-    queue.over(10.8, second)
+    queue.finish(10.8, second)
     assert abs(queue.wait(10.8) - 0.3) < 1e-9, "one delay counts once, however many readings it holds up"
-    queue.over(10.9, third)
+    queue.finish(10.9, third)
     assert queue.wait(10.9) == 0.0
 
 
@@ -31,7 +31,7 @@
     queue = PrefillQueue()
     ticket = queue.add(10.0, 0.3)
     queue.add(10.0, 0.5)
-    queue.take_back(ticket)
+    queue.cancel(ticket)
     assert abs(queue.wait(10.0) - 0.5) < 1e-9
 
 
@@ -42,7 +42,7 @@
     for pause, seconds, ends in steps:
         now += pause
         if ends:
-            queue.over(now, ticket)
+            queue.finish(now, ticket)
         else:
             ticket = queue.add(now, seconds)
         assert 0.0 <= queue.wait(now) <= MAX_QUEUE_S + 1e-6
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -110,7 +110,7 @@
 
     def late(self: Exchange, now: float, event: object) -> list[object]:
         found: list[object] = list(handle(self, now, event))  # type: ignore[arg-type]
-        return [WakeAt(now - 1.0), WakeAt(now - 2.0), *found] if not self.over else found
+        return [WakeAt(now - 1.0), WakeAt(now - 2.0), *found] if not self.is_over else found
 
     monkeypatch.setattr(Exchange, "handle", late)
 
@@ -122,11 +122,11 @@
 
 
 def test_what_breaks_inside_ends_the_connection_and_shows_no_half_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: plane.Open, at: float) -> None:
+    def broken(self: plane.OpenRequest, at: float) -> None:
         if self.client.transport is not None and self.legs:
             raise RuntimeError("planted")
 
-    monkeypatch.setattr(plane.Open, "_wake_at", broken)
+    monkeypatch.setattr(plane.OpenRequest, "_wake_at", broken)
 
     async def story(made: Proxy, address: tuple[str, int]) -> None:
         with pytest.raises(ConnectionResetError):
--- a/tests/test_stage_watch.py
+++ b/tests/test_stage_watch.py
@@ -36,7 +36,7 @@
     def learn(self, now: float, *records: Backend) -> None:
         """Take records as a proxy does."""
         self.candidates.merge(records)
-        self.watch.observe(now, self.candidates.staffed(), self.candidates.records.values())
+        self.watch.observe(now, self.candidates.stages_with_ready(), self.candidates.records.values())
 
 
 def test_a_stage_that_loses_its_last_backend_is_an_error_that_tells_who_is_left(lines: list[str]) -> None:
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -127,13 +127,13 @@
 
     class Counted(BackendView):
         @property
-        def away_until(self) -> float:
+        def backoff_until(self) -> float:
             nonlocal looks
             looks += 1
             return 0.0
 
-        @away_until.setter
-        def away_until(self, value: float) -> None:
+        @backoff_until.setter
+        def backoff_until(self, value: float) -> None:
             pass
 
     suspects, lost = Suspects(), BackendView(backend(9999, "lost"))
@@ -182,14 +182,14 @@
     candidates = Candidates()
     candidates.merge([backend(number) for number in range(1000)])
     looks = 0
-    place_of = candidates_module._place
+    place_of = candidates_module._stage_key
 
     def counted(record: Backend) -> tuple[str, str]:
         nonlocal looks
         looks += 1
         return place_of(record)
 
-    monkeypatch.setattr(candidates_module, "_place", counted)
+    monkeypatch.setattr(candidates_module, "_stage_key", counted)
     for number in range(10):
         assert candidates.ready(LOST_AT + number / 1000, "other", "decode") == []
     assert looks < 2000
