--- a/cranebank/dataplane/by_zone.py
+++ b/cranebank/dataplane/by_zone.py
@@ -24,7 +24,7 @@
         known = self._known.get(key)
         if known is None or known[0] is not listed or known[1] != version:
             zones: dict[str, list[BackendView]] = {}
-            for seen in listed:
-                zones.setdefault(seen.backend.zone, []).append(seen)
+            for view in listed:
+                zones.setdefault(view.backend.zone, []).append(view)
             known = self._known[key] = (listed, version, zones)
         return known[2].get(zone, EMPTY)
--- a/cranebank/dataplane/candidates.py
+++ b/cranebank/dataplane/candidates.py
@@ -99,59 +99,59 @@
         if self._last_served_by.get(ended.backend.address) == backend:
             del self._last_served_by[ended.backend.address]
 
-    def _list(self, seen: BackendView, now: float) -> None:
-        backend = seen.backend
+    def _list(self, view: BackendView, now: float) -> None:
+        backend = view.backend
         if backend.phase == "ready":
-            self._take_address(seen)
+            self._take_address(view)
         elif backend.phase == "lost":
-            seen.lost_at = now
-            seen.is_replaced = self._last_served_by.get(backend.address, backend.id) != backend.id
-        self._enter(seen)
+            view.lost_at = now
+            view.is_replaced = self._last_served_by.get(backend.address, backend.id) != backend.id
+        self._enter(view)
 
-    def _enter(self, seen: BackendView) -> None:
-        backend, key = seen.backend, _stage_key(seen.backend)
-        is_suspect = backend.phase == "lost" and not seen.is_replaced
+    def _enter(self, view: BackendView) -> None:
+        backend, key = view.backend, _stage_key(view.backend)
+        is_suspect = backend.phase == "lost" and not view.is_replaced
         if backend.zone in self._evacuated_zones:
             if backend.phase == "ready" or is_suspect:
-                self._evacuated[backend.id] = seen
+                self._evacuated[backend.id] = view
         elif backend.phase == "ready":
-            self._ready.setdefault(key, []).append(seen)
+            self._ready.setdefault(key, []).append(view)
         elif is_suspect:
-            self._suspects.add(key, seen)
+            self._suspects.add(key, view)
         self.version += 1
 
-    def _take_address(self, seen: BackendView) -> None:
+    def _take_address(self, view: BackendView) -> None:
         """A suspect whose address has passed to another backend is dead."""
-        backend = seen.backend
+        backend = view.backend
         before = self.views.get(self._last_served_by.get(backend.address, ""))
         self._last_served_by[backend.address] = backend.id
-        seen.is_replaced = False
-        if before is not None and before is not seen and before.backend.phase == "lost":
+        view.is_replaced = False
+        if before is not None and before is not view and before.backend.phase == "lost":
             before.is_replaced = True
             self._evacuated.pop(before.backend.id, None)
             self._suspects.remove(_stage_key(before.backend), before.backend.id)
 
-    def _unlist(self, seen: BackendView) -> None:
-        key = _stage_key(seen.backend)
-        if self._evacuated.pop(seen.backend.id, None) is not None:
+    def _unlist(self, view: BackendView) -> None:
+        key = _stage_key(view.backend)
+        if self._evacuated.pop(view.backend.id, None) is not None:
             pass
-        elif seen.backend.phase == "ready":
-            self._ready[key].remove(seen)
+        elif view.backend.phase == "ready":
+            self._ready[key].remove(view)
             if not self._ready[key]:
                 del self._ready[key]
-        elif seen.backend.phase == "lost":
-            self._suspects.remove(key, seen.backend.id)
+        elif view.backend.phase == "lost":
+            self._suspects.remove(key, view.backend.id)
         self.version += 1
 
     def evacuate(self, now: float, zones: frozenset[str]) -> None:
         """From now on nothing is sent to backends of these zones; those of all others are taken back."""
         returned = self._evacuated_zones - zones
-        moved = [seen for seen in self.views.values() if seen.backend.zone in self._evacuated_zones ^ zones]
-        for seen in moved:
-            self._unlist(seen)
+        moved = [view for view in self.views.values() if view.backend.zone in self._evacuated_zones ^ zones]
+        for view in moved:
+            self._unlist(view)
         self._evacuated_zones = zones
-        for seen in moved:
-            self._enter(seen)
+        for view in moved:
+            self._enter(view)
         if returned:
             self.restore_zones(now, returned)
 
@@ -171,18 +171,18 @@
             return False
         return not self.is_evacuated(record) or self.has_lost_contact()
 
-    def may_begin(self, now: float, seen: BackendView) -> bool:
+    def may_begin(self, now: float, view: BackendView) -> bool:
         """Whether a call to this backend may begin now: where it is cold, a permit is free."""
-        return self.may_take(seen.backend.id) and not (self.cold and self.cold.refuses(now, seen))
+        return self.may_take(view.backend.id) and not (self.cold and self.cold.refuses(now, view))
 
-    def begin_call(self, now: float, seen: BackendView) -> float:
+    def begin_call(self, now: float, view: BackendView) -> float:
         """A call to this backend goes out. Where it is cold: until when the call may be written, by a permit that is
         now used; else 0."""
-        if not self.cold or not self.cold.is_known_cold(now, seen.backend):
+        if not self.cold or not self.cold.is_known_cold(now, view.backend):
             return 0.0
-        permitted_until = self.cold.use_permit(now, seen.backend)
+        permitted_until = self.cold.use_permit(now, view.backend)
         if permitted_until is None:
-            raise invariant_error("a cold backend is sent to under a permit", seen.backend.id)
+            raise invariant_error("a cold backend is sent to under a permit", view.backend.id)
         return permitted_until
 
     def may_write(self, now: float, backend: Backend, permitted_until: float) -> bool:
@@ -213,9 +213,9 @@
             self.cold.forget_expired(now)
         if without or self._away or self.cold:
             listed = self._usable(now, listed, without)
-            listed = [seen for seen in listed if not seen.is_avoided(now)] or listed
+            listed = [view for view in listed if not view.is_avoided(now)] or listed
         if self.cold:
-            listed = [seen for seen in listed if not self.cold.may_be_cold(now, seen)] or listed
+            listed = [view for view in listed if not self.cold.may_be_cold(now, view)] or listed
         if not listed:
             listed = self._usable(now, self._suspects.last_resort(now, key), without)
         if self._evacuated and self._may_be_cut_off(key):
@@ -230,18 +230,18 @@
         if not self.has_lost_contact():
             return False
         others = self._ready.get(key, [])
-        return 2 * sum(seen.has_failed for seen in others) >= len(others)
+        return 2 * sum(view.has_failed for view in others) >= len(others)
 
     def _ready_in_evacuated_zones(self, key: StageKey) -> list[BackendView]:
         return [
-            seen
-            for seen in self._evacuated.values()
-            if _stage_key(seen.backend) == key and seen.backend.phase == "ready"
+            view
+            for view in self._evacuated.values()
+            if _stage_key(view.backend) == key and view.backend.phase == "ready"
         ]
 
     def _usable(self, now: float, listed: list[BackendView], without: Set[str]) -> list[BackendView]:
-        listed = [seen for seen in listed if seen.backend.id not in without]
-        return [seen for seen in listed if not self.cold.refuses(now, seen)] if self.cold else listed
+        listed = [view for view in listed if view.backend.id not in without]
+        return [view for view in listed if not self.cold.refuses(now, view)] if self.cold else listed
 
     def _check_empty(self, now: float, key: StageKey, without: Set[str]) -> None:
         """Look at all backends, which may be thousands, once in a while."""
@@ -249,16 +249,16 @@
             return
         self._next_check_at = now + EMPTY_CHECK_INTERVAL_S
         if any(
-            _stage_key(seen.backend) == key and self._may_be_tried(now, seen)
-            for seen in self._usable(now, list(self.views.values()), without)
+            _stage_key(view.backend) == key and self._may_be_tried(now, view)
+            for view in self._usable(now, list(self.views.values()), without)
         ):
             record_violation("nobody is passed over where a backend may be tried", f"{key}")
 
-    def _may_be_tried(self, now: float, seen: BackendView) -> bool:
-        phase = seen.backend.phase
-        if self.is_evacuated(seen.backend):
+    def _may_be_tried(self, now: float, view: BackendView) -> bool:
+        phase = view.backend.phase
+        if self.is_evacuated(view.backend):
             return False
-        return phase == "ready" or (phase == "lost" and is_last_resort(now, seen))
+        return phase == "ready" or (phase == "lost" and is_last_resort(now, view))
 
     def has_any(self, service: str, stage: str) -> bool:
         """Whether a backend of the service and stage is ready or a suspect, well or not."""
@@ -279,28 +279,28 @@
     def failed(self, now: float, backend: str, may_be_down: bool = False) -> None:
         """A call ended without a word, or the backend couldn't be reached. ``may_be_down``: so it may come back
         cold."""
-        seen = self.views.get(backend)
-        if seen is None:
+        view = self.views.get(backend)
+        if view is None:
             return
-        if seen.backoff_until <= now:
-            seen.backoff_s = min(max(2 * seen.backoff_s, BACKOFF_S[0]), BACKOFF_S[1])
-            seen.backoff_until = now + seen.backoff_s
+        if view.backoff_until <= now:
+            view.backoff_s = min(max(2 * view.backoff_s, BACKOFF_S[0]), BACKOFF_S[1])
+            view.backoff_until = now + view.backoff_s
             self._away.add(backend)
         if may_be_down:
-            self.cold.doubt(seen.backend, seen.backoff_until + COLD_DOUBT_S)
+            self.cold.doubt(view.backend, view.backoff_until + COLD_DOUBT_S)
 
     def answered(self, now: float, backend: str) -> None:
         """An answer came."""
-        seen = self.views.get(backend)
-        if seen is not None:
-            seen.answered_at = now
-            seen.backoff_until = seen.backoff_s = 0.0
-            if seen.held_until <= now:
+        view = self.views.get(backend)
+        if view is not None:
+            view.answered_at = now
+            view.backoff_until = view.backoff_s = 0.0
+            if view.held_until <= now:
                 self._away.discard(backend)
 
     def hold_off(self, now: float, backend: str, seconds: float) -> None:
         """It is about to change its stage: others are asked for so long, or until its new stage is known."""
-        seen = self.views.get(backend)
-        if seen is not None:
-            seen.held_until = now + seconds
+        view = self.views.get(backend)
+        if view is not None:
+            view.held_until = now + seconds
             self._away.add(backend)
--- a/cranebank/dataplane/cold_backends.py
+++ b/cranebank/dataplane/cold_backends.py
@@ -102,16 +102,16 @@
         state = self._states.get(backend.id)
         return state is not None and state.cold_until > now and backend.target in self.limits
 
-    def may_be_cold(self, now: float, seen: BackendView) -> bool:
+    def may_be_cold(self, now: float, view: BackendView) -> bool:
         """Whether others go first, since it may be cold."""
-        state = self._states.get(seen.backend.id)
+        state = self._states.get(view.backend.id)
         return state is not None and state.doubted_until > now >= state.cold_until
 
-    def refuses(self, now: float, seen: BackendView) -> bool:
+    def refuses(self, now: float, view: BackendView) -> bool:
         """Whether it is told to be cold and no permit is free."""
-        if not self.is_known_cold(now, seen.backend):
+        if not self.is_known_cold(now, view.backend):
             return False
-        return not any(permit.is_free(now) for permit in self._states[seen.backend.id].permits)
+        return not any(permit.is_free(now) for permit in self._states[view.backend.id].permits)
 
     def use_permit(self, now: float, backend: Backend) -> float | None:
         """A call goes out to a backend that is told to be cold: until when it may be written, or none without a
--- a/cranebank/dataplane/dispatch.py
+++ b/cranebank/dataplane/dispatch.py
@@ -102,7 +102,7 @@
         self._shared.count("reading_ms", round(took_ms))
         if self._engine is None:
             raise invariant_error("a service without engines reads no prompt apart")
-        self.handle = Handle(prefill_backend.seen.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
+        self.handle = Handle(prefill_backend.view.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
         decode_backend = self._usable_decode_backend(now)
         return self._send_decode(now, decode_backend, 0) if decode_backend is not None else None
 
@@ -110,7 +110,7 @@
         """A call never left us: nobody was asked to read."""
         self._shared.load.add_prefill(now, self._service, -leg.prefill_load_s)
         if leg.ticket is not None:
-            leg.seen.prefill_queue.cancel(leg.ticket)
+            leg.view.prefill_queue.cancel(leg.ticket)
         if not leg.is_prefill:
             self.handle = leg.handle  # nobody took it
 
@@ -201,26 +201,26 @@
     def _send(
         self,
         now: float,
-        seen: BackendView,
+        view: BackendView,
         tokens: int,
         is_prefill: bool,
         headers: tuple[tuple[str, str], ...],
         silent_s: float | None,
     ) -> tuple[Leg, Call]:
-        permitted_until = self._shared.candidates.begin_call(now, seen)
+        permitted_until = self._shared.candidates.begin_call(now, view)
         if permitted_until:
             self._shared.count("cold_calls")
-        leg = self._legs.open(now, seen, tokens, is_prefill, silent_s)
+        leg = self._legs.open(now, view, tokens, is_prefill, silent_s)
         choices = self._shared.choices
-        choices.draws.count_call(now, self._service, seen.backend.stage)
+        choices.draws.count_call(now, self._service, view.backend.stage)
         if (
             is_prefill or tokens > MAX_LOCAL_PREFILL_TOKENS
         ):  # also what is read where tokens are made since nobody is there to read it
             leg.prefill_load_s = choices.pairs.latency(self._service, "prefill").token_ms * tokens / 1e3
             self._shared.load.add_prefill(now, self._service, leg.prefill_load_s)
         if self._engine is not None:
-            self._shared.count(f"tokens_asked_{seen.backend.stage}", tokens)
+            self._shared.count(f"tokens_asked_{view.backend.stage}", tokens)
             share = PREFILL_CACHE_SHARE if is_prefill else CACHE_SHARE
-            self._shared.cache.touch(seen.backend.id, self._prompt.parts, self._engine.cache_tokens, share)
+            self._shared.cache.touch(view.backend.id, self._prompt.parts, self._engine.cache_tokens, share)
         self._shared.count("reads" if is_prefill else "makes")
-        return leg, Call(leg.number, seen.backend, headers, permitted_until)
+        return leg, Call(leg.number, view.backend, headers, permitted_until)
--- a/cranebank/dataplane/exchange.py
+++ b/cranebank/dataplane/exchange.py
@@ -176,7 +176,7 @@
         if leg is None:
             return
         leg.status, leg.headers = status, headers
-        self._shared.candidates.answered(now, leg.seen.backend.id)
+        self._shared.candidates.answered(now, leg.view.backend.id)
         if leg.is_prefill:
             return
         read = self._legs.mark_prompt_read(now, leg)
@@ -245,7 +245,7 @@
 
     def _prefill_ended(self, now: float, leg: Leg) -> None:
         """The answer of a reading is whole."""
-        backend = leg.seen.backend
+        backend = leg.view.backend
         handle = handle_in(leg.body) if leg.status == 200 else ""
         if handle:
             self._send_or_give_up(now, self._dispatch.call_after_prefill(now, leg, handle))
@@ -266,14 +266,14 @@
         """A backend has read so many tokens: where shared ones were among them, others want to know."""
         prompt, tell = self._prompt, self._shared.on_prefix_cached
         if tell is not None and prompt.home_key and tokens > prompt.tokens - prompt.shared_tokens:
-            tell(leg.seen.backend.id, prompt.home_key, prompt.shared_tokens)
+            tell(leg.view.backend.id, prompt.home_key, prompt.shared_tokens)
 
     def _rejected(self, now: float, leg: Leg) -> None:
         """A backend said that it did not run the request."""
         self._shared.count("rejected")
-        self._dispatch.without.add(leg.seen.backend.id)
+        self._dispatch.without.add(leg.view.backend.id)
         if leg.status == MISDIRECTED:
-            self._shared.candidates.failed(now, leg.seen.backend.id)
+            self._shared.candidates.failed(now, leg.view.backend.id)
         if not self._legs:  # else another copy is out
             self._send_next(now)
 
@@ -281,7 +281,7 @@
         if leg is None:
             return
         self._legs.close(now, leg)
-        backend = leg.seen.backend.id
+        backend = leg.view.backend.id
         if evidence is not SendEvidence.BACKEND_WITHDRAWN:
             self._shared.candidates.failed(now, backend, may_be_down=evidence is SendEvidence.NEVER_CONNECTED)
         self._dispatch.without.add(backend)
@@ -314,7 +314,7 @@
 
     def _retry_or_give_up(self, now: float, leg: Leg) -> None:
         """A run that may have begun has come to nothing."""
-        self._dispatch.without.add(leg.seen.backend.id)
+        self._dispatch.without.add(leg.view.backend.id)
         self._answer.drop_rest()
         if self._legs:
             return
@@ -335,8 +335,8 @@
     def _silent(self, now: float, leg: Leg) -> None:
         leg.silent_at = None
         self._shared.count("silent")
-        self._shared.candidates.failed(now, leg.seen.backend.id, may_be_down=True)
-        self._dispatch.without.add(leg.seen.backend.id)
+        self._shared.candidates.failed(now, leg.view.backend.id, may_be_down=True)
+        self._dispatch.without.add(leg.view.backend.id)
         if leg.is_prefill and not self._attempts.has_try_for_prefill():
             return  # no other may read it, and a maker that reads it holds up its other requests: late is better
         if leg.is_prefill:
--- a/cranebank/dataplane/offered_load.py
+++ b/cranebank/dataplane/offered_load.py
@@ -54,10 +54,10 @@
 
     def _sample_decode(self, now: float, backends: Iterable[BackendView]) -> None:
         present: dict[str, float] = {}
-        for seen in backends:
-            backend = seen.backend
-            if seen.calls and backend.stage == "decode":
-                present[backend.target] = present.get(backend.target, 0.0) + seen.calls / backend.capacity
+        for view in backends:
+            backend = view.backend
+            if view.calls and backend.stage == "decode":
+                present[backend.target] = present.get(backend.target, 0.0) + view.calls / backend.capacity
         since = self._sampled_at if self._sampled_at is not None else now  # both loads are averaged from nothing on
         kept = exp(-max(0.0, now - since) / LOAD_AVERAGING_S)
         self._sampled_at = now
--- a/cranebank/dataplane/open_legs.py
+++ b/cranebank/dataplane/open_legs.py
@@ -32,19 +32,19 @@
         "is_prefill",
         "number",
         "prefill_load_s",
-        "seen",
         "sent_at",
         "silent_at",
         "status",
         "ticket",
         "tokens",
+        "view",
     )
 
     def __init__(
-        self, number: int, seen: BackendView, tokens: int, is_prefill: bool, now: float, silent_at: float | None
+        self, number: int, view: BackendView, tokens: int, is_prefill: bool, now: float, silent_at: float | None
     ) -> None:
-        self.number, self.seen, self.tokens, self.is_prefill = number, seen, tokens, is_prefill
-        self.found_idle = not seen.calls and not seen.others_calls  # as far as this proxy and its neighbours know
+        self.number, self.view, self.tokens, self.is_prefill = number, view, tokens, is_prefill
+        self.found_idle = not view.calls and not view.others_calls  # as far as this proxy and its neighbours know
         self.sent_at, self.silent_at = now, silent_at
         self.ticket: Ticket | None = None  # of a reading, in the queue of its backend
         self.prefill_load_s = 0.0  # that it counts for in the load of its service
@@ -81,29 +81,29 @@
         """A leg, if it is still out."""
         return self._legs.get(number)
 
-    def open(self, now: float, seen: BackendView, tokens: int, is_prefill: bool, silent_s: float | None) -> Leg:
+    def open(self, now: float, view: BackendView, tokens: int, is_prefill: bool, silent_s: float | None) -> Leg:
         """A call goes out; ``silent_s`` from now without a word it counts as silent."""
         self._opened += 1
         silent_at = None if silent_s is None else now + silent_s
-        leg = self._legs[self._opened] = Leg(self._opened, seen, tokens, is_prefill, now, silent_at)
-        seen.calls += 1
-        seen.tokens += tokens
-        seen.load_changed_at = now
+        leg = self._legs[self._opened] = Leg(self._opened, view, tokens, is_prefill, now, silent_at)
+        view.calls += 1
+        view.tokens += tokens
+        view.load_changed_at = now
         return leg
 
     def mark_prompt_read(self, now: float, leg: Leg) -> int:
         """Its backend has read the prompt: how many tokens count as read no longer."""
         tokens, leg.tokens = leg.tokens, 0
-        leg.seen.tokens -= tokens
-        leg.seen.load_changed_at = now
+        leg.view.tokens -= tokens
+        leg.view.load_changed_at = now
         return tokens
 
     def close(self, now: float, leg: Leg) -> None:
         """A call is over."""
         self._legs.pop(leg.number, None)
-        leg.seen.calls -= 1
-        leg.seen.tokens -= leg.tokens
-        leg.seen.load_changed_at = now
+        leg.view.calls -= 1
+        leg.view.tokens -= leg.tokens
+        leg.view.load_changed_at = now
 
     def next_silence(self, until: float) -> float:
         """When the first of them counts as silent, ``until`` at the latest."""
--- a/cranebank/dataplane/pair.py
+++ b/cranebank/dataplane/pair.py
@@ -74,16 +74,16 @@
     def cache_holders(self, listed: list[BackendView], prompt: Prompt) -> list[BackendView]:
         """Who keeps a prompt's long shared part, as far as is known; none known: its home."""
         shared = prompt.shared_tokens
-        found = [seen for seen in listed if self._cache.cached_tokens(seen.backend.id, prompt.shared) >= shared]
+        found = [view for view in listed if self._cache.cached_tokens(view.backend.id, prompt.shared) >= shared]
         if not self._policy.cached_parts:
             found = []
         if found or not self._policy.homes:
             return found
         return self._home(listed, prompt.home_key)
 
-    def _is_home(self, service: str, prompt: Prompt, seen: BackendView) -> bool:
+    def _is_home(self, service: str, prompt: Prompt, view: BackendView) -> bool:
         known = self._homes.get(service)
-        return known is not None and bool(prompt.home_key) and seen in known[2].get(prompt.home_key, ())
+        return known is not None and bool(prompt.home_key) and view in known[2].get(prompt.home_key, ())
 
     def _home(self, listed: list[BackendView], key: str) -> list[BackendView]:
         """The homes of a shared part; remembered while the list stays as it is."""
@@ -93,7 +93,7 @@
             known = self._homes[service] = (listed, version, {})
         found = known[2].get(key)
         if found is None:
-            found = known[2][key] = nlargest(HOMES_PER_PREFIX, listed, key=lambda seen: _hash(key, seen.backend.id))
+            found = known[2][key] = nlargest(HOMES_PER_PREFIX, listed, key=lambda view: _hash(key, view.backend.id))
         return found
 
     def visibility(self, now: float) -> float:
@@ -103,28 +103,28 @@
         told = (1 + self.prefill_reporters) / max(1, self.draws.proxies)
         return min(1.0, told) * min(1.0, (now - self._began_at) / CACHE_LEARNING_S)
 
-    def wait_ms(self, now: float, service: str, seen: BackendView) -> float:
+    def wait_ms(self, now: float, service: str, view: BackendView) -> float:
         """Milliseconds before a reading that is asked for now begins there."""
-        wait = seen.prefill_queue.wait(now) * 1e3
+        wait = view.prefill_queue.wait(now) * 1e3
         if wait:
             return wait
-        return self.latency(service, "prefill").token_ms * (seen.tokens + seen.others_tokens)  # late, or not told of
+        return self.latency(service, "prefill").token_ms * (view.tokens + view.others_tokens)  # late, or not told of
 
-    def begin_prefill(self, now: float, service: str, seen: BackendView, tokens: int) -> Ticket:
+    def begin_prefill(self, now: float, service: str, view: BackendView, tokens: int) -> Ticket:
         """A reading of so many tokens is asked for there, by whichever proxy."""
-        token_ms = self.latency(service, "prefill").token_ms * self._slowness(now, seen)
-        return seen.prefill_queue.add(now, token_ms * tokens / 1e3)
+        token_ms = self.latency(service, "prefill").token_ms * self._slowness(now, view)
+        return view.prefill_queue.add(now, token_ms * tokens / 1e3)
 
     def end_prefill(self, now: float, service: str, leg: Leg) -> None:
         """A reading of our own was answered."""
-        latency, seen = self.latency(service, "prefill"), leg.seen
+        latency, view = self.latency(service, "prefill"), leg.view
         if leg.ticket is not None:
-            seen.prefill_queue.finish(now - latency.base_ms / 1e3, leg.ticket)
+            view.prefill_queue.finish(now - latency.base_ms / 1e3, leg.ticket)
         if not leg.found_idle:  # it waited for others as well, and the pace would grow with the queue
             return
         took_ms = (now - leg.sent_at) * 1e3
-        seen.unreported_slowness = took_ms / latency.estimate(leg.tokens)
-        seen.slowness.observe(now, seen.unreported_slowness)
+        view.unreported_slowness = took_ms / latency.estimate(leg.tokens)
+        view.slowness.observe(now, view.unreported_slowness)
         latency.learn(leg.tokens, took_ms)
 
     def choose_prefill(
@@ -138,10 +138,10 @@
         blend = self.draws.blend(now, service, "prefill", listed, (first, second))
         congestion = self._congestion(now, service, prompt, (first, second))
         holders = self.cache_holders(listed, prompt) if prompt.home_key and self._policy.keepers else []
-        is_cached = any(self._uncached_tokens(prompt, seen) < prompt.tokens for seen in holders)
+        is_cached = any(self._uncached_tokens(prompt, view) < prompt.tokens for view in holders)
 
-        def cost(seen: BackendView) -> float:
-            return self._prefill_cost(now, service, prompt, seen, congestion, is_cached)
+        def cost(view: BackendView) -> float:
+            return self._prefill_cost(now, service, prompt, view, congestion, is_cached)
 
         chosen = second if self.draws.prefers_second(blend, cost(first), cost(second)) else first
         chosen = min((*self._draw_in_zone(listed, self.zone), *holders, chosen), key=cost)
@@ -153,32 +153,32 @@
         """One draw from those in a zone, if there are any."""
         return self.draws.sample_one(self._by_zone.of(listed, zone)) if self._policy.near_zone else []
 
-    def _uncached_tokens(self, prompt: Prompt, seen: BackendView) -> int:
+    def _uncached_tokens(self, prompt: Prompt, view: BackendView) -> int:
         """Tokens that a backend is thought to have to read."""
         if not self._policy.cached_parts:
             return max(1, prompt.tokens)
-        return max(1, prompt.tokens - self._cache.cached_tokens(seen.backend.id, prompt.parts))
+        return max(1, prompt.tokens - self._cache.cached_tokens(view.backend.id, prompt.parts))
 
-    def _slowness(self, now: float, seen: BackendView) -> float:
-        return seen.slowness.at(now) if self._policy.slowness else 1.0
+    def _slowness(self, now: float, view: BackendView) -> float:
+        return view.slowness.at(now) if self._policy.slowness else 1.0
 
     def _prefill_cost(
-        self, now: float, service: str, prompt: Prompt, seen: BackendView, congestion: float, is_cached: bool
+        self, now: float, service: str, prompt: Prompt, view: BackendView, congestion: float, is_cached: bool
     ) -> float:
         """The wait there, and the work, which whoever comes behind it waits for as well. ``is_cached``: some backend
         keeps the shared part."""
-        tokens = float(self._uncached_tokens(prompt, seen))
+        tokens = float(self._uncached_tokens(prompt, view))
         reread = 0.0
         if tokens == prompt.tokens:  # nothing is known to be kept there
             if is_cached:
                 reread = max(0.0, MIN_REREAD_WEIGHT - congestion) * prompt.shared_tokens
-            elif self._is_home(service, prompt, seen):
+            elif self._is_home(service, prompt, view):
                 home_hit = max(
                     MIN_HOME_HIT_PROBABILITY, 1.0 - self.visibility(now)
                 )  # another proxy may have had it read
                 tokens -= home_hit * prompt.shared_tokens
-        work = congestion * self._slowness(now, seen) * tokens + reread
-        return self.wait_ms(now, service, seen) + self.latency(service, "prefill").token_ms * work
+        work = congestion * self._slowness(now, view) * tokens + reread
+        return self.wait_ms(now, service, view) + self.latency(service, "prefill").token_ms * work
 
     def _congestion(self, now: float, service: str, prompt: Prompt, drawn: tuple[BackendView, BackendView]) -> float:
         """How many times work counts: one, and how many readings wait at a backend on average, by the draws that this
@@ -186,7 +186,7 @@
         than it can do reads ever more anew, and can do ever less."""
         if not self._policy.congestion:
             return 1.0
-        wait = sum(self.wait_ms(now, service, seen) for seen in drawn) / 2
+        wait = sum(self.wait_ms(now, service, view) for view in drawn) / 2
         self._wait_sum_ms = CONGESTION_DECAY * self._wait_sum_ms + wait
         self._work_sum_ms = (
             CONGESTION_DECAY * self._work_sum_ms + self.latency(service, "prefill").token_ms * prompt.tokens
--- a/cranebank/dataplane/plain_choice.py
+++ b/cranebank/dataplane/plain_choice.py
@@ -45,6 +45,6 @@
         return candidates.ready(now, service, DECODE, without), DECODE
 
 
-def _utilisation(seen: BackendView) -> float:
+def _utilisation(view: BackendView) -> float:
     """The part of a backend's places that is taken."""
-    return seen.all_calls / max(1, seen.backend.capacity)
+    return view.all_calls / max(1, view.backend.capacity)
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -343,13 +343,13 @@
 
     def reading_begun(self, told: PrefillBegun) -> None:
         """Another proxy has asked a backend to read a prompt."""
-        seen = self.shared.candidates.views.get(told.backend)
-        if seen is None or seen.backend.stage != "prefill" or not 0 < told.tokens <= MAX_PROMPT_TOKENS:
+        view = self.shared.candidates.views.get(told.backend)
+        if view is None or view.backend.stage != "prefill" or not 0 < told.tokens <= MAX_PROMPT_TOKENS:
             return
         now = asyncio.get_running_loop().time()
         if told.slowness > 0.0:
-            seen.slowness.observe(now, told.slowness)
-        self.shared.choices.pairs.begin_prefill(now, seen.backend.target, seen, told.tokens)
+            view.slowness.observe(now, told.slowness)
+        self.shared.choices.pairs.begin_prefill(now, view.backend.target, view, told.tokens)
         if told.part:
             self.record_cached_prefix(told.backend, told.part, told.shared)
 
--- a/cranebank/dataplane/suspects.py
+++ b/cranebank/dataplane/suspects.py
@@ -35,9 +35,9 @@
         """Whether there is a suspect of this service and stage."""
         return key in self._by_place
 
-    def add(self, key: StageKey, seen: BackendView) -> None:
+    def add(self, key: StageKey, view: BackendView) -> None:
         """Its heartbeats ceased."""
-        self._by_place.setdefault(key, {})[seen.backend.id] = seen
+        self._by_place.setdefault(key, {})[view.backend.id] = view
 
     def remove(self, key: StageKey, backend: str) -> None:
         """It beats again, or is over."""
@@ -62,35 +62,35 @@
 
     def last_resort(self, now: float, key: StageKey) -> list[BackendView]:
         """Suspects that may be tried for want of any other: also those that failed a call, one call at a time."""
-        return [seen for seen in self._by_place.get(key, {}).values() if is_last_resort(now, seen)]
+        return [view for view in self._by_place.get(key, {}).values() if is_last_resort(now, view)]
 
     def _usable_suspects(self, now: float, key: StageKey, ready: list[BackendView]) -> list[BackendView]:
-        unfailed = [seen for seen in self._by_place.get(key, {}).values() if not seen.has_failed]
+        unfailed = [view for view in self._by_place.get(key, {}).values() if not view.has_failed]
         if not _has_enough_ready(now, ready, len(unfailed)):
             return unfailed
-        return [seen for seen in unfailed if now - seen.answered_at <= ANSWER_VOUCHES_S]
+        return [view for view in unfailed if now - view.answered_at <= ANSWER_VOUCHES_S]
 
     def _forget(self, now: float, key: StageKey) -> None:
-        for backend, seen in list(self._by_place[key].items()):
-            if now - seen.lost_at <= MAX_SUSPECT_AGE_S:
+        for backend, view in list(self._by_place[key].items()):
+            if now - view.lost_at <= MAX_SUSPECT_AGE_S:
                 return
             self.remove(key, backend)
-            if now - seen.answered_at <= MAX_SUSPECT_AGE_S:  # alive since: its minute begins anew
-                seen.lost_at = seen.answered_at
-                self.add(key, seen)
+            if now - view.answered_at <= MAX_SUSPECT_AGE_S:  # alive since: its minute begins anew
+                view.lost_at = view.answered_at
+                self.add(key, view)
 
 
 def _has_enough_ready(now: float, ready: list[BackendView], suspects: int) -> bool:
     """Whether so many are ready and not backed off that so many suspects are left out. It looks at no more of the ready
     ones than it must: there may be thousands."""
     healthy = 0
-    for seen in ready:
+    for view in ready:
         if healthy >= FAIL_OPEN_SHARE * (healthy + suspects):
             return True
-        healthy += seen.backoff_until <= now
+        healthy += view.backoff_until <= now
     return healthy >= FAIL_OPEN_SHARE * (healthy + suspects)
 
 
-def is_last_resort(now: float, seen: BackendView) -> bool:
+def is_last_resort(now: float, view: BackendView) -> bool:
     """Whether a suspect may be tried where there is no other."""
-    return not seen.is_replaced and now - seen.lost_at <= MAX_SUSPECT_AGE_S and seen.backoff_until <= now
+    return not view.is_replaced and now - view.lost_at <= MAX_SUSPECT_AGE_S and view.backoff_until <= now
