--- a/cranebank/dataplane/backend_view.py
+++ b/cranebank/dataplane/backend_view.py
@@ -1,4 +1,4 @@
-"""What this proxy has seen of one backend itself: its calls there, and how they ended."""
+"""What this proxy knows of one backend by its own calls there and by its neighbours' reports."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 class BackendView:
-    """One backend as seen from here. ``calls`` and ``tokens`` are out at it from this proxy, ``others_calls`` and
-    ``others_tokens`` from the neighbours that tell us theirs."""
+    """One backend as this proxy sees it. ``calls`` and ``tokens`` are in flight there from this proxy, ``others_calls``
+    and ``others_tokens`` from the neighbours that report theirs."""
 
     __slots__ = (
         "answered_at",
@@ -34,24 +34,24 @@
         self.tokens = 0
         self.others_calls = self.others_tokens = 0
         self.prefill_queue, self.slowness = PrefillQueue(), Slowness()
-        self.unreported_slowness = 0.0  # observed here last, and not told to others yet
-        self.load_changed_at = 0.0  # when the figures last changed, by a call sent or ended
+        self.unreported_slowness = 0.0  # last observation here that has not been reported to other proxies yet
+        self.load_changed_at = 0.0  # when a call was last sent or ended
         self.answered_at = float("-inf")
-        self.lost_at = 0.0  # when its heartbeats ceased, where they have
+        self.lost_at = 0.0  # when its heartbeats ceased, if they have
         self.is_replaced = False  # another backend was last known to serve at its address
         self.backoff_until = self.backoff_s = 0.0
-        self.held_until = 0.0  # it is about to change its stage: nothing is sent there before
+        self.held_until = 0.0  # nothing is sent there before, as it is about to change its stage
 
     def is_avoided(self, now: float) -> bool:
-        """Whether others are asked first: it failed lately, or is about to change its stage."""
+        """Return whether others are preferred: the backend failed recently or is about to change its stage."""
         return max(self.backoff_until, self.held_until) > now
 
     @property
     def all_calls(self) -> int:
-        """Calls that are out there, as far as this proxy is told."""
+        """Return the calls in flight there that this proxy knows of."""
         return self.calls + self.others_calls
 
     @property
     def has_failed(self) -> bool:
-        """Whether a call failed since the last answer."""
+        """Return whether a call has failed since the last answer."""
         return self.backoff_s > 0.0
--- a/cranebank/dataplane/blended_draw.py
+++ b/cranebank/dataplane/blended_draw.py
@@ -1,7 +1,7 @@
-"""The (1+beta) process: two uniform draws, and with probability beta the one with the lower figure.
+"""The (1+beta) process: of two uniform draws, the one with the lower cost is taken with probability beta.
 
-beta = sqrt(n log n / b) for n backends and b calls between two refreshes of their figures; it is 1 while b < n log n.
-b = this proxy's calls a second x the told number of proxies x the age of the figures.
+beta = sqrt(n log n / b) for n backends and b calls between two refreshes of their costs; it is 1 while b < n log n. b
+is estimated as this proxy's calls per second x the number of proxies x the age of the costs.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from cranebank.decayed_rate import DecayedRate
 from cranebank.decisions.balance import beta
 
-RATE_AVERAGING_S = 2.0  # seconds over which the rate of calls is averaged
+RATE_AVERAGING_S = 2.0  # averaging time of the rate of calls
 
 
 class BlendedDraw:
@@ -20,18 +20,18 @@
 
     def __init__(self, random: Random, is_blended: bool = True) -> None:
         self._random, self._is_blended = random, is_blended
-        self.proxies = 1  # the told count
-        self.neighbour_loads_at = 0.0  # when neighbours told their figures last
+        self.proxies = 1  # number of proxies, as the controllers report it
+        self.neighbour_loads_at = 0.0  # when neighbours last reported their loads
         self._rates: dict[tuple[str, str], DecayedRate] = {}
 
     def count_call(self, now: float, service: str, stage: str) -> None:
-        """Any call counts in the rate behind b, also one that is refused, fails or is a repeat."""
+        """Count a call in the rate behind b, whether or not it is refused, fails or is a repeat."""
         self._rates.setdefault((service, stage), DecayedRate(RATE_AVERAGING_S)).add(now)
 
     def blend(
         self, now: float, service: str, stage: str, listed: list[BackendView], drawn: tuple[BackendView, BackendView]
     ) -> float:
-        """Beta for two draws: falls as their figures age and as proxies become more."""
+        """Return beta for two draws. It falls as their costs age and as the number of proxies grows."""
         if not self._is_blended:
             return 1.0
         age = now - max(self.neighbour_loads_at, min(drawn[0].load_changed_at, drawn[1].load_changed_at))
@@ -40,18 +40,18 @@
         return min(1.0, beta(len(listed), calls))
 
     def draw(self, listed: list[BackendView]) -> tuple[BackendView, BackendView]:
-        """Two uniform draws, different where the list allows."""
+        """Draw two backends uniformly, distinct ones if there is more than one."""
         if len(listed) == 1:
             return listed[0], listed[0]
         first, second = self._random.sample(listed, 2)
         return first, second
 
     def sample_one(self, listed: list[BackendView]) -> list[BackendView]:
-        """One uniform draw from a list that may be empty."""
+        """Draw one backend uniformly from a list that may be empty."""
         return [self._random.choice(listed)] if listed else []
 
     def prefers_second(self, blend: float, first: float, second: float) -> bool:
-        """Whether the second draw is taken, by the two figures: the lower one with probability ``blend``, ties at
-        random; else the first."""
+        """Return whether to take the second draw: with probability ``blend`` if its cost is lower; ties are broken at
+        random."""
         is_tie_won = second == first and self._random.random() < 0.5
         return self._random.random() < blend and (second < first or is_tie_won)
--- a/cranebank/dataplane/by_zone.py
+++ b/cranebank/dataplane/by_zone.py
@@ -1,4 +1,4 @@
-"""The backends of a ready list by zone, remembered while the list stays as it is."""
+"""The backends of a candidate list by zone, remembered while the list stays the same."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ByZone:
-    """Of the ready lists of one proxy; one list is remembered for each service and stage."""
+    """The candidate lists of one proxy; one list is remembered for each service and stage."""
 
     def __init__(self, candidates: Candidates) -> None:
         self._candidates = candidates
         self._known: dict[tuple[str, str], tuple[list[BackendView], int, dict[str, list[BackendView]]]] = {}
 
     def of(self, listed: list[BackendView], zone: str) -> list[BackendView]:
-        """Those of a ready list that are in a zone; not to be changed."""
+        """Return the backends of a candidate list that are in a zone; the result must not be changed."""
         if not zone or not listed:
             return EMPTY
         backend, version = listed[0].backend, self._candidates.version
--- a/cranebank/dataplane/candidates.py
+++ b/cranebank/dataplane/candidates.py
@@ -1,4 +1,4 @@
-"""The backends that requests may go to, by service and stage: the ready ones, and suspects where that is better."""
+"""The backends that requests may be sent to, by service and stage: ready ones, and suspects where that is better."""
 
 from __future__ import annotations
 
@@ -11,13 +11,12 @@
 from cranebank.membership.backends import newer
 from cranebank.transport.messages import Backend
 
-MAX_REMEMBERED_GONE = 4096  # ended backends that are remembered, so that late news of them changes nothing
-MAX_REMEMBERED_LOST = (
-    8192  # backends whose heartbeats ceased that are remembered: all of a large fleet may be lost at once
-)
+MAX_REMEMBERED_GONE = 4096  # ended backends that are remembered, so that stale records do not bring them back
+MAX_REMEMBERED_LOST = 8192  # lost backends that are remembered: a large fleet may lose all of them at once
 EMPTY_CHECK_INTERVAL_S = 0.1  # between two checks of an empty list against all backends
-BACKOFF_S = (0.5, 8.0)  # a backend that failed us is left alone for so long, at first and at most
-COLD_DOUBT_S = 1.5  # behind that one that was not reached may be cold: by then its next heartbeat has told
+BACKOFF_S = (0.5, 8.0)  # first and longest time for which a backend is avoided after a failed call
+# After the backoff, a backend that was not reached may be cold for so long; by then its next heartbeat reports it
+COLD_DOUBT_S = 1.5
 
 
 def _stage_key(backend: Backend) -> StageKey:
@@ -25,33 +24,34 @@
 
 
 class Candidates:
-    """All backends that were heard of; the ready ones by service and stage."""
+    """All known backends; the ready ones by service and stage."""
 
     def __init__(self) -> None:
         self.records: dict[str, Backend] = {}
         self.views: dict[str, BackendView] = {}
         self._ready: dict[StageKey, list[BackendView]] = {}
         self._suspects = Suspects()
-        self._last_served_by: dict[str, str] = {}  # address: id of who was last known to serve there
-        self.version = 0  # rises whenever the ready ones or the suspects of a service and stage change
+        self._last_served_by: dict[str, str] = {}  # address: id of the backend last known to serve there
+        self.version = 0  # rises with every change of the ready backends or suspects of a stage
         self._next_check_at = float("-inf")
         self.cold = ColdBackends()
-        self._away: set[str] = set()  # those that failed lately or are held off
+        self._avoided: set[str] = set()  # backends that failed lately or are held off
         self._gone: dict[str, None] = {}
         self._lost: dict[str, None] = {}
         self._evacuated_zones: frozenset[str] = frozenset()
-        self._evacuated: dict[str, BackendView] = {}  # those there that would be ready or suspects
-        self.has_lost_contact: Callable[[], bool] = lambda: False  # with every controller that knows what is in force
+        self._evacuated: dict[str, BackendView] = {}  # backends there that would be ready or suspects
+        # Whether no controller that knows the state in force is reachable
+        self.has_lost_contact: Callable[[], bool] = lambda: False
 
     def merge(self, records: Iterable[Backend], now: float = 0.0) -> list[str]:
-        """Take records of any source; return the ids of backends that are over."""
-        over: list[str] = []
+        """Merge records from any source; return the ids of backends that have ended."""
+        ended_ids: list[str] = []
         for record in records:
             self._record_cold(now, record)
             if record.id in self._gone or not newer(self.records.get(record.id), record):
                 continue
             if record.phase == "gone":
-                over.append(record.id)
+                ended_ids.append(record.id)
                 self._forget(record.id)
                 self._gone[record.id] = None
                 while len(self._gone) > MAX_REMEMBERED_GONE:
@@ -60,12 +60,12 @@
                 self._replace(record, now)
         while len(self._lost) > MAX_REMEMBERED_LOST:
             oldest = next(iter(self._lost))
-            over.append(oldest)
+            ended_ids.append(oldest)
             self._forget(oldest)
-        return over
+        return ended_ids
 
     def _record_cold(self, now: float, record: Backend) -> None:
-        """Also a record that is known already may be the first to say that its backend is cold."""
+        """Record how long the backend stays cold. A record that is not new may still be the first one to report it."""
         known = self.records.get(record.id)
         is_current = known is None or record.call_seq >= known.call_seq
         if record.cold_left_ms > 0 and is_current and record.phase != "gone" and record.id not in self._gone:
@@ -76,13 +76,13 @@
         known = self.views.get(record.id)
         if known is None:
             known = self.views[record.id] = BackendView(record)
-            self._list(known, now)
+            self._add(known, now)
         elif (known.backend.phase, *_stage_key(known.backend)) == (record.phase, *_stage_key(record)):
             known.backend = record
         else:
-            self._unlist(known)
+            self._remove(known)
             known.backend, known.held_until = record, 0.0
-            self._list(known, now)
+            self._add(known, now)
         self._lost.pop(record.id, None)
         if record.phase == "lost":
             self._lost[record.id] = None
@@ -90,25 +90,25 @@
     def _forget(self, backend: str) -> None:
         self.records.pop(backend, None)
         self._lost.pop(backend, None)
-        self._away.discard(backend)
+        self._avoided.discard(backend)
         self.cold.forget(backend)
         ended = self.views.pop(backend, None)
         if ended is None:
             return
-        self._unlist(ended)
+        self._remove(ended)
         if self._last_served_by.get(ended.backend.address) == backend:
             del self._last_served_by[ended.backend.address]
 
-    def _list(self, view: BackendView, now: float) -> None:
+    def _add(self, view: BackendView, now: float) -> None:
         backend = view.backend
         if backend.phase == "ready":
             self._take_address(view)
         elif backend.phase == "lost":
             view.lost_at = now
             view.is_replaced = self._last_served_by.get(backend.address, backend.id) != backend.id
-        self._enter(view)
+        self._insert(view)
 
-    def _enter(self, view: BackendView) -> None:
+    def _insert(self, view: BackendView) -> None:
         backend, key = view.backend, _stage_key(view.backend)
         is_suspect = backend.phase == "lost" and not view.is_replaced
         if backend.zone in self._evacuated_zones:
@@ -121,7 +121,7 @@
         self.version += 1
 
     def _take_address(self, view: BackendView) -> None:
-        """A suspect whose address has passed to another backend is dead."""
+        """Record that the backend serves at its address. A suspect that served there before is dead."""
         backend = view.backend
         before = self.views.get(self._last_served_by.get(backend.address, ""))
         self._last_served_by[backend.address] = backend.id
@@ -131,7 +131,7 @@
             self._evacuated.pop(before.backend.id, None)
             self._suspects.remove(_stage_key(before.backend), before.backend.id)
 
-    def _unlist(self, view: BackendView) -> None:
+    def _remove(self, view: BackendView) -> None:
         key = _stage_key(view.backend)
         if self._evacuated.pop(view.backend.id, None) is not None:
             pass
@@ -144,40 +144,40 @@
         self.version += 1
 
     def evacuate(self, now: float, zones: frozenset[str]) -> None:
-        """From now on nothing is sent to backends of these zones; those of all others are taken back."""
+        """Stop sending to the backends of these zones, and resume sending to those of all others."""
         returned = self._evacuated_zones - zones
         moved = [view for view in self.views.values() if view.backend.zone in self._evacuated_zones ^ zones]
         for view in moved:
-            self._unlist(view)
+            self._remove(view)
         self._evacuated_zones = zones
         for view in moved:
-            self._enter(view)
+            self._insert(view)
         if returned:
             self.restore_zones(now, returned)
 
     def is_evacuated(self, backend: Backend) -> bool:
-        """Whether nothing is to be sent there: its zone is evacuated."""
+        """Return whether the backend's zone is evacuated, so that nothing may be sent there."""
         return backend.zone in self._evacuated_zones
 
     def known(self, now: float = 0.0) -> tuple[Backend, ...]:
-        """Everything to tell a controller that has forgotten."""
+        """Return all records, to restore a controller that has lost its state."""
         return tuple(self.cold.as_of(now, record) for record in self.records.values())
 
     def may_take(self, backend: str) -> bool:
-        """Whether a request may be sent there now: neither draining nor over, nor in a zone that is known to be
-        evacuated still."""
+        """Return whether a request may be sent to this backend now: it is neither draining nor ended, nor in a zone
+        that is known to be still evacuated."""
         record = self.records.get(backend)
         if record is None or record.phase not in {"ready", "lost"}:
             return False
         return not self.is_evacuated(record) or self.has_lost_contact()
 
     def may_begin(self, now: float, view: BackendView) -> bool:
-        """Whether a call to this backend may begin now: where it is cold, a permit is free."""
+        """Return whether a call to this backend may begin now. A cold backend needs a free permit."""
         return self.may_take(view.backend.id) and not (self.cold and self.cold.refuses(now, view))
 
     def begin_call(self, now: float, view: BackendView) -> float:
-        """A call to this backend goes out. Where it is cold: until when the call may be written, by a permit that is
-        now used; else 0."""
+        """Record that a call to this backend is sent. Return the time until which it may be written if the backend is
+        cold, by the permit that the call uses; otherwise 0."""
         if not self.cold or not self.cold.is_known_cold(now, view.backend):
             return 0.0
         permitted_until = self.cold.use_permit(now, view.backend)
@@ -186,32 +186,33 @@
         return permitted_until
 
     def may_write(self, now: float, backend: Backend, permitted_until: float) -> bool:
-        """Whether a call that began earlier may be written now: the backend has not turned cold since, or the call's
-        permit still holds."""
+        """Return whether a call that was begun earlier may be written now: the backend has not become cold since, or
+        the call's permit is still valid."""
         if not self.may_take(backend.id):
             return False
         return not self.cold or now <= permitted_until or not self.cold.is_known_cold(now, backend)
 
     def restore_zones(self, now: float, zones: Set[str]) -> None:
-        """These zones are taken back from an evacuation."""
+        """Use these zones again after an evacuation."""
         self.cold.assume_cold(now, [record for record in self.records.values() if record.zone in zones])
         self.version += 1
 
     def ready(self, now: float, service: str, stage: str, without: Set[str] = frozenset()) -> list[BackendView]:
-        """Whom to send to; the list is not to be changed. Those that failed us lately stand back, unless all did.
+        """Return the backends to choose from; the list must not be changed. Backends that failed recently are left out,
+        unless all did.
 
-        Invariant: it is empty only where no backend of the service and stage is ready, nor lost and not backed off,
-        ``without``, those of evacuated zones and those that are cold without a free permit left out.
+        Invariant: the list is empty only if no backend of the service and stage is ready, or lost and not backed off.
+        Not counted are those in ``without``, those of evacuated zones and cold ones without a free permit.
         """
         key = (service, stage)
         listed = self._ready.get(key, [])
         if self._suspects:
             listed = self._suspects.merged(now, key, listed)
-        if self._away:
-            self._away = {name for name in self._away if self.views[name].is_avoided(now)}
+        if self._avoided:
+            self._avoided = {name for name in self._avoided if self.views[name].is_avoided(now)}
         if self.cold:
             self.cold.forget_expired(now)
-        if without or self._away or self.cold:
+        if without or self._avoided or self.cold:
             listed = self._usable(now, listed, without)
             listed = [view for view in listed if not view.is_avoided(now)] or listed
         if self.cold:
@@ -225,8 +226,8 @@
         return listed
 
     def _may_be_cut_off(self, key: StageKey) -> bool:
-        """Whether no controller is heard that knows what is in force, and half of the other zones' backends have failed
-        a call since they answered last: then the evacuated zone may be all that this proxy reaches."""
+        """Return whether no controller that knows the state in force is reachable and half of the other zones' backends
+        have failed a call since their last answer. The evacuated zone may then be all that this proxy can reach."""
         if not self.has_lost_contact():
             return False
         others = self._ready.get(key, [])
@@ -244,7 +245,7 @@
         return [view for view in listed if not self.cold.refuses(now, view)] if self.cold else listed
 
     def _check_empty(self, now: float, key: StageKey, without: Set[str]) -> None:
-        """Look at all backends, which may be thousands, once in a while."""
+        """Check the invariant of ``ready`` against all backends. There may be thousands, so the rate is limited."""
         if now < self._next_check_at:
             return
         self._next_check_at = now + EMPTY_CHECK_INTERVAL_S
@@ -261,46 +262,46 @@
         return phase == "ready" or (phase == "lost" and is_last_resort(now, view))
 
     def has_any(self, service: str, stage: str) -> bool:
-        """Whether a backend of the service and stage is ready or a suspect, well or not."""
+        """Return whether the service and stage have a ready backend or a suspect, backed off or not."""
         return (service, stage) in self._ready or self._suspects.has_any((service, stage))
 
     def count(self, service: str, stage: str) -> int:
-        """How many are ready, well or not."""
+        """Return the number of ready backends, backed off or not."""
         return len(self._ready.get((service, stage), ()))
 
     def stages_with_ready(self) -> frozenset[tuple[str, str]]:
-        """The services and stages that have a ready backend, well or not."""
+        """Return the services and stages that have a ready backend, backed off or not."""
         return frozenset(self._ready)
 
     def any_ready(self) -> bool:
-        """Whether there is anybody to send to, suspects and those of evacuated zones counted."""
+        """Return whether there is any backend to send to, including suspects and those of evacuated zones."""
         return any(self._ready.values()) or bool(self._suspects) or bool(self._evacuated)
 
     def failed(self, now: float, backend: str, may_be_down: bool = False) -> None:
-        """A call ended without a word, or the backend couldn't be reached. ``may_be_down``: so it may come back
-        cold."""
+        """Record that a call got no answer or that the backend could not be reached. ``may_be_down``: it may be
+        restarting, and then come back cold."""
         view = self.views.get(backend)
         if view is None:
             return
         if view.backoff_until <= now:
             view.backoff_s = min(max(2 * view.backoff_s, BACKOFF_S[0]), BACKOFF_S[1])
             view.backoff_until = now + view.backoff_s
-            self._away.add(backend)
+            self._avoided.add(backend)
         if may_be_down:
             self.cold.doubt(view.backend, view.backoff_until + COLD_DOUBT_S)
 
     def answered(self, now: float, backend: str) -> None:
-        """An answer came."""
+        """Record that the backend has answered."""
         view = self.views.get(backend)
         if view is not None:
             view.answered_at = now
             view.backoff_until = view.backoff_s = 0.0
             if view.held_until <= now:
-                self._away.discard(backend)
+                self._avoided.discard(backend)
 
     def hold_off(self, now: float, backend: str, seconds: float) -> None:
-        """It is about to change its stage: others are asked for so long, or until its new stage is known."""
+        """Avoid a backend that is about to change its stage, for so many seconds or until its new stage is known."""
         view = self.views.get(backend)
         if view is not None:
             view.held_until = now + seconds
-            self._away.add(backend)
+            self._avoided.add(backend)
--- a/cranebank/dataplane/choice.py
+++ b/cranebank/dataplane/choice.py
@@ -1,7 +1,7 @@
-"""Which backends a request goes to: the interface between a request and the choice for its kind of service.
+"""The interface between a request and the choice of backends for its kind of service.
 
-A service whose configuration has an engine is staged: a pair of backends is chosen (``pair.py``). One without is plain:
-one backend answers the whole request (``plain_choice.py``).
+A service whose configuration has an engine is staged: a pair of backends is chosen (``pair.py``). A service without an
+engine is plain: one backend answers the whole request (``plain_choice.py``).
 """
 
 from __future__ import annotations
@@ -16,7 +16,8 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Who is to serve a request. Without a reader the maker does all of it. Tokens are those thought to be read."""
+    """The backends for a request. Without a prefill backend, the decode backend does the prefill as well.
+    ``prefill_tokens``: tokens expected to be read. ``blend``: the beta of the draw."""
 
     decode_backend: BackendView
     prefill_backend: BackendView | None
@@ -26,10 +27,11 @@
 
 
 class BackendChoice(Protocol):
-    """The choice for the requests of one service."""
+    """The choice of backends for the requests of one service."""
 
     def choose(self, now: float, prompt: Prompt, goal_ms: float, without: Set[str]) -> Plan | None:
-        """A plan for one request, or none where nobody is ready. ``without``: backends that failed this request."""
+        """Return a plan for one request; None if no backend is available. ``without``: backends that failed this
+        request."""
 
     def has_candidate(self, now: float, without: Set[str]) -> bool:
-        """Whether another run could go anywhere."""
+        """Return whether another attempt could be sent anywhere."""
--- a/cranebank/dataplane/choices.py
+++ b/cranebank/dataplane/choices.py
@@ -1,4 +1,4 @@
-"""The choices of one proxy: what they share, and which one a service's requests are given."""
+"""The choices of one proxy: the state that they share, and which choice applies to a service."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Choices:
-    """Of one proxy, for all services."""
+    """The choices of one proxy, for all services."""
 
     def __init__(self, candidates: Candidates, cache: CacheView, random: Random, policy: Policy = ALL_ON) -> None:
         self._candidates = candidates
@@ -24,7 +24,7 @@
         self.pairs = PairChooser(candidates, cache, self.draws, policy)
 
     def of(self, service: str, engine: Engine | None) -> BackendChoice:
-        """The choice for a service; ``engine``: what its configuration says of engines, if anything."""
+        """Return the choice for a service. ``engine``: its engine settings, if it has any."""
         if engine is None:
             return PlainChoice(self._candidates, self.draws, service)
         return StagedChoice(self.pairs, service, engine)
--- a/cranebank/dataplane/latency_model.py
+++ b/cranebank/dataplane/latency_model.py
@@ -1,4 +1,4 @@
-"""How long a backend of a stage takes to read a prompt, learnt from its answers."""
+"""How long a backend of a stage takes to prefill, learnt from its answers."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class LatencyModel(msgspec.Struct):
-    """What reading takes at one stage of one service, learnt from answers: a start and a time a token, in ms.
+    """Prefill time at one stage of one service: a base and a time per token, in ms, learnt from answers.
 
-    Of a prefill backend only answers count that found it idle: a pace that holds waiting would count it twice where a
-    queue is estimated, and would make a stage look slower the more is asked of it.
+    Of a prefill backend only answers count that found it idle. With waiting included, it would count twice where a
+    queue is estimated, and the stage would look slower the higher its load.
     """
 
     base_ms: float
@@ -21,12 +21,13 @@
     cov: float = 0.0
 
     def learn(self, tokens: float, took_ms: float) -> None:
-        """A call that read so many tokens took so long to its first byte. A decayed least-squares line."""
+        """Update the model by a call that read so many tokens and took so long to its first byte: a decayed
+        least-squares line."""
         gain = max(1.0 / self.weight, 0.02)
         self.weight += 1.0
         if self.var == 0.0:
             self.mean_x, self.mean_y = tokens, self.base_ms + self.token_ms * tokens
-            self.var, self.cov = 1e6, self.token_ms * 1e6  # the prior's slope, as one that was seen
+            self.var, self.cov = 1e6, self.token_ms * 1e6  # the prior's slope, as if it had been observed
         off_x, off_y = tokens - self.mean_x, took_ms - self.mean_y
         self.mean_x += gain * off_x
         self.mean_y += gain * off_y
@@ -36,10 +37,10 @@
         self.base_ms = max(0.0, self.mean_y - self.token_ms * self.mean_x)
 
     def estimate(self, tokens: float) -> float:
-        """Milliseconds to the first byte."""
+        """Return the milliseconds to the first byte."""
         return self.base_ms + self.token_ms * tokens
 
 
 def prior(stage: str) -> LatencyModel:
-    """What is assumed before anything was seen: middling figures, soon outweighed."""
+    """Return the model before any observation: typical values, soon outweighed."""
     return LatencyModel(20.0, 0.02) if stage == "prefill" else LatencyModel(30.0, 0.04)
--- a/cranebank/dataplane/offered_load.py
+++ b/cranebank/dataplane/offered_load.py
@@ -1,8 +1,8 @@
-"""What this proxy asks of each stage of a service, in erlangs: how many backends it alone would keep busy.
+"""This proxy's offered load on each stage of a service, in erlangs: the number of backends that it alone keeps busy.
 
-Reading is counted when it is asked for, whatever becomes of it: what waits in vain at an overloaded stage is load as
-well. Making is the share of their places that this proxy's streams take, looked at whenever it is told. Neither depends
-on how many backends the stage has, so the primary can tell what another backend would change.
+Prefill load is counted when a prefill is sent, whatever its outcome, as requests that wait in vain at an overloaded
+stage are load too. Decode load is the share of the backends' capacity that this proxy's streams take, sampled at each
+report. Neither depends on the number of backends, so the primary can compute what one more would change.
 """
 
 from __future__ import annotations
@@ -15,14 +15,17 @@
 from cranebank.transport.messages import StageLoad
 
 LOAD_AVERAGING_S = (
-    10.0  # a burst, or a start with nothing kept, is no lasting load; a lost backend shows at once all the same
+    # Long enough that a burst or a start with empty caches is no lasting load; the loss of a backend still shows at
+    # once
+    10.0
 )
-MAX_REPORTED_SERVICES = 64  # services that are told of: those with the most load
-MIN_REPORTED_ERLANGS = 0.001  # erlangs; less is not told
+MAX_REPORTED_SERVICES = 64  # services that are reported: those with the most load
+MIN_REPORTED_ERLANGS = 0.001  # smaller loads are not reported
 
 
 class OfferedLoad:
-    """Of one proxy, by service. Times are a steady clock's seconds; bounded by the services that are routed to."""
+    """The load of one proxy by service. Times are in seconds on the steady clock. The size is bounded by the number of
+    routed services."""
 
     def __init__(self) -> None:
         self._prefill_load: dict[str, DecayedRate] = {}
@@ -30,7 +33,8 @@
         self._sampled_at: float | None = None
 
     def add_prefill(self, now: float, service: str, seconds: float) -> None:
-        """A backend is asked for a reading that takes it so long, waiting left out; below zero: it never was."""
+        """Add a prefill of this duration, without its waiting time. A negative duration removes one that was not
+        sent."""
         if not seconds:
             return
         rate = self._prefill_load.get(service)
@@ -39,7 +43,7 @@
         rate.add(now, seconds)
 
     def report(self, now: float, backends: Iterable[BackendView]) -> tuple[StageLoad, ...]:
-        """The load of each service; ``backends`` are all that are known, with the calls that are out there."""
+        """Return the load of each service. ``backends``: all known backends, with this proxy's calls in flight."""
         self._sample_decode(now, backends)
         reading = {service: max(0.0, rate.at(now)) for service, rate in self._prefill_load.items()}
         self._forget_idle(reading)
@@ -58,7 +62,7 @@
             backend = view.backend
             if view.calls and backend.stage == "decode":
                 present[backend.target] = present.get(backend.target, 0.0) + view.calls / backend.capacity
-        since = self._sampled_at if self._sampled_at is not None else now  # both loads are averaged from nothing on
+        since = self._sampled_at if self._sampled_at is not None else now  # both loads are averaged from zero
         kept = exp(-max(0.0, now - since) / LOAD_AVERAGING_S)
         self._sampled_at = now
         services = present.keys() | self._decode_load.keys()
--- a/cranebank/dataplane/pair.py
+++ b/cranebank/dataplane/pair.py
@@ -1,12 +1,13 @@
-"""The choice of a pair: who reads the prompt and who makes the tokens.
-
-At both stages the choice is the (1+beta) process: two uniform draws from the stage's ready list, the lower figure with
-probability beta = sqrt(n log n / b), ties at random, else the first draw. One more reader, of the proxy's own
-zone, is taken if its figure is no higher. Where another backend keeps the prompt's long
-shared part, it is taken if its figure is no higher than that of the draws; so is, where nobody is known to keep it,
-its home, the same for all proxies (rendezvous hashing), as far as other proxies' readings are not told here. The figure
-is an estimate in milliseconds of what a call costs there: what is to be read, behind what all proxies are known to have
-out there, the move, and how much a reading holds up the streams that run there.
+"""Chooses the prefill backend and the decode backend of a request to a service with engines.
+
+At both stages the choice is the (1+beta) process: two uniform draws from the stage's candidates; the one with the lower
+cost is taken with probability beta = sqrt(n log n / b), ties at random, otherwise the first draw. One more prefill
+backend is drawn from the proxy's own zone and taken if its cost is no higher. So is a backend that is known to cache
+the prompt's long shared prefix. Where no backend is known to cache it, the prefix's home is considered: the backend
+that rendezvous hashing yields, the same at all proxies. The less of the other proxies' prefills this proxy knows of,
+the likelier it takes the home to cache the prefix. The cost is an estimate, in milliseconds, of the uncached tokens to
+be read, the queue ahead of them by all proxies' known calls, the transfer of the prompt's KV cache, and the delay of
+streams that run on the same backend.
 """
 
 from __future__ import annotations
@@ -28,20 +29,20 @@
 from cranebank.dataplane.prompt import Prompt
 from cranebank.dataplane.routes import Engine
 
-MAX_REMEMBERED_HOMES = 4096  # shared parts of a service whose homes are remembered
-HOMES_PER_PREFIX = 1  # where a long shared prompt that nobody keeps is read; at two it would be read twice
-MIN_REREAD_WEIGHT = (
-    3.0  # what is read although it is kept elsewhere counts so many times at least: others wait for it, and it costs
-)
-MIN_HOME_HIT_PROBABILITY = 0.5  # how likely a part that nobody is known to keep is at its home still, at least
-CONGESTION_DECAY = 0.9  # of the waits and readings that congestion is averaged over, at each further one
-CACHE_LEARNING_S = 10.0  # a proxy that began later than this knows little of what backends keep
-STREAM_DELAY_SHARE = 0.1  # of its time, what a reading costs each stream that runs where it is read
-MAX_LOCAL_PREFILL_TOKENS = (
-    1024  # tokens that a decode backend may read itself: one piece; more would hold up those that stream there
-)
-LATE_COST_FACTOR = 4.0  # a millisecond past the safe part of the goal counts as so many more
-SAFE_GOAL_SHARE = 0.6  # part of the goal for which an estimate may be relied on
+MAX_REMEMBERED_HOMES = 4096  # shared prefixes of a service whose homes are remembered
+HOMES_PER_PREFIX = 1  # homes of a prefix; with two, an uncached prefix would be read twice
+# Least weight of tokens that are cached at another backend: reading them again delays the queue and evicts other
+# prefixes
+MIN_REREAD_WEIGHT = 3.0
+# Least assumed probability that a prefix which no backend is known to cache is still cached at its home
+MIN_HOME_HIT_PROBABILITY = 0.5
+CONGESTION_DECAY = 0.9  # factor per choice in the averages behind the congestion
+CACHE_LEARNING_S = 10.0  # a proxy that started less than this ago knows little of the backends' caches
+STREAM_DELAY_SHARE = 0.1  # delay of each running stream, as a share of the time of a prefill on its backend
+# Tokens that a decode backend may prefill itself, in one chunk; more would delay its streams
+MAX_LOCAL_PREFILL_TOKENS = 1024
+LATE_COST_FACTOR = 4.0  # extra cost of each millisecond past the safe share of the goal
+SAFE_GOAL_SHARE = 0.6  # share of the goal within which an estimate may be relied on
 
 
 def _hash(key: str, backend: str) -> bytes:
@@ -49,30 +50,30 @@
 
 
 class PairChooser:
-    """Pairs for the requests of one proxy."""
+    """Chooses pairs of backends for the requests of one proxy."""
 
     def __init__(self, candidates: Candidates, cache: CacheView, draws: BlendedDraw, policy: Policy = ALL_ON) -> None:
         self._candidates, self._cache, self.draws = candidates, cache, draws
         self._policy = policy
         self._by_zone = ByZone(candidates)
-        self.zone = ""  # this proxy's own
-        self.prefill_reporters = 0  # other proxies that tell this one of the readings they begin
+        self.zone = ""  # zone of this proxy
+        self.prefill_reporters = 0  # number of other proxies that report to this one the prefills they begin
         self._began_at: float | None = None
-        self._wait_sum_ms = self._work_sum_ms = 0.0  # milliseconds, decayed at each reading
+        self._wait_sum_ms = self._work_sum_ms = 0.0  # decayed at each choice
         self._latencies: dict[tuple[str, str], LatencyModel] = {}
-        self._homes: dict[
+        self._homes: dict[  # by service: candidates, their version, homes by prefix
             str, tuple[list[BackendView], int, dict[str, list[BackendView]]]
         ] = {}  # by service: list, version, homes
 
     def latency(self, service: str, stage: str) -> LatencyModel:
-        """What reading takes there."""
+        """Return the latency model of a service's stage."""
         found = self._latencies.get((service, stage))
         if found is None:
             found = self._latencies[service, stage] = prior(stage)
         return found
 
     def cache_holders(self, listed: list[BackendView], prompt: Prompt) -> list[BackendView]:
-        """Who keeps a prompt's long shared part, as far as is known; none known: its home."""
+        """Return the backends known to cache the prompt's long shared prefix; if there are none, its home."""
         shared = prompt.shared_tokens
         found = [view for view in listed if self._cache.cached_tokens(view.backend.id, prompt.shared) >= shared]
         if not self._policy.cached_parts:
@@ -86,7 +87,7 @@
         return known is not None and bool(prompt.home_key) and view in known[2].get(prompt.home_key, ())
 
     def _home(self, listed: list[BackendView], key: str) -> list[BackendView]:
-        """The homes of a shared part; remembered while the list stays as it is."""
+        """Return the home of a shared prefix, remembered for as long as the candidates stay the same."""
         service, version = listed[0].backend.target, self._candidates.version
         known = self._homes.get(service)
         if known is None or known[0] is not listed or known[1] != version or len(known[2]) >= MAX_REMEMBERED_HOMES:
@@ -97,30 +98,31 @@
         return found
 
     def visibility(self, now: float) -> float:
-        """The share of all proxies' latest readings that this proxy knows of."""
+        """Return the share of all proxies' recent prefills that this proxy knows of."""
         if self._began_at is None:
             self._began_at = now
         told = (1 + self.prefill_reporters) / max(1, self.draws.proxies)
         return min(1.0, told) * min(1.0, (now - self._began_at) / CACHE_LEARNING_S)
 
     def wait_ms(self, now: float, service: str, view: BackendView) -> float:
-        """Milliseconds before a reading that is asked for now begins there."""
+        """Return the time before a prefill that is sent now would begin."""
         wait = view.prefill_queue.wait(now) * 1e3
         if wait:
             return wait
-        return self.latency(service, "prefill").token_ms * (view.tokens + view.others_tokens)  # late, or not told of
+        # The queue is overdue, or its prefills were not reported
+        return self.latency(service, "prefill").token_ms * (view.tokens + view.others_tokens)
 
     def begin_prefill(self, now: float, service: str, view: BackendView, tokens: int) -> Ticket:
-        """A reading of so many tokens is asked for there, by whichever proxy."""
+        """Add a prefill, sent by this proxy or another one, to the backend's queue."""
         token_ms = self.latency(service, "prefill").token_ms * self._slowness(now, view)
         return view.prefill_queue.add(now, token_ms * tokens / 1e3)
 
     def end_prefill(self, now: float, service: str, leg: Leg) -> None:
-        """A reading of our own was answered."""
+        """Record that a prefill of this proxy has been answered."""
         latency, view = self.latency(service, "prefill"), leg.view
         if leg.ticket is not None:
             view.prefill_queue.finish(now - latency.base_ms / 1e3, leg.ticket)
-        if not leg.found_idle:  # it waited for others as well, and the pace would grow with the queue
+        if not leg.found_idle:  # its time includes waiting, with which the model would grow as the queue does
             return
         took_ms = (now - leg.sent_at) * 1e3
         view.unreported_slowness = took_ms / latency.estimate(leg.tokens)
@@ -130,7 +132,7 @@
     def choose_prefill(
         self, now: float, service: str, prompt: Prompt, without: Set[str]
     ) -> tuple[BackendView, float, int] | None:
-        """Who reads, its estimate in ms, and the tokens thought to be read there."""
+        """Choose the prefill backend; return it, its estimated time in ms and the tokens expected to be read."""
         listed = self._candidates.ready(now, service, "prefill", without)
         if not listed:
             return None
@@ -146,15 +148,15 @@
         chosen = second if self.draws.prefers_second(blend, cost(first), cost(second)) else first
         chosen = min((*self._draw_in_zone(listed, self.zone), *holders, chosen), key=cost)
         tokens = self._uncached_tokens(prompt, chosen)
-        read_ms = self.latency(service, "prefill").estimate(tokens)  # slowness is for the choice among readers only
+        read_ms = self.latency(service, "prefill").estimate(tokens)  # slowness only ranks prefill backends
         return chosen, self.wait_ms(now, service, chosen) + read_ms, tokens
 
     def _draw_in_zone(self, listed: list[BackendView], zone: str) -> list[BackendView]:
-        """One draw from those in a zone, if there are any."""
+        """Draw one candidate from a zone; empty if it has none."""
         return self.draws.sample_one(self._by_zone.of(listed, zone)) if self._policy.near_zone else []
 
     def _uncached_tokens(self, prompt: Prompt, view: BackendView) -> int:
-        """Tokens that a backend is thought to have to read."""
+        """Return the tokens of the prompt that the backend is expected to have to read."""
         if not self._policy.cached_parts:
             return max(1, prompt.tokens)
         return max(1, prompt.tokens - self._cache.cached_tokens(view.backend.id, prompt.parts))
@@ -165,25 +167,24 @@
     def _prefill_cost(
         self, now: float, service: str, prompt: Prompt, view: BackendView, congestion: float, is_cached: bool
     ) -> float:
-        """The wait there, and the work, which whoever comes behind it waits for as well. ``is_cached``: some backend
-        keeps the shared part."""
+        """Return the estimated wait and work of a prefill at a backend. Requests that arrive after it wait for the work
+        too. ``is_cached``: some backend is known to cache the shared prefix."""
         tokens = float(self._uncached_tokens(prompt, view))
         reread = 0.0
-        if tokens == prompt.tokens:  # nothing is known to be kept there
+        if tokens == prompt.tokens:  # nothing of it is known to be cached there
             if is_cached:
                 reread = max(0.0, MIN_REREAD_WEIGHT - congestion) * prompt.shared_tokens
             elif self._is_home(service, prompt, view):
-                home_hit = max(
-                    MIN_HOME_HIT_PROBABILITY, 1.0 - self.visibility(now)
-                )  # another proxy may have had it read
+                # Another proxy may have had it read
+                home_hit = max(MIN_HOME_HIT_PROBABILITY, 1.0 - self.visibility(now))
                 tokens -= home_hit * prompt.shared_tokens
         work = congestion * self._slowness(now, view) * tokens + reread
         return self.wait_ms(now, service, view) + self.latency(service, "prefill").token_ms * work
 
     def _congestion(self, now: float, service: str, prompt: Prompt, drawn: tuple[BackendView, BackendView]) -> float:
-        """How many times work counts: one, and how many readings wait at a backend on average, by the draws that this
-        proxy has made, since so many requests are held up by what one adds. Without it a stage that is asked for more
-        than it can do reads ever more anew, and can do ever less."""
+        """Return the weight of added work: 1 plus the mean number of prefills that wait at a backend, over this proxy's
+        draws, as added work delays that many requests. Without it, an overloaded stage would repeat prefills of cached
+        prefixes ever more often, and its throughput would fall."""
         if not self._policy.congestion:
             return 1.0
         wait = sum(self.wait_ms(now, service, view) for view in drawn) / 2
@@ -196,16 +197,16 @@
     def choose(
         self, now: float, service: str, engine: Engine, prompt: Prompt, goal_ms: float, without: Set[str]
     ) -> Plan | None:
-        """A pair for a request, or none where nobody is ready."""
+        """Choose a pair for a request; None if no decode backend is available."""
         listed = self._candidates.ready(now, service, "decode", without)
         if not listed:
             return None
         first, second = self.draws.draw(listed)
         blend = self.draws.blend(now, service, "decode", listed, (first, second))
-        reading = self.choose_prefill(now, service, prompt, without) if prompt.tokens else None
-        plan = self._plan(first, reading, service, engine, prompt, goal_ms, blend)
+        prefill = self.choose_prefill(now, service, prompt, without) if prompt.tokens else None
+        plan = self._plan(first, prefill, service, engine, prompt, goal_ms, blend)
         if second is not first:
-            other = self._plan(second, reading, service, engine, prompt, goal_ms, blend)
+            other = self._plan(second, prefill, service, engine, prompt, goal_ms, blend)
             if self.draws.prefers_second(blend, plan.cost, other.cost):
                 plan = other
         return plan
@@ -213,7 +214,7 @@
     def _plan(
         self,
         decode_backend: BackendView,
-        reading: tuple[BackendView, float, int] | None,
+        prefill: tuple[BackendView, float, int] | None,
         service: str,
         engine: Engine,
         prompt: Prompt,
@@ -228,9 +229,9 @@
             self._cost(latency.estimate(tokens) + queued_ms, goal_ms)
             + STREAM_DELAY_SHARE * streams * latency.token_ms * tokens
         )
-        if reading is None:
+        if prefill is None:
             return Plan(decode_backend, None, tokens, local_cost, blend)
-        prefill_backend, read_ms, prefill_tokens = reading
+        prefill_backend, read_ms, prefill_tokens = prefill
         link_factor = 1.0 if prefill_backend.backend.zone == decode_backend.backend.zone else 2.0
         transfer_ms = link_factor * prompt.tokens * engine.token_bytes * 8 / max(1.0, engine.link_mbps) / 1e3
         split_cost = self._cost(read_ms + latency.base_ms + transfer_ms + queued_ms, goal_ms)
@@ -239,7 +240,7 @@
         return Plan(decode_backend, prefill_backend, prefill_tokens, split_cost, blend)
 
     def has_decode_backend(self, now: float, service: str, without: Set[str]) -> bool:
-        """Whether anybody is ready to make tokens."""
+        """Return whether a decode backend is available."""
         return bool(self._candidates.ready(now, service, "decode", without))
 
     @staticmethod
@@ -248,15 +249,15 @@
 
 
 class StagedChoice:
-    """Of one service with engines."""
+    """The choice for one service with engines."""
 
     def __init__(self, pairs: PairChooser, service: str, engine: Engine) -> None:
         self._pairs, self._service, self._engine = pairs, service, engine
 
     def choose(self, now: float, prompt: Prompt, goal_ms: float, without: Set[str]) -> Plan | None:
-        """A pair for one request, or none where nobody is ready."""
+        """Choose a pair for one request; None if no decode backend is available."""
         return self._pairs.choose(now, self._service, self._engine, prompt, goal_ms, without)
 
     def has_candidate(self, now: float, without: Set[str]) -> bool:
-        """Whether another run could go anywhere."""
+        """Return whether another attempt could be sent anywhere."""
         return self._pairs.has_decode_backend(now, self._service, without)
--- a/cranebank/dataplane/plain_choice.py
+++ b/cranebank/dataplane/plain_choice.py
@@ -1,7 +1,7 @@
-"""The choice of a backend in a service without engines: one backend answers the whole request.
+"""The choice of a backend in a service without engines, where one backend answers the whole request.
 
-The (1+beta) process on load in flight: of two uniform draws the one with the smaller part of its places taken, as far
-as this proxy and its neighbours know.
+The (1+beta) process on calls in flight: of two uniform draws the one with the lower utilisation is preferred, by the
+calls that this proxy and its neighbours know of.
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 from cranebank.dataplane.choice import Plan
 from cranebank.dataplane.prompt import Prompt
 
-UNSTAGED = ""  # the stage of a backend that names none
-DECODE = "decode"  # takes whole requests as well
+UNSTAGED = ""  # stage of a backend that reports none
+DECODE = "decode"  # backends of this stage answer whole requests as well
 
 
 class PlainChoice:
-    """Of one service. Its backends name no stage; those of a service that has just lost its engine may still do."""
+    """The choice for one service. Its backends report no stage; those of a service that has just lost its engine may
+    still report one."""
 
     def __init__(self, candidates: Candidates, draws: BlendedDraw, service: str) -> None:
         self._candidates, self._draws, self._service = candidates, draws, service
 
     def choose(self, now: float, prompt: Prompt, goal_ms: float, without: Set[str]) -> Plan | None:
-        """A backend for one request, or none where nobody is ready."""
+        """Choose a backend for one request; None if none is available."""
         listed, stage = self._ready(now, without)
         if not listed:
             return None
@@ -35,7 +36,7 @@
         return Plan(chosen, None, 0, _utilisation(chosen), blend)
 
     def has_candidate(self, now: float, without: Set[str]) -> bool:
-        """Whether another run could go anywhere."""
+        """Return whether another attempt could be sent anywhere."""
         return bool(self._ready(now, without)[0])
 
     def _ready(self, now: float, without: Set[str]) -> tuple[list[BackendView], str]:
@@ -46,5 +47,5 @@
 
 
 def _utilisation(view: BackendView) -> float:
-    """The part of a backend's places that is taken."""
+    """Return the share of a backend's capacity that is in use."""
     return view.all_calls / max(1, view.backend.capacity)
--- a/cranebank/dataplane/policy.py
+++ b/cranebank/dataplane/policy.py
@@ -1,7 +1,7 @@
-"""The mechanisms by which a proxy decides, each with a switch.
+"""The mechanisms by which a proxy chooses backends, each with a switch.
 
-All are on by default. Switching one off shows what it is worth on a deployment (``benchmarks/ablation.py``); no rule
-that a request's safety rests on can be switched off.
+All are on by default. Switching one off shows its effect on a deployment (``benchmarks/ablation.py``). No rule that the
+safety of requests depends on can be switched off.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class PolicyError(Exception):
-    """A mechanism that does not exist; the text names it and those that do. ``code`` is 'policy'."""
+    """An unknown mechanism; the text names it and the known ones. ``code`` is 'policy'."""
 
     code = "policy"
 
@@ -37,23 +37,23 @@
 ALL_ON = Policy()
 
 MECHANISMS: Mapping[str, str] = {
-    "blended_draws": "the lower of two draws is taken with probability beta, which falls as figures age; off: always",
-    "cached_parts": "what a backend keeps of a prompt counts as read; off: it counts as to be read anew",
-    "keepers": "who keeps a long shared part is compared with the draws; off: the draws alone",
-    "homes": "a part that nobody is known to keep may go to its home; off: to the draws",
-    "near_zone": "one more reader is drawn from the proxy's own zone; off: the two draws alone",
-    "congestion": "work that is added counts for those that wait behind it; off: it counts for itself",
-    "slowness": "a prefill backend that reads slower than others is known to; off: all count as alike",
-    "told_readings": "proxies tell each other of readings as they begin; off: by their loads each 0.2 s alone",
-    "told_loads": "neighbours tell each other what they have out at backends; off: each knows its own",
-    "short_prompts_at_makers": "a short prompt may be read where its tokens are made; off: all are read apart",
-    "priorities": "a route's rank goes on to backends as their priority; off: all alike",
-    "stage_loads": "controllers are told the load of each stage and move backends by it; off: only to an empty stage",
+    "blended_draws": "the cheaper of two draws is taken with probability beta, which falls as costs age; off: always",
+    "cached_parts": "tokens that a backend is expected to cache need no prefill; off: all count as to be read",
+    "keepers": "backends known to cache a long shared prefix are compared with the draws; off: the draws alone",
+    "homes": "a prefix that no backend is known to cache may go to its home; off: to the draws",
+    "near_zone": "one more prefill backend is drawn from the proxy's own zone; off: the two draws alone",
+    "congestion": "added work counts for the requests that wait behind it as well; off: it counts once",
+    "slowness": "prefill backends that are slower than others are known as such; off: all count as alike",
+    "told_readings": "proxies report prefills to each other as they begin; off: only by loads every 0.2 s",
+    "told_loads": "neighbours report their loads on backends to each other; off: each proxy knows its own",
+    "short_prompts_at_makers": "decode backends may prefill short prompts; off: prefill backends read all",
+    "priorities": "a route's rank is sent to backends as a priority; off: all alike",
+    "stage_loads": "controllers get the load of each stage and move backends by it; off: only to an empty stage",
 }
 
 
 def without(names: Iterable[str]) -> Policy:
-    """The policy with these mechanisms off. Raises PolicyError."""
+    """Return the policy with these mechanisms off. Raises PolicyError."""
     off = tuple(names)
     for name in off:
         if name not in MECHANISMS:
--- a/tests/mutants_stages.py
+++ b/tests/mutants_stages.py
@@ -81,8 +81,8 @@
         Point.LIVENESS,
         "an answer of a backend that was ordered lets it be sent to again",
         "dataplane/candidates.py",
-        "if view.held_until <= now:\n                self._away.discard(backend)",
-        "view.held_until = 0.0\n            self._away.discard(backend)",
+        "if view.held_until <= now:\n                self._avoided.discard(backend)",
+        "view.held_until = 0.0\n            self._avoided.discard(backend)",
         "test_stage_load.py",
     ),
     Mutant(
