--- a/cranebank/dataplane/attempts.py
+++ b/cranebank/dataplane/attempts.py
@@ -1,11 +1,11 @@
-"""How often one request has been sent, against its route's tries: the rules of counting, in one place."""
+"""Counts how often one request has been sent, against its route's tries."""
 
 from __future__ import annotations
 
 from cranebank.invariants import invariant_error
 
-MAX_UNSENT = 4  # calls of one request that never left us, before it is given up
-MAX_REPEATED_PREFILLS = 1  # of one request's prompt after its first
+MAX_UNSENT = 4  # calls of one request that were never sent, before it is given up
+MAX_REPEATED_PREFILLS = 1  # prefills of one request after its first
 
 
 class Attempts:
@@ -15,57 +15,58 @@
 
     def __init__(self, tries: int) -> None:
         self._tries = tries
-        self.count = 0  # that take one of the tries
-        self.arrivals = 0  # of the request, at backends that make tokens or rejected a reading
+        self.count = 0  # calls that take one of the tries
+        self.arrivals = 0  # arrivals of the request at decode backends, and at prefill backends that rejected it
         self.prefills = 0
         self._prefills_rejected = self._unsent = 0
 
     @property
     def are_used_up(self) -> bool:
-        """Whether the request may go to no further backend."""
+        """Return whether the request may be sent to no further backend."""
         return self.count >= max(1, self._tries)
 
     @property
     def are_left(self) -> bool:
-        """Whether a run may be followed by another."""
+        """Return whether another attempt may follow."""
         return self.count < self._tries
 
     @property
     def has_too_many_unsent(self) -> bool:
-        """Whether too many calls have come to nothing before they were sent."""
+        """Return whether too many calls have failed before they were sent."""
         return self._unsent >= MAX_UNSENT
 
     def may_prefill(self) -> bool:
-        """Whether the prompt may be read apart.
+        """Return whether the prompt may be read by a prefill backend.
 
-        The first reading that a backend takes up is no run; another one takes a try, and must leave one to make tokens.
+        The first prefill that a backend accepts takes no try; another one does, and must leave one for the decode
+        backend.
         """
         return self.prefills <= MAX_REPEATED_PREFILLS and self.has_try_for_prefill()
 
     def has_try_for_prefill(self) -> bool:
-        """Whether the tries allow for another reading now, beside the run that makes the tokens."""
+        """Return whether the tries allow for another prefill now, besides the decode."""
         return self.prefills == self._prefills_rejected or self.count + 2 <= self._tries
 
     def count_prefill(self) -> bool:
-        """The prompt is sent to be read. Whether that takes a try."""
+        """Count a prefill; return whether it takes a try."""
         is_counted = self.prefills > self._prefills_rejected
         self.prefills += 1
         self.count += is_counted
         return is_counted
 
     def count_decode(self) -> None:
-        """The request is sent to a backend that makes its tokens."""
+        """Count a call to a decode backend."""
         self.count += 1
         self.arrivals += 1
 
     def prefill_rejected(self, is_counted: bool) -> None:
-        """A backend has read nothing, and said so. ``is_counted``: this reading took a try."""
+        """Count a prefill that a backend rejected without reading anything. ``is_counted``: it took a try."""
         self._prefills_rejected += 1
         self.count += not is_counted
         self.arrivals += 1
 
     def unsent(self, is_prefill: bool, is_counted: bool) -> None:
-        """A call never left us: it counts nowhere but here."""
+        """Undo the counts of a call that was never sent, except for the count of unsent calls."""
         self._unsent += 1
         self.count -= is_counted
         if is_prefill:
@@ -74,6 +75,6 @@
             self.arrivals -= 1
 
     def check(self) -> None:
-        """Raise InvariantBroken where the state contradicts itself."""
+        """Raise InvariantBroken if the counts exceed the tries."""
         if self.count > max(1, self._tries):
             raise invariant_error("no more attempts than tries", f"{self.count} of {self._tries}")
--- a/cranebank/dataplane/backend_answers.py
+++ b/cranebank/dataplane/backend_answers.py
@@ -1,4 +1,4 @@
-"""What a backend's answer says of the request: whether it is a success, a failure, or a promise that nothing ran."""
+"""Classifies a backend's answer: a success, a failure, or a statement that the request did not run."""
 
 from __future__ import annotations
 
@@ -9,25 +9,24 @@
 
 SEAL = "x-server-seal"
 NOT_RUN_MARK = "x-not-run"
-MISDIRECTED = 421  # this is another backend, or it does other work than it was sent
-REJECTIONS = frozenset({MISDIRECTED, 429, 503})  # with the mark; 421 says it by itself
-NOT_RUN_STATUSES = frozenset(
-    {408, MISDIRECTED, 429, 503}
-)  # to a client these say that the request has not run and never will
+MISDIRECTED = 421  # sent by a backend that is another one or has another stage than the call expects
+REJECTIONS = frozenset({MISDIRECTED, 429, 503})  # with the mark; 421 needs none
+# To a client these mean that the request has not run and never will
+NOT_RUN_STATUSES = frozenset({408, MISDIRECTED, 429, 503})
 
 
 class AnswerKind(Enum):
-    """Of one answer, by its head alone."""
+    """The kind of one answer, by its head alone."""
 
     SEALED = auto()  # a success of that backend
-    UNSEALED = auto()  # a success without its seal, which is no answer of that backend
-    REJECTED = auto()  # the backend says that it did not run the request
-    UNPROVEN = auto()  # a status that promises a client that nothing ran, without the backend's word for it
+    UNSEALED = auto()  # a success without that backend's seal, so not its answer
+    REJECTED = auto()  # the backend states that it did not run the request
+    UNPROVEN = auto()  # a status that means to a client that nothing ran, without the backend's statement
     FAILED = auto()  # any other
 
 
 def kind_of(status: int, headers: Mapping[str, str]) -> AnswerKind:
-    """The kind of an answer with this status and these headers, named in lower case."""
+    """Return the kind of an answer by its status and headers; header names are in lower case."""
     if 200 <= status < 300:
         return AnswerKind.SEALED if SEAL in headers else AnswerKind.UNSEALED
     if status in REJECTIONS and (status == MISDIRECTED or NOT_RUN_MARK in headers):
@@ -40,7 +39,7 @@
 
 
 def handle_in(body: bytes) -> str:
-    """The handle in the answer of a reading; empty where there is none."""
+    """Return the handle in the answer to a prefill; empty if it has none."""
     try:
         return msgspec.json.decode(body, type=_Reading).prompt_handle
     except msgspec.MsgspecError:
--- a/cranebank/dataplane/budget.py
+++ b/cranebank/dataplane/budget.py
@@ -1,20 +1,20 @@
-"""The retry budget that all proxies hold in common, kept by construction: each proxy spends its own part only.
+"""The retry budget that all proxies share. Each proxy spends only its own part, so no coordination is needed.
 
-In every window a proxy makes at most ``ratio`` x its own requests for a service, and its part of the slack, further
-calls. The parts sum to less than the whole, so no message is needed to keep the rule; a proxy that has just started
-does not know what its former life spent and counts all of its slack as spent until a window has passed.
+In every window a proxy makes at most ``ratio`` x its own requests for a service, plus its part of the slack, in further
+calls. The parts sum to less than the whole budget. A proxy that has just started does not know what it spent before a
+restart, so it has no slack until a window has passed.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-RATIO_USED = 0.8  # of the allowed ratio: windows of others may not line up with ours
-SLACK_USED = 0.7  # of the slack, over all proxies: what may join during a window
+RATIO_USED = 0.8  # share of the allowed ratio, as the windows of other proxies may not line up with this one's
+SLACK_USED = 0.7  # share of the slack that all proxies use together; the rest is for proxies that join during a window
 
 
 class Budget:
-    """One service's budget at one proxy. Times in seconds on the steady clock."""
+    """The budget of one service at one proxy. Times are in seconds on the steady clock."""
 
     def __init__(self, ratio: float, slack: float, window_s: float, fresh_until: float) -> None:
         self._ratio, self._slack, self._window = ratio * RATIO_USED, slack * SLACK_USED, window_s
@@ -23,22 +23,22 @@
         self._spent: deque[float] = deque()
 
     def count_request(self, now: float) -> None:
-        """A client's request for the service."""
+        """Count a client's request for the service."""
         self._requests.append(now)
         self._trim(now)
 
     def may(self, now: float, proxies: int) -> bool:
-        """Whether a further call may be made."""
+        """Return whether a further call may be made."""
         self._trim(now)
         slack = 0.0 if now < self._fresh_until else self._slack / max(1, proxies)
         return len(self._spent) + 1 <= self._ratio * len(self._requests) + slack
 
     def spend(self, now: float) -> None:
-        """A further call was made, or a first one was rejected."""
+        """Count a further call, or a first one that was rejected."""
         self._spent.append(now)
 
     def is_idle(self, now: float) -> bool:
-        """Whether nothing in the window counts: a new budget would allow the same."""
+        """Return whether the window is empty, so that a new budget would allow the same."""
         self._trim(now)
         return not self._requests and not self._spent
 
--- a/cranebank/dataplane/client_answer.py
+++ b/cranebank/dataplane/client_answer.py
@@ -1,6 +1,6 @@
-"""The one answer that a client gets: what of it was passed on, and which ends are left to it.
+"""The one answer that a client gets: what has been passed on, and how it may still end.
 
-A refusal is given only where nothing may have run; an end without a whole answer never looks like one.
+The request is refused only if it cannot have run anywhere; an answer that is cut short never looks complete.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 
 
 class ClientAnswer:
-    """Of one request. ``last_event_id``: where a stream that may be resumed begins."""
+    """The answer to one request. ``last_event_id``: where a resumable stream begins."""
 
     __slots__ = ("_splitter", "is_begun", "may_have_run")
 
     def __init__(self, is_resumable: bool, last_event_id: str | None) -> None:
         self._splitter = EventSplitter(last_event_id) if is_resumable else None
         self.is_begun = False
-        self.may_have_run = False  # some backend may have begun work on the request
+        self.may_have_run = False  # whether some backend may have begun to run the request
 
     @property
     def is_resumable(self) -> bool:
-        """Whether it comes as events that another run may continue."""
+        """Return whether the answer is a stream of events that another attempt may continue."""
         return self._splitter is not None
 
     @property
     def last_event_id(self) -> str | None:
-        """Where another run begins; None: at the start."""
+        """Return where another attempt begins; None: at the start."""
         return self._splitter.last_id if self._splitter is not None else None
 
     @property
     def can_continue(self) -> bool:
-        """Whether another run can bring the rest of it."""
+        """Return whether another attempt can deliver the rest of the answer."""
         return not self.is_begun or self._splitter is not None
 
     def pass_on(self, leg: Leg, data: bytes) -> list[Head | Data]:
-        """Part of a leg's body came, of which whole events are passed on. Raises EventTooLong."""
+        """Pass on part of a leg's body; of a resumable stream, only whole events. Raises EventTooLong."""
         if self._splitter is not None:
             data = self._splitter.feed(data)
         if not data:
@@ -48,29 +48,29 @@
         return [Data(data)] if self.is_begun else [*self._begin(leg), Data(data)]
 
     def finish(self, leg: Leg) -> list[Head | Data | Finish]:
-        """A leg's success is whole."""
+        """Pass on the end of a leg's successful answer."""
         rest = self._splitter.take_rest() if self._splitter is not None else b""
         return [*self._begin(leg), *([Data(rest)] if rest else []), Finish()]
 
     def pass_failure(self, leg: Leg) -> list[Head | Data | Finish]:
-        """A backend's failure, whole, as it came."""
+        """Pass on a backend's failed answer as it came."""
         if self.is_begun:
             raise invariant_error("one answer a request")
         return [Head(leg.status, leg.headers), Data(leg.body), Finish()]
 
     def drop_rest(self) -> None:
-        """The run whose event is unfinished has broken off: the next one brings it whole."""
+        """Drop the unfinished event of an attempt that broke off; the next attempt delivers it whole."""
         if self._splitter is not None:
             self._splitter.drop_rest()
 
     def give_up(self) -> Break | Reply:
-        """Nothing more can be tried."""
+        """Return the end of a request for which no further attempt is possible."""
         if self.is_begun:
             return Break()
         return self._reply(Unknown() if self.may_have_run else NotRun())
 
     def out_of_time(self, is_running: bool) -> Break | Reply:
-        """The request's time is over. ``is_running``: a call that may run it is out."""
+        """Return the end of a request that is out of time. ``is_running``: a call that may run it is in flight."""
         if self.is_begun:
             return Break()
         return self._reply(OutOfTime() if self.may_have_run or is_running else NotRun())
--- a/cranebank/dataplane/dispatch.py
+++ b/cranebank/dataplane/dispatch.py
@@ -1,4 +1,4 @@
-"""Which backend one request goes to next, as a reading of its prompt or to make its tokens."""
+"""Decides which backend one request is sent to next, for a prefill or to run it."""
 
 from __future__ import annotations
 
@@ -17,22 +17,20 @@
 from cranebank.invariants import invariant_error
 from cranebank.transport.messages import PrefillBegun
 
-HANDLE_MARGIN_S = 0.5  # of a handle's life that is not relied on
-PREFILL_TIMEOUT_FACTOR = (
-    4.0  # a reading is given up after so many times its estimate with what is read before it, and a start
-)
+HANDLE_MARGIN_S = 0.5  # part of a handle's lifetime that is not relied on
+# A prefill is given up after PREFILL_TIMEOUT_BASE_S plus so many times its estimated wait and duration
+PREFILL_TIMEOUT_FACTOR = 4.0
 PREFILL_TIMEOUT_BASE_S = 0.4
-SECOND_COPY_DELAY_S, SECOND_COPY_DELAY_GOALS = (
-    0.9,
-    3.0,
-)  # a second copy goes out after so long, or so many goals, without a head
+# A second copy is sent after so long, or after so many times the goal, without the head of an answer
+SECOND_COPY_DELAY_S, SECOND_COPY_DELAY_GOALS = 0.9, 3.0
 
 
 class Dispatch:
-    """Of one request, until ``until``. A call that is returned has been counted and is to be sent; None: there is none.
+    """Dispatches one request, until ``until``. A call that is returned has been counted and must be sent; None means
+    that there is no further call.
 
-    ``without`` are the backends that failed the request, ``handle`` its prompt's memory where that was read and not yet
-    taken.
+    ``without`` are the backends that failed the request. ``handle`` is its prompt's KV cache, where a prefill has been
+    done and no decode backend has fetched it yet.
     """
 
     __slots__ = (
@@ -72,11 +70,12 @@
 
     @property
     def budget(self) -> Budget:
-        """The service's budget, asked for each time: an idle one may have been replaced since this request began."""
+        """Return the service's budget. It is looked up each time, as an idle one may have been replaced since this
+        request began."""
         return self._shared.budget(self._service)
 
     def next_call(self, now: float) -> Call | None:
-        """Choose a pair and begin with it."""
+        """Choose a pair of backends and return the first call to it."""
         if self._attempts.are_used_up:
             return None
         plan = self._choose(now, self.without)
@@ -89,33 +88,33 @@
         if self.handle is not None and now < self.handle.until:
             return self._send_decode(now, plan.decode_backend, 0)
         self.handle = None
-        alone = self._answer.is_begun or bool(self._legs)  # no time for a reading
-        if plan.prefill_backend is not None and self._attempts.may_prefill() and not alone:
+        skips_prefill = self._answer.is_begun or bool(self._legs)  # no time for a separate prefill
+        if plan.prefill_backend is not None and self._attempts.may_prefill() and not skips_prefill:
             return self._send_prefill(now, plan.prefill_backend, plan.prefill_tokens)
         return self._send_decode(now, plan.decode_backend, plan.prefill_tokens)
 
-    def call_after_prefill(self, now: float, prefill_backend: Leg, handle: str) -> Call | None:
-        """The prompt was read: go on with the memory under this handle."""
-        took_ms = (now - prefill_backend.sent_at) * 1e3
-        self._shared.choices.pairs.end_prefill(now, self._service, prefill_backend)
+    def call_after_prefill(self, now: float, prefill: Leg, handle: str) -> Call | None:
+        """Return the call that follows a prefill, with the handle of its KV cache."""
+        took_ms = (now - prefill.sent_at) * 1e3
+        self._shared.choices.pairs.end_prefill(now, self._service, prefill)
         self._shared.count("readings")
         self._shared.count("reading_ms", round(took_ms))
         if self._engine is None:
             raise invariant_error("a service without engines reads no prompt apart")
-        self.handle = Handle(prefill_backend.view.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
+        self.handle = Handle(prefill.view.backend, handle, now + self._engine.handle_ttl_s - HANDLE_MARGIN_S)
         decode_backend = self._usable_decode_backend(now)
         return self._send_decode(now, decode_backend, 0) if decode_backend is not None else None
 
     def unsent(self, now: float, leg: Leg) -> None:
-        """A call never left us: nobody was asked to read."""
+        """Undo the accounting of a call that was never sent."""
         self._shared.load.add_prefill(now, self._service, -leg.prefill_load_s)
         if leg.ticket is not None:
             leg.view.prefill_queue.cancel(leg.ticket)
         if not leg.is_prefill:
-            self.handle = leg.handle  # nobody took it
+            self.handle = leg.handle  # it has not been fetched
 
     def can_retry(self, now: float) -> bool:
-        """Whether there is what another run needs besides a try: budget, and somebody to run it."""
+        """Return whether the retry budget and the available backends allow another attempt."""
         return self._has_budget(now) and self._choice.has_candidate(now, self.without)
 
     def _choose(self, now: float, without: set[str]) -> Plan | None:
@@ -125,7 +124,7 @@
         return self.budget.may(now, self._shared.choices.draws.proxies)
 
     def _usable_decode_backend(self, now: float) -> BackendView | None:
-        """The planned maker, or another where it may take nothing any more or has failed lately."""
+        """Return the planned decode backend, or another one if it may not be called any more or has failed recently."""
         assert self._plan is not None
         decode_backend = self._plan.decode_backend
         may_begin = self._shared.candidates.may_begin(now, decode_backend)
@@ -137,36 +136,35 @@
         return decode_backend if may_begin else None
 
     def _send_prefill(self, now: float, prefill_backend: BackendView, tokens: int) -> Call | None:
-        """Send the request to a backend that reads its prompt only."""
+        """Send the request to a prefill backend."""
         if self._attempts.prefills and not self._may_repeat(now):
             return None
         is_counted = self._attempts.count_prefill()
         pairs = self._shared.choices.pairs
-        wait_s = (
-            pairs.wait_ms(now, self._service, prefill_backend) / 1e3
-        )  # one with much to read is late with it, and not silent
+        # A backend with a long queue is late, not silent.
+        wait_s = pairs.wait_ms(now, self._service, prefill_backend) / 1e3
         estimate_s = wait_s + pairs.latency(self._service, "prefill").estimate(tokens) / 1e3
         headers = (("X-Stage", "prefill"), self._priority())
         leg, call = self._send(
             now, prefill_backend, tokens, True, headers, PREFILL_TIMEOUT_BASE_S + PREFILL_TIMEOUT_FACTOR * estimate_s
         )
         leg.is_counted = is_counted
-        # What is thought to be kept may not be: only a whole prompt at an idle backend tells how fast it reads.
+        # Only a whole prompt at an idle backend shows the backend's speed, as what is expected to be cached may not be.
         leg.found_idle = leg.found_idle and not wait_s and tokens >= self._prompt.tokens
         leg.ticket = pairs.begin_prefill(now, self._service, prefill_backend, tokens)
         self._announce_prefill(prefill_backend, tokens)
         return call
 
     def _announce_prefill(self, prefill_backend: BackendView, tokens: int) -> None:
-        """Other proxies count it in the queue of the backend, and as kept there."""
-        tell, prompt = self._shared.on_prefill_begun, self._prompt
-        if tell is not None:
+        """Report the prefill to other proxies, which count it in the backend's queue and its prefix as cached there."""
+        report, prompt = self._shared.on_prefill_begun, self._prompt
+        if report is not None:
             shared = prompt.shared_tokens if prompt.home_key else 0
             slowness, prefill_backend.unreported_slowness = prefill_backend.unreported_slowness, 0.0
-            tell(PrefillBegun(prefill_backend.backend.id, tokens, prompt.home_key, shared, round(slowness, 2)))
+            report(PrefillBegun(prefill_backend.backend.id, tokens, prompt.home_key, shared, round(slowness, 2)))
 
     def _send_decode(self, now: float, decode_backend: BackendView, tokens: int) -> Call | None:
-        """Send the request to the backend that makes the tokens."""
+        """Send the request to a decode backend."""
         if self._attempts.arrivals and not self._may_repeat(now):
             return None
         headers: list[tuple[str, str]] = [self._priority()]
@@ -185,7 +183,8 @@
         return call
 
     def _priority(self) -> tuple[str, str]:
-        """A lower rank of the route is more urgent; the ends of the scale are left to others."""
+        """Return the priority header. A lower rank of the route is more urgent; both ends of the scale are left to
+        other clients."""
         if not self._shared.choices.policy.priorities:
             return "Priority", "5"
         return "Priority", str(min(9, 3 + self._route.rank))
@@ -213,9 +212,8 @@
         leg = self._legs.open(now, view, tokens, is_prefill, silent_s)
         choices = self._shared.choices
         choices.draws.count_call(now, self._service, view.backend.stage)
-        if (
-            is_prefill or tokens > MAX_LOCAL_PREFILL_TOKENS
-        ):  # also what is read where tokens are made since nobody is there to read it
+        # Also a prefill at a decode backend, done there for want of a prefill backend
+        if is_prefill or tokens > MAX_LOCAL_PREFILL_TOKENS:
             leg.prefill_load_s = choices.pairs.latency(self._service, "prefill").token_ms * tokens / 1e3
             self._shared.load.add_prefill(now, self._service, leg.prefill_load_s)
         if self._engine is not None:
--- a/cranebank/dataplane/errors.py
+++ b/cranebank/dataplane/errors.py
@@ -1,10 +1,10 @@
-"""What can go wrong with a request, as types with codes; each names the status that the client gets."""
+"""Errors of a request, each with its code and the status that the client gets."""
 
 from __future__ import annotations
 
 
 class RequestError(Exception):
-    """A request that ends with an answer of our own. ``status`` and ``code`` are fixed by the type."""
+    """A request that ends with an answer of the proxy's own. The type sets ``status`` and ``code``."""
 
     status = 500
     code = "internal"
@@ -14,7 +14,7 @@
 
 
 class Malformed(RequestError):
-    """Bytes that are no request that any usual client sends."""
+    """The bytes are not a request that a usual client sends."""
 
     status, code = 400, "malformed"
 
@@ -26,36 +26,36 @@
 
 
 class TooSlow(RequestError):
-    """The request was not in within the configuration's time."""
+    """The request did not arrive within the configured time."""
 
     status, code = 408, "too_slow"
 
 
 class BodyTooLarge(RequestError):
-    """More than the configuration's ``body_bytes``."""
+    """The body exceeds the configured ``body_bytes``."""
 
     status, code = 413, "body_too_large"
 
 
 class HeadTooLarge(RequestError):
-    """More than the configuration's ``header_bytes``."""
+    """The head exceeds the configured ``header_bytes``."""
 
     status, code = 431, "head_too_large"
 
 
 class NotRun(RequestError):
-    """Given up on before it ran anywhere, and it never will: the client may come back."""
+    """The request was given up before it ran anywhere and will not run; the client may retry."""
 
     status, code = 503, "not_run"
 
 
 class Unknown(RequestError):
-    """It may have run, and no whole answer came."""
+    """The request may have run, and no complete answer arrived."""
 
     status, code = 502, "unknown"
 
 
 class OutOfTime(RequestError):
-    """The client's deadline or the route's time is over; it may have run."""
+    """The client's deadline or the route's time limit has passed; the request may have run."""
 
     status, code = 504, "out_of_time"
--- a/cranebank/dataplane/events_stream.py
+++ b/cranebank/dataplane/events_stream.py
@@ -1,25 +1,26 @@
-"""A stream of events (text/event-stream) cut into whole events, so that only whole ones are passed on."""
+"""Splits a stream of events (text/event-stream) into whole events, so that only whole ones are passed on."""
 
 from __future__ import annotations
 
-MAX_EVENT_BYTES = 1 << 20  # bytes of one unfinished event; an engine's events are some hundred bytes
+MAX_EVENT_BYTES = 1 << 20  # of one unfinished event; an engine's events have some hundred bytes
 
 
 class EventTooLong(Exception):
-    """An event without end; ``code`` is 'event_too_long'."""
+    """An event exceeds the limit. ``code`` is 'event_too_long'."""
 
     code = "event_too_long"
 
 
 class EventSplitter:
-    """Bytes in, whole events out. ``last_id`` is the id of the last whole event; before the first, where to begin."""
+    """Takes bytes and returns whole events. ``last_id`` is the id of the last whole event, or where to begin before the
+    first."""
 
     def __init__(self, last_id: str | None = None) -> None:
         self._rest = b""
         self.last_id = last_id
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events that these bytes complete, as they came. Raises EventTooLong."""
+        """Return the whole events that these bytes complete, unchanged. Raises EventTooLong."""
         held = self._rest + data
         end = max(held.rfind(b"\n\n") + 2, held.rfind(b"\r\n\r\n") + 4)
         if end < 2 or (end < 4 and b"\n\n" not in held):
@@ -36,10 +37,10 @@
         return whole
 
     def take_rest(self) -> bytes:
-        """What is left at the stream's own end."""
+        """Return the unfinished rest at the stream's own end."""
         rest, self._rest = self._rest, b""
         return rest
 
     def drop_rest(self) -> None:
-        """Forget a part of an event: its run has broken off, and the next one brings it whole."""
+        """Drop an unfinished event: its attempt has broken off, and the next one sends it whole."""
         self._rest = b""
--- a/cranebank/dataplane/exchange.py
+++ b/cranebank/dataplane/exchange.py
@@ -1,8 +1,8 @@
-"""One request from a client, from its taking to the one answer: explicit states, no clock, no sockets.
+"""One request from a client, from its arrival to its one answer: explicit states, no clock, no sockets.
 
-``handle(now, event)`` returns what to do, in order. Where the request goes is decided in ``dispatch.py``, how often in
-``attempts.py``, what a backend's answer says in ``backend_answers.py``, and which answer may be given in
-``client_answer.py``.
+``handle(now, event)`` returns the actions to carry out, in order. ``dispatch.py`` decides where the request is sent,
+``attempts.py`` how often, ``backend_answers.py`` classifies a backend's answer, and ``client_answer.py`` decides which
+answer the client may get. A *leg* is one call to one backend (``open_legs.py``).
 """
 
 from __future__ import annotations
@@ -39,17 +39,17 @@
 from cranebank.dataplane.shared import Shared
 from cranebank.invariants import invariant_error
 
-STREAM_SILENCE_TIMEOUT_S = 0.6  # a stream that may be resumed is given up after so long without an event
-MAX_HELD_ANSWER_BYTES = 1 << 20  # of an answer that is held until it is whole
+STREAM_SILENCE_TIMEOUT_S = 0.6  # a resumable stream is given up after so long without an event
+MAX_HELD_ANSWER_BYTES = 1 << 20  # of an answer that is held until it is complete
 
 
 class State(Enum):
-    """Of one request."""
+    """The states of one request."""
 
     NEW = auto()
     PREFILLING = auto()  # a prefill backend reads the prompt
-    DECODING = auto()  # a decode backend has the request; nothing was passed on
-    STREAMING = auto()  # part of the answer was passed on
+    DECODING = auto()  # a decode backend has the request; nothing has been passed on to the client
+    STREAMING = auto()  # part of the answer has been passed on
     OVER = auto()
 
 
@@ -63,10 +63,10 @@
 
 
 class Exchange:
-    """One request. Times in seconds on the steady clock; ``deadline`` is when the client stops waiting.
+    """One request. Times are in seconds on the steady clock; ``deadline`` is when the client stops waiting.
 
-    ``last_event_id``: where the client itself resumes a stream; it goes to the backend by a leg's own header, of which
-    there must be one only: a later run must not begin where the client's own try did.
+    ``last_event_id`` is where the client itself resumes a stream. It is sent to the backend in a header of the leg's
+    own. There must be only one such header: a later attempt must not begin where the client's own attempt did.
     """
 
     __slots__ = (
@@ -106,7 +106,7 @@
         self._actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event; return what to do, in order."""
+        """Process one event; return the actions to carry out, in order."""
         self._actions = []
         if self.state is State.OVER:
             return self._actions
@@ -126,7 +126,7 @@
                 self._wake(now)
             case ClientGone():
                 self._shared.count("clients_gone")
-                self._over(now)
+                self._close(now)
         self._check()
         if not self.is_over:
             self._actions.append(WakeAt(self._legs.next_silence(self._until)))
@@ -134,10 +134,10 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether the one answer is given."""
+        """Return whether the client has got its one answer."""
         return self.state is State.OVER
 
-    def _change(self, state: State) -> None:
+    def _enter_state(self, state: State) -> None:
         if state not in TRANSITIONS[self.state]:
             raise invariant_error("states of a request follow one another", f"{self.state} to {state}")
         self.state = state
@@ -150,7 +150,7 @@
         self._attempts.check()
 
     def _send_next(self, now: float) -> None:
-        """Send the request on; where that can't be, end."""
+        """Send the request to a backend, or end it if that is not possible."""
         self._send_or_give_up(now, self._dispatch.next_call(now))
 
     def _send_or_give_up(self, now: float, call: Call | None) -> None:
@@ -161,16 +161,16 @@
         if leg is None:
             raise invariant_error("a planned call has its leg")
         if leg.is_prefill:
-            self._change(State.PREFILLING)
+            self._enter_state(State.PREFILLING)
         elif self.state is not State.STREAMING:
-            self._change(State.DECODING)
+            self._enter_state(State.DECODING)
         self._actions.append(call)
 
     def _abort(self, now: float, leg: Leg) -> None:
         self._legs.close(now, leg)
         self._actions.append(Abort(leg.number))
 
-    # What legs say. None is a leg that is over already.
+    # Events of legs. ``leg`` is None for a leg that has already ended.
 
     def _head(self, now: float, leg: Leg | None, status: int, headers: dict[str, str]) -> None:
         if leg is None:
@@ -179,7 +179,7 @@
         self._shared.candidates.answered(now, leg.view.backend.id)
         if leg.is_prefill:
             return
-        read = self._legs.mark_prompt_read(now, leg)
+        read_tokens = self._legs.mark_prompt_read(now, leg)
         kind = kind_of(status, headers)
         if kind is not AnswerKind.REJECTED:
             self._answer.may_have_run = True
@@ -189,9 +189,9 @@
         for other in self._legs:
             if other is not leg:
                 self._abort(now, other)
-        if read:
-            self._shared.choices.pairs.latency(self._service, "decode").learn(read, (now - leg.sent_at) * 1e3)
-            self._report_cached_prefix(leg, read)
+        if read_tokens:
+            self._shared.choices.pairs.latency(self._service, "decode").learn(read_tokens, (now - leg.sent_at) * 1e3)
+            self._report_cached_prefix(leg, read_tokens)
 
     def _data(self, now: float, leg: Leg | None, data: bytes) -> None:
         if leg is None:
@@ -214,7 +214,7 @@
     def _pass(self, actions: Iterable[Action]) -> None:
         self._actions += actions
         if self._answer.is_begun and self.state is not State.STREAMING:
-            self._change(State.STREAMING)
+            self._enter_state(State.STREAMING)
 
     def _end(self, now: float, leg: Leg | None) -> None:
         if leg is None:
@@ -225,12 +225,12 @@
         elif leg.answering:
             self._pass(self._answer.finish(leg))
             self._shared.count("served")
-            self._over(now)
+            self._close(now)
         else:
             self._failure_ended(now, leg)
 
     def _failure_ended(self, now: float, leg: Leg) -> None:
-        """An answer that is no success is whole."""
+        """Process the end of an answer that is not a success."""
         kind = kind_of(leg.status, leg.headers)
         if kind is AnswerKind.REJECTED:
             self._rejected(now, leg)
@@ -241,10 +241,10 @@
         else:
             self._actions += self._answer.pass_failure(leg)
             self._shared.count("failed_there")
-            self._over(now)
+            self._close(now)
 
     def _prefill_ended(self, now: float, leg: Leg) -> None:
-        """The answer of a reading is whole."""
+        """Process the end of the answer to a prefill."""
         backend = leg.view.backend
         handle = handle_in(leg.body) if leg.status == 200 else ""
         if handle:
@@ -263,18 +263,19 @@
         self._send_next(now)
 
     def _report_cached_prefix(self, leg: Leg, tokens: int) -> None:
-        """A backend has read so many tokens: where shared ones were among them, others want to know."""
-        prompt, tell = self._prompt, self._shared.on_prefix_cached
-        if tell is not None and prompt.home_key and tokens > prompt.tokens - prompt.shared_tokens:
-            tell(leg.view.backend.id, prompt.home_key, prompt.shared_tokens)
+        """Report to other proxies that a decode backend has read this many tokens, if a shared prefix was among
+        them."""
+        prompt, report = self._prompt, self._shared.on_prefix_cached
+        if report is not None and prompt.home_key and tokens > prompt.tokens - prompt.shared_tokens:
+            report(leg.view.backend.id, prompt.home_key, prompt.shared_tokens)
 
     def _rejected(self, now: float, leg: Leg) -> None:
-        """A backend said that it did not run the request."""
+        """Process an answer by which a backend rejects the request without running it."""
         self._shared.count("rejected")
         self._dispatch.without.add(leg.view.backend.id)
         if leg.status == MISDIRECTED:
             self._shared.candidates.failed(now, leg.view.backend.id)
-        if not self._legs:  # else another copy is out
+        if not self._legs:  # otherwise another copy is in flight
             self._send_next(now)
 
     def _failed(self, now: float, leg: Leg | None, evidence: SendEvidence) -> None:
@@ -295,7 +296,7 @@
             self._retry_or_give_up(now, leg)
 
     def _unsent(self, now: float, leg: Leg) -> None:
-        """A call never left us."""
+        """Process the failure of a call that was never sent."""
         self._attempts.unsent(leg.is_prefill, leg.is_counted)
         self._dispatch.unsent(now, leg)
         if self._attempts.has_too_many_unsent:
@@ -303,17 +304,17 @@
         elif not self._legs:
             self._send_next(now)
 
-    # Another run.
+    # Further attempts.
 
     def _may_repeat_run(self) -> bool:
         return self._route.repeatable and self._attempts.are_left and self._answer.can_continue
 
     def _can_retry(self, now: float) -> bool:
-        """Whether there is what another run needs: a try, budget, and somebody to run it."""
+        """Return whether another attempt is possible: the route's tries, the retry budget and a backend allow it."""
         return self._may_repeat_run() and self._dispatch.can_retry(now)
 
     def _retry_or_give_up(self, now: float, leg: Leg) -> None:
-        """A run that may have begun has come to nothing."""
+        """Process the failure of an attempt that may have begun to run."""
         self._dispatch.without.add(leg.view.backend.id)
         self._answer.drop_rest()
         if self._legs:
@@ -330,42 +331,43 @@
             return
         for leg in self._legs:
             if leg.silent_at is not None and now >= leg.silent_at:
-                self._silent(now, leg)
+                self._on_silence(now, leg)
 
-    def _silent(self, now: float, leg: Leg) -> None:
+    def _on_silence(self, now: float, leg: Leg) -> None:
         leg.silent_at = None
         self._shared.count("silent")
         self._shared.candidates.failed(now, leg.view.backend.id, may_be_down=True)
         self._dispatch.without.add(leg.view.backend.id)
         if leg.is_prefill and not self._attempts.has_try_for_prefill():
-            return  # no other may read it, and a maker that reads it holds up its other requests: late is better
+            # The prefill cannot be repeated, and a decode backend that did it would delay its streams: late is better
+            return
         if leg.is_prefill:
             self._abort(now, leg)
             self._send_next(now)
         elif not self._can_retry(now):
-            return  # its silence alone gives no reason to end it
+            return  # silence alone is no reason to end it
         elif leg.answering:
             self._abort(now, leg)
             self._retry_or_give_up(now, leg)
         else:
-            self._send_next(now)  # a second copy beside the first; whoever answers first is passed on
+            self._send_next(now)  # a second copy beside the first; the first one to answer is passed on
 
-    # Ends.
+    # Ends of the request.
 
     def _give_up(self, now: float) -> None:
-        """Nothing more can be tried."""
-        if not self._legs:  # else a copy is out still
+        """End the request: no further attempt is possible."""
+        if not self._legs:  # otherwise a copy is still in flight
             self._finish_with(now, self._answer.give_up())
 
     def _finish_with(self, now: float, end: Break | Reply) -> None:
         self._shared.count("broken_off" if isinstance(end, Break) else f"replied_{end.error.status}")
         self._actions.append(end)
-        self._over(now)
+        self._close(now)
 
-    def _over(self, now: float) -> None:
+    def _close(self, now: float) -> None:
         for leg in self._legs:
             self._abort(now, leg)
         handle, self._dispatch.handle = self._dispatch.handle, None
         if handle is not None:
             self._actions.append(Free(handle.backend, handle.name))
-        self._change(State.OVER)
+        self._enter_state(State.OVER)
--- a/cranebank/dataplane/exchange_events.py
+++ b/cranebank/dataplane/exchange_events.py
@@ -1,4 +1,4 @@
-"""What an exchange is told, and what it has its asyncio end do. A *leg* is one call to one backend."""
+"""The events that an exchange handles, and the actions that it returns. A *leg* is one call to one backend."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Begin(msgspec.Struct, frozen=True):
-    """The whole request is in."""
+    """The request has arrived completely."""
 
 
 class LegHead(msgspec.Struct, frozen=True):
-    """The head of a leg's answer; names in lower case."""
+    """The head of a leg's answer has arrived; header names are in lower case."""
 
     leg: int
     status: int
@@ -22,47 +22,47 @@
 
 
 class LegData(msgspec.Struct, frozen=True):
-    """Part of its body."""
+    """Part of the body of a leg's answer has arrived."""
 
     leg: int
     data: bytes
 
 
 class LegEnd(msgspec.Struct, frozen=True):
-    """The answer is whole."""
+    """A leg's answer is complete."""
 
     leg: int
 
 
 class LegFailed(msgspec.Struct, frozen=True):
-    """No whole answer comes any more. ``evidence`` tells whether the backend may have got the request."""
+    """A leg will get no complete answer. ``evidence`` states whether the backend may have received the request."""
 
     leg: int
     evidence: SendEvidence
 
 
 class Wake(msgspec.Struct, frozen=True):
-    """The time asked for by WakeAt."""
+    """The time set by WakeAt has come."""
 
 
 class ClientGone(msgspec.Struct, frozen=True):
-    """Nobody waits for the answer any more."""
+    """The client has disconnected."""
 
 
 Event = Begin | LegHead | LegData | LegEnd | LegFailed | Wake | ClientGone
 
 
 class Call(msgspec.Struct, frozen=True):
-    """Send the request to a backend, with these headers besides."""
+    """Send the request to a backend, with these additional headers."""
 
     leg: int
     backend: Backend
     headers: tuple[tuple[str, str], ...]
-    permitted_until: float = 0.0  # when a call to a cold backend must have been written
+    permitted_until: float = 0.0  # until when a call to a cold backend may be written
 
 
 class Abort(msgspec.Struct, frozen=True):
-    """Break a leg off; nothing of it is wanted any more."""
+    """Abort a leg and drop whatever still arrives for it."""
 
     leg: int
 
@@ -85,25 +85,25 @@
 
 
 class Break(msgspec.Struct, frozen=True):
-    """End the client's connection so that the answer doesn't look complete."""
+    """Close the client's connection in such a way that the answer does not look complete."""
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """An answer of our own."""
+    """Send an answer of the proxy's own."""
 
     error: RequestError
     retry_after_s: float | None = None
 
 
 class Free(msgspec.Struct, frozen=True):
-    """Free the memory of a reading that nobody will take."""
+    """Free the KV cache of a prefill that no decode backend will fetch."""
 
     backend: Backend
     handle: str
 
 
 class WakeAt(msgspec.Struct, frozen=True):
-    """Wake me at this time at the latest; replaces an earlier one."""
+    """Send a Wake event at this time at the latest; replaces an earlier one."""
 
     at: float
 
--- a/cranebank/dataplane/open_legs.py
+++ b/cranebank/dataplane/open_legs.py
@@ -1,4 +1,4 @@
-"""The calls of one request that are out, and what they add to the figures of their backends."""
+"""The legs of one request. A leg is one call to one backend; while open, it counts in the loads of its backend."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Handle(msgspec.Struct, frozen=True):
-    """A prompt's memory at the backend that read it."""
+    """A prompt's KV cache, held by the prefill backend that read it."""
 
     backend: Backend
     name: str
@@ -20,7 +20,7 @@
 
 
 class Leg:
-    """One call that is out."""
+    """One open call to a backend."""
 
     __slots__ = (
         "answering",
@@ -46,18 +46,18 @@
         self.number, self.view, self.tokens, self.is_prefill = number, view, tokens, is_prefill
         self.found_idle = not view.calls and not view.others_calls  # as far as this proxy and its neighbours know
         self.sent_at, self.silent_at = now, silent_at
-        self.ticket: Ticket | None = None  # of a reading, in the queue of its backend
-        self.prefill_load_s = 0.0  # that it counts for in the load of its service
+        self.ticket: Ticket | None = None  # of a prefill, in the queue of its backend
+        self.prefill_load_s = 0.0  # what it adds to the prefill load of its service
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b""
         self.answering = False
-        self.is_counted = not is_prefill  # it takes one of the route's tries
-        self.handle: Handle | None = None  # that it takes
+        self.is_counted = not is_prefill  # whether it takes one of the route's tries
+        self.handle: Handle | None = None  # the KV cache that this call fetches
 
 
 class OpenLegs:
-    """One request's legs, by number; numbers are never used again."""
+    """The open legs of one request, by number. Numbers are not reused."""
 
     __slots__ = ("_legs", "_opened")
 
@@ -69,20 +69,20 @@
         return len(self._legs)
 
     def __iter__(self) -> Iterator[Leg]:
-        """Those that are out now, whatever is opened or closed meanwhile."""
+        """Iterate over the legs that are open now, whatever is opened or closed meanwhile."""
         return iter(list(self._legs.values()))
 
     @property
     def runs(self) -> int:
-        """How many are out that run the request, and don't only read its prompt."""
+        """Return the number of open legs that run the request, prefills not counted."""
         return sum(not leg.is_prefill for leg in self._legs.values())
 
     def get(self, number: int) -> Leg | None:
-        """A leg, if it is still out."""
+        """Return a leg if it is still open."""
         return self._legs.get(number)
 
     def open(self, now: float, view: BackendView, tokens: int, is_prefill: bool, silent_s: float | None) -> Leg:
-        """A call goes out; ``silent_s`` from now without a word it counts as silent."""
+        """Open a leg. It counts as silent ``silent_s`` from now unless an answer has begun."""
         self._opened += 1
         silent_at = None if silent_s is None else now + silent_s
         leg = self._legs[self._opened] = Leg(self._opened, view, tokens, is_prefill, now, silent_at)
@@ -92,21 +92,21 @@
         return leg
 
     def mark_prompt_read(self, now: float, leg: Leg) -> int:
-        """Its backend has read the prompt: how many tokens count as read no longer."""
+        """Record that the backend has read the prompt; return the tokens that no longer count as load."""
         tokens, leg.tokens = leg.tokens, 0
         leg.view.tokens -= tokens
         leg.view.load_changed_at = now
         return tokens
 
     def close(self, now: float, leg: Leg) -> None:
-        """A call is over."""
+        """Close a leg."""
         self._legs.pop(leg.number, None)
         leg.view.calls -= 1
         leg.view.tokens -= leg.tokens
         leg.view.load_changed_at = now
 
     def next_silence(self, until: float) -> float:
-        """When the first of them counts as silent, ``until`` at the latest."""
+        """Return when the first leg will count as silent, ``until`` at the latest."""
         for leg in self._legs.values():
             if leg.silent_at is not None and leg.silent_at < until:
                 until = leg.silent_at
--- a/cranebank/dataplane/shared.py
+++ b/cranebank/dataplane/shared.py
@@ -1,4 +1,4 @@
-"""What all requests of a proxy share."""
+"""The state that all requests of a proxy share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Shared(msgspec.Struct):
-    """What all requests of a proxy share."""
+    """The state that all requests of a proxy share."""
 
     candidates: Candidates
     choices: Choices
@@ -23,9 +23,10 @@
     budget: Callable[[str], Budget]
     counters: dict[str, int]
     load: OfferedLoad = msgspec.field(default_factory=OfferedLoad)
-    on_prefix_cached: Callable[[str, str, int], None] | None = None  # backend, last long shared part, tokens up to it
+    # Backend, last part of the shared prefix, tokens up to it
+    on_prefix_cached: Callable[[str, str, int], None] | None = None
     on_prefill_begun: Callable[[PrefillBegun], None] | None = None
 
     def count(self, name: str, more: int = 1) -> None:
-        """One more of something, or so many."""
+        """Increase a counter."""
         self.counters[name] = self.counters.get(name, 0) + more
