--- a/cranebank/dataplane/__init__.py
+++ b/cranebank/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""Requests from clients to pairs of backends: routes, choice, streams, retries."""
+"""The data plane: sends clients' requests to backends. Routes, choice of backends, streams and retries."""
--- a/cranebank/dataplane/backend_connections.py
+++ b/cranebank/dataplane/backend_connections.py
@@ -1,8 +1,8 @@
-"""Connections to backends: HTTP/1.1, one request at a time on each, never used again once in doubt.
+"""Connections to backends: HTTP/1.1, one request at a time on each, closed as soon as their state is in doubt.
 
-An answer is known by the ``X-Attempt-Id`` that it echoes: one answer too many, in the spot where the next is due, is
-read to its end and dropped. Bytes behind an answer, or on an idle connection, end the connection. An answer that names
-no attempt is taken only where no answer to an earlier call on the connection could look the same.
+An answer is identified by the ``X-Attempt-Id`` that it echoes. A surplus answer, where the next call's is due, is read
+to its end and dropped. Bytes after an answer, or on an idle connection, close the connection. An answer without an id
+is accepted only if no answer to an earlier call on the connection could look the same.
 """
 
 from __future__ import annotations
@@ -20,40 +20,41 @@
 from cranebank.http.socket_state import readable
 from cranebank.transport.messages import Backend
 
-CONNECT_TIMEOUT_S = 0.3  # many times the way between zones; a backend that has gone dark costs a request no more
-TCP_USER_TIMEOUT_MS = 1000  # bytes that a silent machine has not acknowledged for so long end the connection
-REUSE_DELAY_S = 0.005  # before a connection is used again: what belongs to no answer comes right behind it
-DEFAULT_IDLE_S = 4.0  # kept idle where a backend names no time
-IDLE_CLOSE_MARGIN_S = 0.6  # closed so much before the backend would: a request must not cross its end
+# Many times the latency between zones; a request loses no more than this on an unreachable backend.
+CONNECT_TIMEOUT_S = 0.3
+TCP_USER_TIMEOUT_MS = 1000  # a connection is closed if bytes stay unacknowledged for so long
+REUSE_DELAY_S = 0.005  # before a connection is reused: bytes that belong to no answer arrive right after one
+DEFAULT_IDLE_S = 4.0  # idle time of a connection if the backend announces none
+IDLE_CLOSE_MARGIN_S = 0.6  # closed so long before the backend would close it, so that no request crosses the close
 MAX_ANSWER_BYTES = 64 << 20
 SWEEP_INTERVAL_S = 0.5
 HIGH_WATER = 256 << 10
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d{3}")
-FREE_TIMEOUT_S = 2.0  # a backend that does not confirm the freeing of a handle for so long gets its connection closed
+FREE_TIMEOUT_S = 2.0  # a connection is closed if the backend does not confirm the freeing of a handle for so long
 
 
 class Listener(Protocol):
-    """Who made a call. None of these is called any more after ``abort``."""
+    """The receiver of a call's answer. None of these methods is called after ``abort``."""
 
     def leg_head(self, leg: int, status: int, headers: dict[str, str]) -> None:
-        """The head of the answer."""
+        """The head of the answer has arrived."""
 
     def leg_data(self, leg: int, data: bytes) -> None:
-        """Part of its body."""
+        """Part of the body has arrived."""
 
     def leg_end(self, leg: int) -> None:
-        """It is whole."""
+        """The answer is complete."""
 
     def leg_failed(self, leg: int, evidence: SendEvidence) -> None:
-        """It can't come any more."""
+        """No complete answer will arrive."""
 
 
 class NoConnectionFree(ConnectionError):
-    """All connections that this proxy may have to a backend are in use."""
+    """All connections that this proxy may open to a backend are in use."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a backend, at the address that it had then."""
+    """One connection to a backend, at the address that it had when the connection was opened."""
 
     def __init__(self, pool: Pool, backend: Backend) -> None:
         self._pool, self.backend = pool, backend
@@ -62,10 +63,10 @@
         self._leg = 0
         self.idle_from, self.idle_for = 0.0, DEFAULT_IDLE_S
         self._busy = self._done = self._is_other_attempt = False
-        self._all_identified = True  # all earlier calls on this connection carried an attempt's id
+        self._all_identified = True  # whether all earlier calls on this connection carried an attempt id
 
     def call(self, listener: Listener, leg: int, attempt: str, request: bytes, is_head: bool = False) -> None:
-        """Send a request; the listener hears of its answer. ``is_head``: it is a HEAD, whose answer has no body."""
+        """Send a request; the listener gets its answer. ``is_head``: it is a HEAD, whose answer has no body."""
         assert self.transport is not None
         self._listener, self._leg, self._attempt, self._is_head = listener, leg, attempt, is_head
         self._parser = httptools.HttpResponseParser(self)
@@ -77,23 +78,23 @@
         self.transport.write(request)
 
     def abort(self) -> None:
-        """Nothing more is wanted of it."""
+        """Close the connection; its listener gets no further calls."""
         self._listener = None
         self._close()
 
     def give_up(self, listener: Listener) -> None:
-        """End it where this listener's answer still hasn't come."""
+        """Close the connection if this listener's answer has not arrived."""
         if self._listener is listener:
             self.abort()
 
     def usable(self) -> bool:
-        """Idle, and nothing has come since its last answer."""
+        """Return whether the connection is idle and nothing has arrived since its last answer."""
         if self.transport is None or self.transport.is_closing() or self._busy:
             return False
         return not readable(self.transport.get_extra_info("socket"))
 
     def pause(self, paused: bool) -> None:
-        """Hold the backend up while the client reads slowly."""
+        """Pause or resume reading, so that the backend is slowed down while the client reads slowly."""
         if self.transport is not None and not self.transport.is_closing():
             with contextlib.suppress(RuntimeError):
                 (self.transport.pause_reading if paused else self.transport.resume_reading)()
@@ -103,18 +104,18 @@
         if self.transport is not None:
             self.transport.abort()
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by inheritance
+        """The connection is established."""
+        transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
         self.transport = transport
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Part of an answer, or what belongs to none."""
+        """Part of an answer, or bytes that belong to none."""
         if not self._busy:
             self._close()
             return
@@ -128,7 +129,7 @@
             return
         if self._done:
             self._busy = False
-            if self._keep and not self._extra and self._is_all_sent():
+            if self._keep and not self._is_surplus and self._is_all_sent():
                 self._pool.give_back(self)
             else:
                 self._close()
@@ -137,18 +138,18 @@
             self._close()
 
     def _is_all_sent(self) -> bool:
-        """Whether no byte of the request waits behind an answer that came before the request was in."""
+        """Return whether the whole request has been sent. An answer may arrive earlier than that."""
         return self.transport is not None and not self.transport.get_write_buffer_size()
 
     def eof_received(self) -> None:
-        """The backend has ended it in order: the end of an answer without a length."""
+        """The backend has closed its side in order, which ends an answer without a length."""
         if self._busy and not self._done and self._until_close:
             self._done = True
             if self._listener is not None:
                 self._listener.leg_end(self._leg)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
+        """The connection is closed."""
         self._pool.forget(self)
         if self._busy and not self._done:
             self._fail()
@@ -160,42 +161,42 @@
         if listener is not None:
             listener.leg_failed(self._leg, SendEvidence.WRITTEN)
 
-    # What the parser calls. An error raised here ends the parsing.
+    # Callbacks of the parser. An error raised in one ends the parsing.
 
-    _keep = _extra = _until_close = _in_head = False
+    _keep = _is_surplus = _until_close = _in_head = False
     _status = 0
 
     def on_message_begin(self) -> None:
-        """An answer begins, the first or one too many."""
-        self._extra = self._done
+        """An answer begins: the expected or a surplus one."""
+        self._is_surplus = self._done
         self._in_head = not self._done
         if not self._done:
             self._headers = {}
 
     def on_status(self, reason: bytes) -> None:
-        """The reason behind the status."""
+        """The reason phrase behind the status."""
         _check_no_status_line(reason)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field of the head; those behind a chunked body say nothing about the answer."""
+        """One field of the head. Trailer fields behind a chunked body say nothing about the answer."""
         if self._in_head:
-            _check_no_status_line(value)  # no name can hold one: its slash is none of a name's letters
+            _check_no_status_line(value)  # a field's name can hold none, as it may contain no slash
             self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """The head is there."""
+        """The head is complete."""
         if self._done:
             return
         self._in_head = False
         self._status = self._parser.get_status_code()
         if self._status < 200:
             if self._status == 101:
-                raise ValueError("a change of protocol that nobody asked for")
+                raise ValueError("unrequested change of protocol")
             return
-        named = self._headers.get("x-attempt-id")
-        if named is None and not self._accepts_unidentified:
-            raise ValueError("an answer that may belong to an earlier call")
-        self._is_other_attempt = named is not None and named != self._attempt
+        answer_attempt = self._headers.get("x-attempt-id")
+        if answer_attempt is None and not self._accepts_unidentified:
+            raise ValueError("answer without an attempt id may belong to an earlier call")
+        self._is_other_attempt = answer_attempt is not None and answer_attempt != self._attempt
         if self._is_other_attempt:
             return
         self._until_close = (
@@ -206,7 +207,7 @@
         if self._listener is not None:
             self._listener.leg_head(self._leg, self._status, self._headers)
         if self._is_head:
-            self._finish(keep=False)  # the parser can't be told that no body follows
+            self._finish(keep=False)  # the parser cannot be told that no body follows
 
     def on_body(self, body: bytes) -> None:
         """Part of the body."""
@@ -214,7 +215,7 @@
             self._listener.leg_data(self._leg, body)
 
     def on_message_complete(self) -> None:
-        """The answer is whole, or one ahead of it."""
+        """The answer, or a surplus one before it, is complete."""
         if self._done or self._status < 200:
             return
         if self._is_other_attempt:
@@ -223,7 +224,7 @@
         self._finish(self._parser.should_keep_alive())
 
     def _finish(self, keep: bool) -> None:
-        """The answer is whole. ``keep``: the connection may be used again."""
+        """Process the end of the answer. ``keep``: the connection may be reused."""
         self._done, self._keep = True, keep
         self.idle_for = _idle_for(self._headers)
         listener, self._listener = self._listener, None
@@ -232,13 +233,14 @@
 
 
 def _check_no_status_line(text: bytes) -> None:
-    """Raises ValueError for a head that runs into another: late bytes of an earlier answer, cut within a line."""
+    """Raise ValueError if a head holds a status line: late bytes of an earlier answer, cut within a line, came
+    first."""
     if b"HTTP/1." in text and STATUS_LINE.search(text):
-        raise ValueError("an answer within the head of another")
+        raise ValueError("status line within the head of an answer")
 
 
 def _idle_for(headers: dict[str, str]) -> float:
-    """Seconds for which a connection may be kept idle."""
+    """Return the seconds for which a connection may stay idle."""
     for part in headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdigit():
@@ -247,7 +249,7 @@
 
 
 class Pool:
-    """All connections to backends, with a bound for each backend."""
+    """All connections to backends, with a limit for each backend."""
 
     def __init__(self, counters: dict[str, int], local_ip: str = "") -> None:
         self._idle: dict[str, list[Connection]] = {}  # the one used last at the end
@@ -259,15 +261,15 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def take(self, backend: Backend) -> Connection | None:
-        """An idle connection that has rested, or none."""
+        """Return an idle connection that has waited long enough to be reused, or None."""
         now = asyncio.get_running_loop().time()
-        held = self._idle.get(backend.id, [])
-        resting: list[Connection] = []
+        connections = self._idle.get(backend.id, [])
+        too_recent: list[Connection] = []
         found = None
-        while held and found is None:
-            connection = held.pop()
+        while connections and found is None:
+            connection = connections.pop()
             if now - connection.idle_from < REUSE_DELAY_S:
-                resting.append(connection)
+                too_recent.append(connection)
             elif (
                 now - connection.idle_from < connection.idle_for
                 and connection.backend.address == backend.address
@@ -276,17 +278,17 @@
                 found = connection
             else:
                 connection.abort()
-        held.extend(reversed(resting))
+        connections.extend(reversed(too_recent))
         return found
 
     async def dial(self, backend: Backend) -> Connection:
-        """A new connection. Raises OSError where it isn't up in time or there may be no more."""
-        held = self._all.setdefault(backend.id, set())
-        if len(held) >= self.max_connections(backend):
+        """Open a connection. Raises OSError if it is not established in time or the limit is reached."""
+        connections = self._all.setdefault(backend.id, set())
+        if len(connections) >= self.max_connections(backend):
             raise NoConnectionFree("all connections to this backend are in use")
         host, _, port = backend.address.rpartition(":")
         connection = Connection(self, backend)
-        held.add(connection)
+        connections.add(connection)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: connection, host, int(port))
@@ -310,12 +312,12 @@
             self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def forget(self, connection: Connection) -> None:
-        """It is over."""
+        """Remove a closed connection."""
         key = connection.backend.id
-        held = self._all.get(key)
-        if held is not None:
-            held.discard(connection)
-            if not held:
+        connections = self._all.get(key)
+        if connections is not None:
+            connections.discard(connection)
+            if not connections:
                 del self._all[key]
         idle = self._idle.get(key)
         if idle is not None and connection in idle:
@@ -329,34 +331,34 @@
             connection.abort()
 
     def free(self, backend: Backend, handle: str) -> None:
-        """Free the memory of a reading that nobody takes; best effort, over an idle connection."""
+        """Free the KV cache of a prefill that no decode backend will fetch; best effort, over an idle connection."""
         connection = self.take(backend)
         if connection is None:
             return
-        nobody = _NullListener()
+        listener = _NullListener()
         request = f"DELETE /api/kv-handle/{handle} HTTP/1.1\r\nHost: {backend.address}\r\n\r\n"
-        connection.call(nobody, 0, "", request.encode())
-        asyncio.get_running_loop().call_later(FREE_TIMEOUT_S, connection.give_up, nobody)
+        connection.call(listener, 0, "", request.encode())
+        asyncio.get_running_loop().call_later(FREE_TIMEOUT_S, connection.give_up, listener)
 
     def _sweep(self) -> None:
         now = asyncio.get_running_loop().time()
-        for held in list(self._idle.values()):
-            for connection in [c for c in held if now - c.idle_from >= c.idle_for]:
+        for connections in list(self._idle.values()):
+            for connection in [c for c in connections if now - c.idle_from >= c.idle_for]:
                 connection.abort()
         self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep) if self._idle else None
 
 
 class _NullListener:
-    """Whose answer nobody waits for."""
+    """The listener of a call whose answer is ignored."""
 
     def leg_head(self, leg: int, status: int, headers: dict[str, str]) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def leg_data(self, leg: int, data: bytes) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def leg_end(self, leg: int) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def leg_failed(self, leg: int, evidence: SendEvidence) -> None:
-        """Nothing."""
+        """Do nothing."""
--- a/cranebank/dataplane/client_request.py
+++ b/cranebank/dataplane/client_request.py
@@ -1,7 +1,7 @@
-"""Reads one HTTP/1.1 request at a time from a client's bytes, within the configuration's limits.
+"""Parses HTTP/1.1 requests, one at a time, from a client's bytes within the configured limits.
 
-Requests that could be understood in two ways (two lengths, a field twice, bytes of another request in the same segment)
-are refused: no backend may see a request that its client did not send.
+Ambiguous requests (two lengths, a field twice, bytes of another request in the same segment) are refused: no backend
+may get a request that its client did not send.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 from cranebank.dataplane.http_fields import HOP_BY_HOP
 from cranebank.dataplane.routes import ClientLimits
 
-SINGLE_FIELDS = frozenset({"content-length", "transfer-encoding", "host", "x-attempt-id"})  # once in a head at most
+SINGLE_FIELDS = frozenset({"content-length", "transfer-encoding", "host", "x-attempt-id"})  # at most once in a head
 UNFORWARDED = HOP_BY_HOP | {"content-length", "expect"}
-FIELD_OVERHEAD_BYTES = 4  # of a field's line: colon, space and line end
+FIELD_OVERHEAD_BYTES = 4  # per field line: colon, space and line end
 
 
 class ClientRequest(msgspec.Struct):
-    """One whole request; ``headers`` as they came, but for those of a single connection; ``named``: lower case."""
+    """One complete request. ``headers``: as received, without hop-by-hop fields; ``named``: all fields by lower-case
+    name."""
 
     method: str
     target: str
@@ -34,7 +35,8 @@
 
 
 class RequestParser:
-    """The requests on one connection. ``on_expect`` is called when a client waits for leave to send its body."""
+    """Parses the requests of one connection. ``on_expect`` is called if a client waits for 100 Continue before it sends
+    the body."""
 
     def __init__(self, limits: Callable[[], ClientLimits], on_expect: Callable[[], None]) -> None:
         self._limits, self._on_expect = limits, on_expect
@@ -51,9 +53,10 @@
         self._error: RequestError | None = None
 
     def feed(self, data: bytes, begun: float) -> ClientRequest | None:
-        """Take bytes; the request that they complete, if any. Raises RequestError: nothing more can be read.
+        """Parse bytes; return the request that they complete, if any. Raises RequestError, after which nothing more can
+        be parsed.
 
-        ``begun``: when the request's first byte came, in seconds of the steady clock.
+        ``begun``: when the request's first byte arrived, in seconds on the steady clock.
         """
         try:
             self._parser.feed_data(data)
@@ -65,7 +68,7 @@
             return self._take(begun)
         self._fed_bytes += len(data)
         if not self._is_head_done and self._fed_bytes > self._limits().header_bytes:
-            raise HeadTooLarge  # the parser tells of a field only once it has ended
+            raise HeadTooLarge  # the parser reports a field only once it has ended
         return None
 
     def _cause(self, error: httptools.HttpParserError) -> RequestError:
@@ -86,20 +89,20 @@
         self._reset()
         return request
 
-    # What httptools calls. An error raised here ends the parsing.
+    # Callbacks of httptools. An error raised in one ends the parsing.
 
     def on_message_begin(self) -> None:
-        """A request begins, whose bytes may not stand in one segment with those of another."""
+        """A request begins. Its bytes may not share a segment with those of another."""
         if self._is_whole:
             raise Malformed("a request in the bytes of another")
 
     def on_url(self, url: bytes) -> None:
-        """Part of the target."""
+        """Part of the request target."""
         self._target += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field of the head; those behind a chunked body are counted and dropped."""
+        """One field of the head. Trailer fields behind a chunked body are counted and dropped."""
         self._count_head(len(name) + len(value) + FIELD_OVERHEAD_BYTES)
         if self._is_head_done:
             return
@@ -112,7 +115,7 @@
             self._headers.append((key, text))
 
     def on_headers_complete(self) -> None:
-        """The head is there."""
+        """The head is complete."""
         self._is_head_done = True
         named = self._named
         if "content-length" in named and "transfer-encoding" in named:
@@ -133,7 +136,7 @@
             self._fail(BodyTooLarge())
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """The request is complete."""
         self._is_whole = True
 
     def _count_head(self, size: int) -> None:
--- a/cranebank/dataplane/client_response.py
+++ b/cranebank/dataplane/client_response.py
@@ -1,4 +1,4 @@
-"""How one answer goes to a client on the wire: its head, its body by length or in chunks, and its end. Free of I/O."""
+"""Frames an answer to a client: its head, its body by length or in chunks, and its end. Free of I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ResponseFraming:
-    """The answer to one request. ``keeps_connection`` falls where the answer's end is the connection's end."""
+    """The answer to one request. ``keeps_connection`` becomes false if the answer ends with the connection."""
 
     __slots__ = (
         "_is_bodiless",
@@ -25,7 +25,7 @@
     )
 
     def __init__(self, *, keeps_connection: bool, is_http_1_0: bool, to_head_request: bool) -> None:
-        """``to_head_request``: the request was a HEAD, whose answer has no body."""
+        """``to_head_request``: the request is a HEAD, whose answer has no body."""
         self.keeps_connection, self._is_http_1_0 = keeps_connection, is_http_1_0
         self._to_head_request = to_head_request
         self.has_head = False
@@ -34,11 +34,11 @@
 
     @property
     def is_short(self) -> bool:
-        """Whether fewer bytes than the head promised have gone out."""
+        """Return whether fewer bytes have been sent than the head announced."""
         return bool(self._left) and not self._is_bodiless
 
     def head(self, status: int, headers: dict[str, str], *, closing: bool) -> bytes:
-        """The head of a backend's answer; its body follows with ``frame`` and ``tail``."""
+        """Return the head of a backend's answer; its body follows with ``frame`` and ``tail``."""
         if self.has_head:
             raise invariant_error("one head a response")
         self.has_head = True
@@ -70,7 +70,7 @@
         return []
 
     def frame(self, data: bytes) -> bytes:
-        """Part of the body as it goes on the wire."""
+        """Return part of the body as it is sent."""
         if not self.has_head:
             raise invariant_error("a body follows its head")
         if not data or self._is_bodiless:
@@ -82,13 +82,13 @@
         return b"%x\r\n%b\r\n" % (len(data), data) if self._is_chunked else data
 
     def tail(self) -> bytes:
-        """The end of the body."""
+        """Return the end of the body."""
         if not self.has_head:
             raise invariant_error("an end follows its head")
         return b"0\r\n\r\n" if self._is_chunked else b""
 
     def own_reply(self, error: RequestError, retry_after_s: float | None, *, closing: bool) -> bytes:
-        """A whole answer of the proxy's own."""
+        """Return a complete answer of the proxy's own."""
         if self.has_head:
             raise invariant_error("no reply behind a head")
         self.has_head = True
--- a/cranebank/dataplane/front.py
+++ b/cranebank/dataplane/front.py
@@ -1,7 +1,7 @@
-"""The clients' side: HTTP/1.1 connections, one request at a time on each.
+"""Connections from clients: HTTP/1.1, one request at a time on each.
 
-What a request is, is in ``client_request.py``, how an answer is framed in ``client_response.py``. Bounded by the
-configuration's limits; bytes that no usual client sends end in 400 and are sent nowhere.
+``client_request.py`` parses requests and ``client_response.py`` frames answers. Everything is bounded by the configured
+limits. Bytes that no usual client sends are answered with 400 and sent to no backend.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 SWEEP_INTERVAL_S = 0.25
 HIGH_WATER = 128 << 10
-MAX_PIPELINED_BYTES = 64 << 10  # of a next request that came too early; more is left in the kernel
+MAX_PIPELINED_BYTES = 64 << 10  # of a next request that arrives early; more is left in the kernel
 LINGER_S = 0.5
 
 
 class Handler:
-    """Who answers: ``begin`` is called with each whole request, ``gone`` when its client leaves."""
+    """The receiver of requests."""
 
     def begin(self, client: ClientConnection, request: ClientRequest) -> None:
-        """A request is in."""
+        """A complete request has arrived."""
 
     def gone(self, client: ClientConnection) -> None:
-        """Nobody waits any more."""
+        """The client has disconnected during its request."""
 
     def set_write_paused(self, client: ClientConnection, paused: bool) -> None:
-        """The client's buffer is full, or has room again."""
+        """The client's write buffer is full, or has room again."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -45,19 +45,19 @@
         self._front = front
         self.transport: asyncio.Transport | None = None
         self._parser = RequestParser(front.limits, self._allow_body)
-        self._pipelined = b""  # came while a request was open; read as soon as its answer is complete
-        self.open = False  # a request is with the handler
-        self._is_reading = False  # part of a request is in
-        self._is_undrained = False  # the last answer may not have left this process yet
+        self._pipelined = b""  # arrived while a request was open; parsed as soon as its answer is complete
+        self.open = False  # whether a request is with the handler
+        self._is_reading = False  # whether part of a request has arrived
+        self._is_undrained = False  # whether the last answer may not have left this process yet
         self._is_ending = False
-        self.since = 0.0  # when it became idle, or when the request that is being read began
+        self.since = 0.0  # when the connection became idle, or when the request that is being read began
         self._response = ResponseFraming(keeps_connection=True, is_http_1_0=False, to_head_request=False)
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A client has connected."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by inheritance
+        transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
         self.transport = transport
         transport.set_write_buffer_limits(high=HIGH_WATER)
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -65,7 +65,7 @@
         self._front.connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
+        """The connection is closed."""
         self.transport = None
         self._front.lost(self)
         if self.open:
@@ -77,11 +77,11 @@
         self._front.handler.set_write_paused(self, True)
 
     def resume_writing(self) -> None:
-        """There is room again."""
+        """The write buffer has room again."""
         self._front.handler.set_write_paused(self, False)
 
     def eof_received(self) -> bool:
-        """The client has ended its side: usual clients do so only when they leave."""
+        """The client has closed its side, which usual clients do only when they leave."""
         return False
 
     def data_received(self, data: bytes) -> None:
@@ -95,7 +95,7 @@
             return
         self._feed(data)
 
-    # The request.
+    # Requests.
 
     def _feed(self, data: bytes) -> None:
         if not self._is_reading:
@@ -114,13 +114,13 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _refuse(self, error: RequestError) -> None:
-        """What came is no request that can be answered by anybody else."""
+        """Answer bytes that are not a request which may be sent to a backend."""
         self.open = True
         self._response = ResponseFraming(keeps_connection=False, is_http_1_0=False, to_head_request=False)
         self.reply(error, None)
 
     def _take(self, request: ClientRequest) -> None:
-        """A whole request is in."""
+        """Hand a complete request to the handler."""
         self.open, self._is_reading = True, False
         self._response = ResponseFraming(
             keeps_connection=request.keeps_connection,
@@ -129,20 +129,20 @@
         )
         self._front.handler.begin(self, request)
 
-    # The answer.
+    # Answers.
 
     def head(self, status: int, headers: dict[str, str]) -> bytes:
-        """The bytes of an answer's head; its body follows with ``frame`` and ``tail``."""
+        """Return the bytes of an answer's head; its body follows with ``frame`` and ``tail``."""
         if not self.open:
             raise invariant_error("a head answers an open request")
         return self._response.head(status, headers, closing=self._front.closing)
 
     def frame(self, data: bytes) -> bytes:
-        """Part of the body as it goes on the wire."""
+        """Return part of the body as it is sent."""
         return self._response.frame(data)
 
     def tail(self) -> bytes:
-        """The end of the body."""
+        """Return the end of the body."""
         return self._response.tail()
 
     def write(self, data: bytes) -> None:
@@ -151,8 +151,8 @@
             self.transport.write(data)
 
     def finish(self) -> None:
-        """The answer is complete; what came early is read now."""
-        if self._response.is_short:  # it must not look complete
+        """End a complete answer; bytes that arrived early are parsed next."""
+        if self._response.is_short:  # a truncated answer must not look complete
             self.break_off()
             return
         self.open, self._is_undrained = False, True
@@ -164,7 +164,7 @@
             asyncio.get_running_loop().call_soon(self._feed_pipelined)
 
     def _feed_pipelined(self) -> None:
-        """Read what came early. Until then it stays in place, so that what comes later is put behind it."""
+        """Parse bytes that arrived early. They stay in place until then, so that later bytes are appended to them."""
         if self.transport is None or self._is_ending or self.open:
             return
         data, self._pipelined = self._pipelined, b""
@@ -173,20 +173,21 @@
         self._feed(data)
 
     def reply(self, error: RequestError, retry_after_s: float | None) -> None:
-        """An answer of our own."""
+        """Send an answer of the proxy's own."""
         if not self.open:
             raise invariant_error("a reply answers an open request")
         self.write(self._response.own_reply(error, retry_after_s, closing=self._front.closing))
         self.finish()
 
     def break_off(self) -> None:
-        """End it so that the answer doesn't look complete."""
+        """Close the connection in such a way that the answer does not look complete."""
         self.open = False
         if self.transport is not None:
             self.transport.abort()
 
     def _end(self) -> None:
-        """The last answer is out: end our side, and read on for a while, since a close over unread bytes is a reset."""
+        """Close our side after the last answer, and keep reading for a while, as closing over unread bytes causes a
+        reset."""
         self._is_ending = True
         if self.transport is None or self.transport.is_closing():
             return
@@ -198,16 +199,16 @@
         if self.transport is not None:
             self.transport.close()
 
-    # Time.
+    # Time limits.
 
     def sweep(self, now: float, limits: ClientLimits) -> None:
-        """Close it where it has been idle, or has taken too long over a request."""
+        """Close the connection if it has been idle, or has taken over a request, for too long."""
         if self.open or self._is_ending or self._pipelined or self.transport is None:
             return
         if self._is_undrained:
             self._is_undrained = self.transport.get_write_buffer_size() > 0
             if self._is_undrained:
-                self.since = now  # the client rests only once it has the answer
+                self.since = now  # idle time counts only once the client has the answer
         allowed_ms = limits.header_read_ms if self._is_reading else limits.idle_ms
         if now - self.since <= allowed_ms / 1e3 or self._has_unread():
             return
@@ -217,14 +218,15 @@
             self.transport.close()
 
     def dismiss(self) -> None:
-        """Close it if nothing is open on it and nothing is on its way in."""
+        """Close the connection if no request is open or arriving."""
         if self.open or self._is_reading or self._is_ending or self._pipelined or self.transport is None:
             return
         if not self._has_unread():
-            self.transport.close()  # a request that crosses it is left unread, so that its client may send it again
+            # A request that crosses the close stays unread, so that its client may send it again
+            self.transport.close()
 
     def _has_unread(self) -> bool:
-        """Whether bytes have arrived that this process, late or just thawed, has not looked at yet."""
+        """Return whether bytes have arrived that this process, late or just resumed, has not read yet."""
         return self.transport is not None and readable(self.transport.get_extra_info("socket"))
 
 
@@ -233,36 +235,36 @@
 
     def __init__(self, handler: Handler, limits: Callable[[], ClientLimits]) -> None:
         self.handler, self.limits = handler, limits
-        self.closing = False  # answers say that the connection ends
+        self.closing = False  # whether answers announce the end of their connection
         self._clients: set[ClientConnection] = set()
         self._timer: asyncio.TimerHandle | None = None
 
     def __call__(self) -> ClientConnection:
-        """The protocol of a new connection."""
+        """Return the protocol of a new connection."""
         return ClientConnection(self)
 
     @property
     def count(self) -> int:
-        """Connections that stand."""
+        """Return the number of connections."""
         return len(self._clients)
 
     @property
     def open(self) -> int:
-        """Requests that are open."""
+        """Return the number of open requests."""
         return sum(client.open for client in self._clients)
 
     def connected(self, client: ClientConnection) -> None:
-        """A client has connected."""
+        """Add a connection."""
         self._clients.add(client)
         if self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def lost(self, client: ClientConnection) -> None:
-        """It has gone."""
+        """Remove a closed connection."""
         self._clients.discard(client)
 
     def dismiss(self) -> None:
-        """Close the idle ones."""
+        """Close the idle connections."""
         for client in list(self._clients):
             client.dismiss()
 
--- a/cranebank/dataplane/http_fields.py
+++ b/cranebank/dataplane/http_fields.py
@@ -1,4 +1,4 @@
-"""Header fields and reason phrases of HTTP/1.1 that both sides of the proxy go by."""
+"""Header fields and reason phrases of HTTP/1.1, used towards clients and backends."""
 
 from __future__ import annotations
 
@@ -35,5 +35,5 @@
 
 
 def status_line(status: int) -> str:
-    """The first line of an answer, with its line end."""
+    """Return the first line of an answer, with its line end."""
     return f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}\r\n"
--- a/cranebank/dataplane/prompt.py
+++ b/cranebank/dataplane/prompt.py
@@ -1,14 +1,14 @@
-"""What a request says of its prompt: parts in order, shared ones first, the last its own."""
+"""What a request's headers state about its prompt: its parts in order, shared ones first, its own part last."""
 
 from __future__ import annotations
 
 import msgspec
 
-SHARED_LONG = 1024  # tokens from which on shared parts have homes: what a decode backend reads in one piece
+SHARED_LONG = 1024  # tokens from which a shared prefix has a home: what a decode backend prefills in one chunk
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """Tokens in and out, and the parts as (id, tokens)."""
+    """Input and output tokens, and the parts as (id, tokens)."""
 
     tokens: int = 0
     out: int = 0
@@ -16,22 +16,23 @@
 
     @property
     def shared(self) -> tuple[tuple[str, int], ...]:
-        """The parts that other requests may have too."""
+        """Return the parts that other requests may have in common."""
         return self.parts[:-1]
 
     @property
     def shared_tokens(self) -> int:
-        """Tokens of the shared parts."""
+        """Return the tokens of the shared parts."""
         return sum(size for _, size in self.shared)
 
     @property
     def home_key(self) -> str:
-        """The id of the deepest shared part where the shared ones are long, else nothing."""
+        """Return the id of the last shared part if the shared prefix is long, otherwise an empty string."""
         return self.parts[-2][0] if self.shared_tokens >= SHARED_LONG else ""
 
 
 def read(headers: dict[str, str]) -> Prompt:
-    """Read ``X-Token-Counts`` and ``X-Prompt-Prefix`` (names in lower case); what can't be read counts as nothing."""
+    """Parse ``X-Token-Counts`` and ``X-Prompt-Prefix`` (names in lower case); what cannot be parsed counts as
+    nothing."""
     tokens = out = 0
     try:
         counts = headers.get("x-token-counts", "")
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -1,4 +1,4 @@
-"""The data plane's asyncio end: carries out what exchanges decide, over clients' and backends' connections."""
+"""The asyncio side of the data plane: carries out what exchanges decide, over clients' and backends' connections."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 from cranebank.transport.messages import Backend, PrefillBegun, StageLoad, WarmUpPermits
 
 PROXY_HEADERS = frozenset({"x-deadline-left", "last-event-id", "x-target-instance", "x-stage", "kv-from", "priority"})
-MAX_PROMPT_TOKENS = 1 << 24  # of one prompt; a figure beyond it is none
-DEFAULT_DEADLINE_MS = 60_000.0  # where a client names none
+MAX_PROMPT_TOKENS = 1 << 24  # of one prompt; larger numbers are invalid
+DEFAULT_DEADLINE_MS = 60_000.0  # if a client sends none
 
 
 class RetryRule(msgspec.Struct, frozen=True):
-    """The budget's figures from the settings, and whether this process knows that it has no former life."""
+    """The retry budget's settings. ``fresh``: this process is known not to be a restart."""
 
     ratio: float
     slack: float
@@ -63,7 +63,7 @@
 
 
 class OpenRequest:
-    """One request that is open: its exchange, its client, its legs."""
+    """One open request: its exchange, its client and its legs."""
 
     __slots__ = (
         "attempt",
@@ -96,13 +96,15 @@
             lines.append(f"Content-Length: {len(request.body)}\r\n")
         self.prefix = "".join(lines)
 
-    def do(self, event: Event) -> None:
-        """Give the exchange an event and carry out what it decides."""
+    def handle_event(self, event: Event) -> None:
+        """Pass an event to the exchange and carry out its actions."""
         now = asyncio.get_running_loop().time()
         try:
             self._carry_out(self.exchange.handle(now, event))
-        except Exception as error:  # better no answer than one that is none, whatever was half done
-            logger.opt(exception=error).error("request {}: {!r} in {}", self.attempt, event, self.exchange.state)
+        except Exception as error:  # whatever was half done, no answer is better than a wrong one
+            logger.opt(exception=error).error(
+                "request {}: unexpected error in event {!r}, state {}", self.attempt, event, self.exchange.state
+            )
             self.client.break_off()
             for leg in {*self.legs, *self.dialling}:
                 self._abort(leg)
@@ -111,23 +113,23 @@
             self.proxy.closed(self)
 
     def _carry_out(self, actions: list[Action]) -> None:
-        out: list[bytes] = []
+        chunks: list[bytes] = []
         for action in actions:
             match action:
                 case Data(data):
-                    out.append(self.client.frame(data))
+                    chunks.append(self.client.frame(data))
                 case WakeAt(at):
                     self._wake_at(at)
                 case Head(status, headers):
-                    out.append(self.client.head(status, headers))
+                    chunks.append(self.client.head(status, headers))
                 case Call():
                     self._call(action)
                 case Abort(leg):
                     self._abort(leg)
                 case Finish():
-                    out.append(self.client.tail())
-                    self.client.write(b"".join(out))
-                    out = []
+                    chunks.append(self.client.tail())
+                    self.client.write(b"".join(chunks))
+                    chunks = []
                     self.client.finish()
                 case Break():
                     self.client.break_off()
@@ -135,8 +137,8 @@
                     self.client.reply(error, retry_after)
                 case Free(backend, handle):
                     self.proxy.free(backend, handle)
-        if out:
-            self.client.write(b"".join(out))
+        if chunks:
+            self.client.write(b"".join(chunks))
         if self.exchange.is_over:
             if self.timer is not None:
                 self.timer.cancel()
@@ -145,15 +147,15 @@
     def _wake_at(self, at: float) -> None:
         if self.timer is not None:
             if self.wakes_at <= at:
-                return  # it looks again then
+                return  # the request checks again at that time
             self.timer.cancel()
-        # The time is kept here: uvloop's handle of a time that has passed already has none to ask for.
+        # The time is kept here, as uvloop's handle of a past time does not know its time.
         self.wakes_at = at
         self.timer = asyncio.get_running_loop().call_at(at + 0.001, self._wake)
 
     def _wake(self) -> None:
         self.timer = None
-        self.do(Wake())
+        self.handle_event(Wake())
 
     def _call(self, call: Call) -> None:
         connection = self.proxy.pool.take(call.backend)
@@ -162,7 +164,7 @@
         elif connection is not None:
             self.proxy.pool.give_back(connection)
             withdrawn = LegFailed(call.leg, SendEvidence.BACKEND_WITHDRAWN)
-            asyncio.get_running_loop().call_soon(self.do, withdrawn)
+            asyncio.get_running_loop().call_soon(self.handle_event, withdrawn)
         else:
             self.dialling[call.leg] = background.start(self._dial(call))
 
@@ -170,25 +172,26 @@
         try:
             connection = await self.proxy.pool.dial(call.backend)
         except ConnectionError as error:
-            logger.debug("request {} to {}: {}", self.attempt, call.backend.id, error)
+            logger.debug("request {}: connecting to backend {} failed: {}", self.attempt, call.backend.id, error)
             self.dialling.pop(call.leg, None)
             is_full = isinstance(error, NoConnectionFree)
             evidence = SendEvidence.NO_CONNECTION_FREE if is_full else SendEvidence.NEVER_CONNECTED
-            self.do(LegFailed(call.leg, evidence))
+            self.handle_event(LegFailed(call.leg, evidence))
             return
         self.dialling.pop(call.leg, None)
         if connection.transport is None or connection.transport.is_closing():
-            self.do(LegFailed(call.leg, SendEvidence.CLOSED_BEFORE_SEND))
+            self.handle_event(LegFailed(call.leg, SendEvidence.CLOSED_BEFORE_SEND))
             return
         if self.exchange.is_over or not self._may_write(call):
             self.proxy.pool.give_back(connection)
             if not self.exchange.is_over:
-                self.do(LegFailed(call.leg, SendEvidence.BACKEND_WITHDRAWN))
+                self.handle_event(LegFailed(call.leg, SendEvidence.BACKEND_WITHDRAWN))
             return
         self._send(call, connection)
 
     def _may_write(self, call: Call) -> bool:
-        """By the clock itself: the loop's stands still during a turn, in which the process may have stood still."""
+        """Check with the clock itself: the loop's clock stands still during an iteration, in which the process may have
+        been suspended."""
         return self.proxy.shared.candidates.may_write(monotonic(), call.backend, call.permitted_until)
 
     def _send(self, call: Call, connection: Connection) -> None:
@@ -208,34 +211,34 @@
         if connection is not None:
             connection.abort()
 
-    # What connections to backends tell.
+    # Callbacks of connections to backends.
 
     def leg_head(self, leg: int, status: int, headers: dict[str, str]) -> None:
-        """The head of an answer."""
-        self.do(LegHead(leg, status, headers))
+        """The head of an answer has arrived."""
+        self.handle_event(LegHead(leg, status, headers))
 
     def leg_data(self, leg: int, data: bytes) -> None:
-        """Part of a body."""
-        self.do(LegData(leg, data))
+        """Part of a body has arrived."""
+        self.handle_event(LegData(leg, data))
 
     def leg_end(self, leg: int) -> None:
-        """An answer is whole."""
+        """An answer is complete."""
         self.legs.pop(leg, None)
-        self.do(LegEnd(leg))
+        self.handle_event(LegEnd(leg))
 
     def leg_failed(self, leg: int, evidence: SendEvidence) -> None:
-        """No answer comes."""
+        """No complete answer will arrive."""
         self.legs.pop(leg, None)
-        self.do(LegFailed(leg, evidence))
+        self.handle_event(LegFailed(leg, evidence))
 
-    def hold(self, paused: bool) -> None:
-        """The client reads slowly: so do we."""
+    def pause_legs(self, paused: bool) -> None:
+        """Pause or resume reading from backends, as the client reads slowly."""
         for connection in self.legs.values():
             connection.pause(paused)
 
 
 class Proxy(Handler):
-    """A proxy's data plane. ``configure`` and ``learn`` bring it what the control plane knows."""
+    """A proxy's data plane. ``configure`` and ``learn`` pass in what the control plane knows."""
 
     def __init__(self, rule: RetryRule, random: Random, now: float, policy: Policy = ALL_ON) -> None:
         self.table: RouteTable | None = None
@@ -251,15 +254,16 @@
         self.front = Front(self, self.limits)
         self._open: dict[ClientConnection, OpenRequest] = {}
         self._stages = StageWatch()
-        self.evacuation_number = 0  # of the newest evacuations known; 0: none were ever
+        self.evacuation_number = 0  # of the newest known evacuations; 0: none
         self.evacuated: frozenset[str] = frozenset()
 
     def limits(self) -> ClientLimits:
-        """The clients' limits in force."""
+        """Return the clients' limits in force."""
         return self.table.limits if self.table is not None else ClientLimits()
 
     def _max_connections(self, backend: Backend) -> int:
-        """Connections to one backend: this proxy's part of what the service allows, never under four."""
+        """Return the limit of connections to one backend: this proxy's part of what the service allows, at least
+        four."""
         service = self.table.services.get(backend.target) if self.table is not None else None
         return max(4, (service.max_conns if service else 64) // (self.shared.choices.draws.proxies + 1))
 
@@ -273,23 +277,23 @@
 
     @property
     def revision(self) -> int:
-        """Of the configuration in force; 0: none."""
+        """Return the revision of the configuration in force; 0: none."""
         return self.table.revision if self.table is not None else 0
 
     def configure(self, document: bytes) -> bool:
-        """Take a committed configuration; never one older than what was in force. Whether it is in force now."""
+        """Put a committed configuration in force, unless one at least as new is. Return whether it could be read."""
         try:
             table = RouteTable.read(document)
         except msgspec.MsgspecError as error:
-            logger.error("a configuration that can't be read: {}", error)
+            logger.error("configuration cannot be parsed, the one in force stays: {}", error)
             return False
         if table.revision > self.revision:
             self.shared.candidates.cold.limits = table.warm_up_limits
-            self.table = table  # budgets stay: a service that is dropped and comes back has spent what it has
+            self.table = table  # budgets stay: a service that is removed and added again keeps what it has spent
         return True
 
     def learn(self, backends: Iterable[Backend]) -> None:
-        """Take records of backends."""
+        """Merge records of backends."""
         candidates, now = self.shared.candidates, asyncio.get_running_loop().time()
         for over in candidates.merge(backends, now):
             self.pool.drop(over)
@@ -297,44 +301,44 @@
         self._stages.observe(now, candidates.stages_with_ready(), candidates.records.values())
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
-        """Send nothing more to backends of these zones, unless newer evacuations are known; the number in force."""
+        """Stop sending to backends of these zones, unless newer evacuations are known; return the number in force."""
         if number > self.evacuation_number:
             self.evacuation_number, self.evacuated = number, frozenset(zones)
             self.shared.candidates.evacuate(asyncio.get_running_loop().time(), self.evacuated)
         return self.evacuation_number
 
     def free(self, backend: Backend, handle: str) -> None:
-        """Free the memory of a reading that nobody takes; in an evacuated zone its time runs out instead."""
+        """Free the KV cache of a prefill that no decode backend will fetch. In an evacuated zone it expires instead."""
         if not self.shared.candidates.is_evacuated(backend):
             self.pool.free(backend, handle)
 
     def permit(self, permits: WarmUpPermits) -> None:
-        """A controller leases permits to send to a cold backend."""
+        """Add permits, leased by a controller, to send to a cold backend."""
         now = asyncio.get_running_loop().time()
         if permits.backend in self.shared.candidates.views:
             self.shared.candidates.cold.grant(now, permits.backend, permits.permits, permits.valid_until)
 
     def clock_ms(self) -> int:
-        """The steady clock where a service limits what cold backends get; else 0."""
+        """Return the steady clock if some service limits calls to cold backends, otherwise 0."""
         return int(asyncio.get_running_loop().time() * 1e3) if self.shared.candidates.cold.limits else 0
 
     def known(self) -> tuple[Backend, ...]:
-        """All records, as they are to be told now."""
+        """Return all records, as they are to be sent now."""
         return self.shared.candidates.known(asyncio.get_running_loop().time())
 
     def hold_off(self, backend: str, seconds: float) -> None:
-        """This backend is about to change its stage: nothing is sent there for so long."""
+        """Avoid a backend that is about to change its stage, for so many seconds."""
         self.shared.candidates.hold_off(asyncio.get_running_loop().time(), backend, seconds)
 
     def loads(self) -> tuple[StageLoad, ...]:
-        """What this proxy asks of the stages of each service."""
+        """Return this proxy's offered load on the stages of each service."""
         if not self.shared.choices.policy.stage_loads:
             return ()
         now = asyncio.get_running_loop().time()
         return self.shared.load.report(now, self.shared.candidates.views.values())
 
     def record_cached_prefix(self, backend: str, part: str, tokens: int) -> None:
-        """A neighbour had this backend read a prompt up to and with this shared part."""
+        """Record that a neighbour had this backend read a prompt up to and including this shared part."""
         record = self.shared.candidates.records.get(backend)
         service = self.table.services.get(record.target) if record is not None and self.table is not None else None
         if record is not None and service is not None and service.engine is not None and tokens > 0:
@@ -342,7 +346,7 @@
             self.shared.cache.record_prefix(backend, part, tokens, service.engine.cache_tokens, share)
 
     def reading_begun(self, told: PrefillBegun) -> None:
-        """Another proxy has asked a backend to read a prompt."""
+        """Record that another proxy has sent a prefill to a backend."""
         view = self.shared.candidates.views.get(told.backend)
         if view is None or view.backend.stage != "prefill" or not 0 < told.tokens <= MAX_PROMPT_TOKENS:
             return
@@ -355,13 +359,13 @@
 
     @property
     def ready(self) -> bool:
-        """A configuration is in force, and somebody is there to send to."""
+        """Return whether a configuration is in force and some backend is available."""
         return self.table is not None and self.shared.candidates.any_ready()
 
-    # What clients' connections tell.
+    # Callbacks of clients' connections.
 
     def begin(self, client: ClientConnection, request: ClientRequest) -> None:
-        """A whole request is in."""
+        """A complete request has arrived."""
         now = asyncio.get_running_loop().time()
         if self.table is None:
             client.reply(NotRun("no configuration yet"), 0.2)
@@ -391,26 +395,26 @@
         self.shared.count("requests")
         opened = OpenRequest(self, client, request, exchange, min(until, now + route.timeout_ms / 1e3))
         self._open[client] = opened
-        opened.do(Begin())
+        opened.handle_event(Begin())
 
     def gone(self, client: ClientConnection) -> None:
-        """Its client has left."""
+        """The client has disconnected."""
         opened = self._open.get(client)
         if opened is not None:
-            opened.do(ClientGone())
+            opened.handle_event(ClientGone())
 
     def set_write_paused(self, client: ClientConnection, paused: bool) -> None:
-        """Its client's buffer is full, or has room again."""
+        """The client's write buffer is full, or has room again."""
         opened = self._open.get(client)
         if opened is not None:
-            opened.hold(paused)
+            opened.pause_legs(paused)
 
     def closed(self, opened: OpenRequest) -> None:
-        """A request is over."""
+        """Remove a request that has ended."""
         if self._open.get(opened.client) is opened:
             del self._open[opened.client]
 
     @property
     def open(self) -> int:
-        """Requests that are open."""
+        """Return the number of open requests."""
         return len(self._open)
--- a/cranebank/dataplane/readiness.py
+++ b/cranebank/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""The answer to the platform's readiness checks."""
+"""Answers the platform's readiness checks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The platform has connected."""
-        transport = cast(asyncio.Transport, transport)  # uvloop's is none by inheritance
+        transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
--- a/cranebank/dataplane/routes.py
+++ b/cranebank/dataplane/routes.py
@@ -1,4 +1,4 @@
-"""Routes and services of one configuration, as a proxy uses them: immutable, swapped whole."""
+"""Routes and services of one configuration, as a proxy uses them: immutable, replaced as a whole."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """One route; times in milliseconds."""
+    """One route; times are in milliseconds."""
 
     name: str
     hostname: str
@@ -35,19 +35,19 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         return self.variant == "idempotent" or (self.variant == "streaming" and self.resumable)
 
     def service(self, random: Random) -> str:
-        """The service of a request, drawn by the branches' shares."""
+        """Draw the service of a request by the branches' shares."""
         if self.target is not None or not self.branches:
             return self.target or ""
         return random.choices([b.target for b in self.branches], [b.share for b in self.branches])[0]
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """What the configuration says of a service's engines: slots, tokens of memory, bytes a token, Mbit/s, tokens an
-    event, seconds of a handle and of a change of stage."""
+    """A service's engine settings: calls at a time, tokens of memory, bytes per token, Mbit/s, tokens per event,
+    seconds of a handle's lifetime and of a change of stage."""
 
     capacity: int = 1
     cache_tokens: int = 0
@@ -66,11 +66,11 @@
     max_conns: int = 100
     engine: Engine | None = None
     cold_s: float = 0.0  # for which a backend is cold after a start
-    warmup_per_s: float = 0.0  # requests that a cold backend bears; 0: no limit
+    warmup_per_s: float = 0.0  # requests per second that a cold backend can take; 0: no limit
 
 
 class ClientLimits(msgspec.Struct, frozen=True):
-    """What clients may send, and for how long they may take or stay idle; milliseconds and bytes."""
+    """What clients may send, and how long they may take or stay idle; in milliseconds and bytes."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -79,7 +79,7 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """A whole configuration; what is not known here is skipped."""
+    """A whole configuration; unknown fields are skipped."""
 
     revision: int
     routes: tuple[Route, ...] = ()
@@ -109,11 +109,11 @@
 
     @classmethod
     def read(cls, document: bytes) -> RouteTable:
-        """Read a committed document. Raises msgspec.MsgspecError."""
+        """Parse a committed document. Raises msgspec.MsgspecError."""
         return cls(_decoder.decode(document))
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of a request, or none."""
+        """Return the route of a request, or None."""
         name = host.strip().lower()
         if ":" in name and not name.endswith("]"):
             name = name.rpartition(":")[0]
--- a/cranebank/dataplane/stage_watch.py
+++ b/cranebank/dataplane/stage_watch.py
@@ -1,7 +1,7 @@
-"""Reports in the log when a stage of a service loses its last ready backend, and when it has one again.
+"""Logs when a stage of a service loses its last ready backend, and when it has one again.
 
-Requests for such a service are refused until then, so the loss is an ERROR: it writes out the log ring with what led
-to it. A stage that comes and goes is reported once in ``REPORT_INTERVAL_S`` at most.
+Requests for such a service are refused until then, so the loss is an ERROR, which writes out the log ring with the
+events that led to it. A stage that flaps is reported at most once in ``REPORT_INTERVAL_S``.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cranebank.transport.messages import Backend
 
 REPORT_INTERVAL_S = 10.0  # between two reports of the same stage
-MAX_REPORTED_STAGES = 1024  # that are remembered; all are forgotten when there are more
+MAX_REPORTED_STAGES = 1024  # remembered; all are forgotten when there are more
 
 
 class StageWatch:
@@ -25,7 +25,7 @@
         self._reported: dict[tuple[str, str], float] = {}
 
     def observe(self, now: float, stages_with_ready: frozenset[tuple[str, str]], records: Iterable[Backend]) -> None:
-        """Take which (service, stage) have a ready backend now. ``records``: all backends known, for the report."""
+        """Process which (service, stage) have a ready backend now. ``records``: all known backends, for the report."""
         if stages_with_ready == self._with_ready:
             return
         emptied, filled = self._with_ready - stages_with_ready, stages_with_ready - self._with_ready
@@ -44,6 +44,6 @@
 
 
 def _summary(service: str, records: Iterable[Backend]) -> str:
-    """How many backends of a service are known, by stage and phase."""
+    """Return how many backends of a service are known, by stage and phase."""
     counts = Counter((record.stage, record.phase) for record in records if record.target == service)
     return ", ".join(f"{number} {stage} {phase}" for (stage, phase), number in sorted(counts.items())) or "none"
--- a/tests/mutants_data_plane.py
+++ b/tests/mutants_data_plane.py
@@ -1,4 +1,4 @@
-"""Planted faults of the data plane, and of the links and views under both planes."""
+"""Planted faults of the data plane, and of the links and partial views under both planes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 DATA_PLANE_MUTANTS = (
     Mutant(
         Point.RIGHT_CALLER,
-        "a client may ask for a stage of its own",
+        "a client may set the stage itself",
         "dataplane/proxy.py",
         '"x-target-instance", "x-stage", "kv-from"',
         '"x-target-instance", "kv-from"',
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a call that is sent again has all of the client's time",
+        "a repeated call gets the whole of the client's time",
         "dataplane/proxy.py",
         "left = max(1, int((self.until - now) * 1e3))",
         "left = 3000",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a lower revision is taken",
+        "an older configuration is put in force",
         "dataplane/proxy.py",
         "table.revision > self.revision",
         "True",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a success without the backend's stamp is passed on",
+        "a success without the backend's seal is passed on",
         "dataplane/backend_answers.py",
         "return AnswerKind.SEALED if SEAL in headers else AnswerKind.UNSEALED",
         "return AnswerKind.SEALED",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a part of an event is kept across runs",
+        "part of an event is kept across attempts",
         "dataplane/client_answer.py",
         "self._splitter.drop_rest()",
         "pass",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a run that may have begun passes for one that did not",
+        "an attempt that may have begun counts as one that did not",
         "dataplane/exchange.py",
         "            self._answer.may_have_run = True\n            self._retry_or_give_up(now, leg)",
         "            self._retry_or_give_up(now, leg)",
@@ -79,15 +79,15 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "an answer for another request is taken",
+        "an answer to another request is accepted",
         "dataplane/backend_connections.py",
-        "named is not None and named != self._attempt",
+        "answer_attempt is not None and answer_attempt != self._attempt",
         "False",
         "test_proxy.py",
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a failed call's request is sent again as if its bytes had never left",
+        "a failed call's request is sent again as if its bytes had never been sent",
         "dataplane/evidence.py",
         "return self is SendEvidence.WRITTEN",
         "return False",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "fields behind an answer's body count as its head's",
+        "trailer fields count as fields of the head",
         "dataplane/backend_connections.py",
         "        if self._in_head:",
         "        if not self._done:",
@@ -111,26 +111,26 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "an answer without an id is taken after a call without one",
+        "an answer without an id is accepted after a call without one",
         "dataplane/backend_connections.py",
-        "if named is None and not self._accepts_unidentified:",
+        "if answer_attempt is None and not self._accepts_unidentified:",
         "if False:",
         "test_call_faults.py",
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "bytes behind an answer leave its connection in use",
+        "a connection is kept after bytes behind an answer",
         "dataplane/backend_connections.py",
-        "if self._keep and not self._extra and self._is_all_sent():",
+        "if self._keep and not self._is_surplus and self._is_all_sent():",
         "if self._keep and self._is_all_sent():",
         "test_call_faults.py",
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a connection is kept though its request is still on its way",
+        "a connection is kept while its request is still being sent",
         "dataplane/backend_connections.py",
-        "not self._extra and self._is_all_sent():",
-        "not self._extra:",
+        "not self._is_surplus and self._is_all_sent():",
+        "not self._is_surplus:",
         "test_call_faults.py",
     ),
     Mutant(
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "later bytes of a client are read before earlier ones",
+        "later bytes of a client are parsed before earlier ones",
         "dataplane/front.py",
         "        if self.open or self._pipelined:\n            self._pipelined += data",
         "        if self.open:\n            self._pipelined += data",
@@ -191,7 +191,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "further calls without a look at the budget",
+        "further calls ignore the retry budget",
         "dataplane/dispatch.py",
         "if not self._has_budget(now):",
         "if False:",
@@ -199,7 +199,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a handle that nobody takes is not freed",
+        "a handle that is not fetched is not freed",
         "dataplane/exchange.py",
         "self._actions.append(Free(handle.backend, handle.name))",
         "pass",
@@ -207,7 +207,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "the higher figure wins",
+        "the higher cost wins",
         "dataplane/blended_draw.py",
         "(second < first or is_tie_won)",
         "(second > first or is_tie_won)",
@@ -215,7 +215,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "figures never age",
+        "costs never age",
         "dataplane/blended_draw.py",
         "* self.proxies * min(age, RATE_AVERAGING_S)",
         "* self.proxies * 0.0",
@@ -223,7 +223,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "the count of proxies is left out",
+        "the number of proxies is ignored",
         "dataplane/blended_draw.py",
         "* self.proxies * min(age",
         "* min(age",
@@ -231,7 +231,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a reading that begins is not told",
+        "a prefill that begins is not reported",
         "dataplane/dispatch.py",
         "        self._announce_prefill(prefill_backend, tokens)\n        return call",
         "        return call",
@@ -239,7 +239,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a delay counts once for each reading that it holds up",
+        "a delay counts once for each prefill that it delays",
         "dataplane/prefill_queue.py",
         "slip = now - ticket.expected_end_at - self._slipped",
         "slip = now - ticket.expected_end_at",
@@ -247,7 +247,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a reading that never left waits on",
+        "a prefill that was not sent stays in the queue",
         "dataplane/dispatch.py",
         "            leg.view.prefill_queue.cancel(leg.ticket)",
         "            pass",
@@ -263,7 +263,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a plain service looks at no load",
+        "a plain service ignores loads",
         "dataplane/plain_choice.py",
         "return view.all_calls / max(1, view.backend.capacity)",
         "return 0.0",
@@ -271,7 +271,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a backend without a stage makes tokens",
+        "a backend without a stage is used for decode",
         "dataplane/choices.py",
         "if engine is None:",
         "if True:",
@@ -279,7 +279,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "each proxy takes the whole slack",
+        "each proxy uses the whole slack",
         "dataplane/budget.py",
         "self._slack / max(1, proxies)",
         "self._slack",
@@ -287,7 +287,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a later life spends the slack at once",
+        "a restarted proxy spends the slack at once",
         "dataplane/budget.py",
         "now < self._fresh_until",
         "False",
@@ -311,7 +311,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a further reading takes no try",
+        "a further prefill takes no try",
         "dataplane/attempts.py",
         "or self.count + 2 <= self._tries",
         "or True",
