--- a/tests/mutants_cold.py
+++ b/tests/mutants_cold.py
@@ -1,4 +1,4 @@
-"""Planted faults of what bounds the requests to cold backends."""
+"""Planted faults of the limit on requests to cold backends."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a call under a permit is written however late its dial is up",
+        "a call under a permit is written however late its connection is established",
         "dataplane/cold_backends.py",
         "return now + PERMIT_SEND_TIMEOUT_S",
         "return now + 60.0",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a call is written to a backend that has turned cold since it was dialled",
+        "a call is written to a backend that has become cold since the connection was opened",
         "dataplane/candidates.py",
         "return not self.cold or now <= permitted_until or",
         "return True or",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a call is written by a clock that stands still while the process does",
+        "a call is written by a clock that stands still while the process is suspended",
         "dataplane/proxy.py",
         "may_write(monotonic(),",
         "may_write(asyncio.get_running_loop().time(),",
--- a/tests/test_call_faults.py
+++ b/tests/test_call_faults.py
@@ -1,7 +1,7 @@
-"""Silence, resets, ends and stray bytes at every byte of a request and its answer, on real loopback sockets.
+"""Silence, resets, closes and stray bytes at every byte of a request and its answer, on real loopback sockets.
 
-Whatever happens to a call, its client gets its own whole answer, an answer that says no more than is known, or an end
-that does not look like an answer; what can't be repeated runs once; and no byte of one call is shown to another.
+Whatever happens to a call, its client gets its own complete answer, an answer that states no more than is known, or an
+end that does not look like an answer. What cannot be repeated runs once. No byte of one call reaches another.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 TRIALS_AT_ONCE = 48
 SILENT_MS = 150  # deadline of a request whose backend falls silent
-PATIENT_DIAL_S = 10.0  # the backends are there: how long a dial may take is not what these tests ask
+PATIENT_DIAL_S = 10.0  # the backends are up, and these tests do not test the time limit of connecting
 SHORT_SILENCE_S = 0.03
 LONG_SILENCE_S = 0.12  # longer than this process stalls on a busy machine
-NO_SILENCE_S = 60.0  # where no backend falls silent, a stall of this process must not pass for one
+NO_SILENCE_S = 60.0  # where no backend falls silent, a stall of this process must not count as one
 NOT_RUN_STATUSES = {408, 421, 429, 503}  # to clients: it has not run and never will
 EVENTS = 2
-END = b"\r\n\r\nhi"  # of every request
+END = b"\r\n\r\nhi"  # the end of every request
 
 
 def document(header_read_ms: float = 3_000) -> bytes:
-    """Two routes to one service: one that may run once, and one that may be resumed."""
+    """Two routes to one service: one whose requests may run once, and one whose streams may be resumed."""
     common = {"hostname": "h.example", "variant": "streaming", "timeout_ms": 5_000, "goal_ms": 0, "target": "svc"}
     return msgspec.json.encode(
         {
@@ -53,7 +53,7 @@
 
 
 def request(attempt: str, route: str = "once", fault: str = "", deadline_ms: int = 4_000) -> bytes:
-    """A request of a client. ``fault`` tells the backend what to do at the request's first arrival."""
+    """A client's request. ``fault`` tells the backend what to do when the request first arrives."""
     lines = [
         f"POST /{route}/x HTTP/1.1",
         "Host: h.example",
@@ -71,12 +71,12 @@
 
 
 def body_of(attempt: str, after: int = 0) -> bytes:
-    """The body of the answer, behind the event that a resumed run begins after."""
+    """The body of the answer; of a resumed attempt, from the event that it begins after."""
     return b"".join(event(attempt, number) for number in range(after + 1, EVENTS + 1))
 
 
 def answer(attempt: str, status: str = "200 OK", body: bytes | None = None, chunked: bool = True) -> bytes:
-    """A backend's whole answer. Every status but 503 bears its seal; 503 promises that nothing ran."""
+    """A backend's complete answer. Every status but 503 carries its seal; 503 states that nothing ran."""
     body = body_of(attempt) if body is None else body
     mark = "X-Not-Run: 1" if status.startswith("503") else "X-Server-Seal: s"
     frame = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {len(body)}"
@@ -85,13 +85,13 @@
 
 
 def stray_answer(kind: str, attempt: str) -> bytes:
-    """The answer too many of a kind of fault: ``behind``, or ``late-`` and its status."""
+    """The surplus answer of a kind of fault: ``behind``, or ``late-`` and its status."""
     return answer(attempt) if kind == "behind" else answer(attempt, f"{kind[5:8]} OK", chunked=False)
 
 
 @dataclass
 class Record:
-    """What backends saw, and how often each case was truly reached."""
+    """What backends received, and how often each case was really reached."""
 
     arrivals: Counter[str] = field(default_factory=Counter)
     ran: Counter[str] = field(default_factory=Counter)
@@ -108,7 +108,7 @@
         self._is_over = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """The connection is established."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
@@ -136,7 +136,7 @@
         self._fail(kind, int(offset), attempt, whole)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over; what was to be written later is not."""
+        """The connection is closed; later writes are dropped."""
         self._is_over = True
 
     def _write_rest(self, rest: bytes) -> None:
@@ -168,19 +168,19 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """End a connection by a reset."""
+    """Reset a connection."""
     with contextlib.suppress(OSError):
         end_by_reset(transport.get_extra_info("socket"))
     transport.abort()
 
 
 def end_by_reset(sock: socket.socket) -> None:
-    """Make the close of a socket a reset."""
+    """Make closing a socket reset its connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 class Answer:
-    """What a client read for one request."""
+    """What a client received for one request."""
 
     def __init__(self) -> None:
         self.status, self.body = 0, b""
@@ -189,11 +189,11 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field."""
+        """One header field."""
         self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """The head."""
+        """The head is complete."""
         self.status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
@@ -205,11 +205,11 @@
         assert not self.is_whole, "a second answer where one request waits"
 
     def on_message_complete(self) -> None:
-        """It is whole."""
+        """The answer is complete."""
         self.is_whole = True
 
     async def read(self, reader: asyncio.StreamReader) -> Answer:
-        """Read until it is whole, or the connection is over."""
+        """Read until the answer is complete or the connection is closed."""
         with contextlib.suppress(ConnectionError):
             while not self.is_whole and (data := await reader.read(65536)):
                 self._parser.feed_data(data)
@@ -217,7 +217,7 @@
 
 
 def judge(attempt: str, found: Answer, record: Record, tries: int) -> str:
-    """What a client learnt: whole, unclear or refused. Fails where that is not true."""
+    """Classify what a client learnt: whole, unclear or refused. Fails if that is not true."""
     assert record.arrivals[attempt] <= tries, f"{attempt}: sent {record.arrivals[attempt]} times"
     if found.status == 200:
         assert found.headers[b"x-server-seal"] == b"s" and found.headers[b"x-attempt-id"] == attempt.encode()
@@ -243,8 +243,8 @@
     header_read_ms: float = 3_000,
     silence_s: float = SHORT_SILENCE_S,
 ) -> Record:
-    """A proxy before scripted backends, which retries at once, after ``silence_s`` of silence, and without a bound on
-    its budget."""
+    """Run a proxy in front of scripted backends. It retries at once, after ``silence_s`` of silence, and without a
+    limit of its budget."""
     monkeypatch.setattr(backend_connections, "REUSE_DELAY_S", 0.0)
     monkeypatch.setattr(backend_connections, "CONNECT_TIMEOUT_S", PATIENT_DIAL_S)
     monkeypatch.setattr(dispatch, "SECOND_COPY_DELAY_S", silence_s)
@@ -280,7 +280,7 @@
 
 
 async def each(trials: Iterable[Awaitable[None]]) -> None:
-    """Run trials, a bounded number of them at once."""
+    """Run trials, a limited number of them at once."""
     gate = asyncio.Semaphore(TRIALS_AT_ONCE)
 
     async def one(trial: Awaitable[None]) -> None:
@@ -291,7 +291,7 @@
 
 
 async def ask(address: Address, *requests: bytes) -> list[Answer]:
-    """The answers to some requests on one connection, as far as it lasts."""
+    """The answers to some requests on one connection, until it closes."""
     reader, writer = await asyncio.open_connection(*address)
     found = []
     for one in requests:
@@ -340,7 +340,7 @@
 
 @pytest.mark.parametrize("kind", ["behind", "late-200", "late-503", "late-500", "late-200-before-500"])
 def test_bytes_of_one_answer_never_reach_the_next(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """One answer too many, whole or cut off at any byte, behind an answer or ahead of the next one."""
+    """One surplus answer, whole or cut off at any byte, behind an answer or ahead of the next one."""
     ends: Counter[str] = Counter()
     size = len(stray_answer(kind, "0000-a")) + 1
 
@@ -369,10 +369,8 @@
 
 
 class PartialReader:
-    """A backend on plain sockets that reads so many bytes of a request and then resets, ends or falls silent.
-
-    ``answers_first``: it answers one request whole on each connection before, so that the connection is kept.
-    """
+    """A backend on plain sockets that reads so many bytes of a request and then resets, closes or falls silent.
+    ``answers_first``: it first answers one request completely on each connection, so that the connection is kept."""
 
     def __init__(self, kind: str, answers_first: bool, record: Record) -> None:
         self._kind, self._answers_first, self._record = kind, answers_first, record
@@ -390,7 +388,7 @@
             task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """End what is silent."""
+        """Close the silent connections."""
         for task in self._tasks:
             task.cancel()
 
@@ -418,7 +416,7 @@
 
 @contextlib.asynccontextmanager
 async def only_backend(made: Proxy, reader: PartialReader) -> AsyncIterator[None]:
-    """Let this backend take the place of those that the proxy knows."""
+    """Replace the backends that the proxy knows by this one."""
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
         listener.setblocking(False)
         address = "{}:{}".format(*listener.getsockname())
@@ -436,7 +434,7 @@
 
 @pytest.mark.parametrize("kind", ["reset", "end", "silence"])
 def test_a_backend_that_goes_at_any_byte_of_a_request(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """The request may run once only: whatever of it the backend read, nothing is sent again."""
+    """The request may run only once: whatever part of it the backend read, it is not sent again."""
     ends: Counter[str] = Counter()
     deadline_ms = SILENT_MS if kind == "silence" else 4_000
 
@@ -457,10 +455,10 @@
 
 @pytest.mark.parametrize("kind", ["reset", "end", "silence"])
 def test_a_kept_connection_that_goes_at_any_byte_of_a_request(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """A reset of a connection that the backend may have forgotten is no evidence that the request didn't run."""
+    """A reset of a connection that the backend may have closed already is no proof that the request did not run."""
     ends: Counter[str] = Counter()
     deadline_ms = 20 if kind == "silence" else 4_000
-    trials = 40 if kind == "silence" else REQUEST_BYTES  # one after the other: each takes its own kept connection
+    trials = 40 if kind == "silence" else REQUEST_BYTES  # one after the other, as each takes its own kept connection
 
     async def story(made: Proxy, address: Address, record: Record) -> None:
         async with only_backend(made, PartialReader(kind, True, record)):
@@ -479,7 +477,7 @@
 
 @pytest.mark.parametrize("kind", ["reset", "end", "silence"])
 def test_a_client_that_goes_at_any_byte_of_its_request(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """What is not in as a whole runs nowhere, and a client that stays silent is told that it never will."""
+    """An incomplete request runs nowhere, and a client that stays silent is told that it never will."""
     size = len(request("0000-a"))
     ends: Counter[int] = Counter()
 
@@ -512,7 +510,7 @@
 
 @pytest.mark.parametrize("kind", ["reset", "end"])
 def test_a_client_that_goes_at_any_byte_of_its_answer(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """The backend's connection is ended or kept whole: other clients get what is theirs."""
+    """The backend's connection is closed or kept intact, so that other clients get their own answers."""
     whole = len(answer("0000-a"))
     size = whole + 60
     ends: Counter[str] = Counter()
@@ -591,7 +589,7 @@
 
 
 def test_an_answer_ahead_of_its_request_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A backend that speaks first: no bytes of ours have left, so the next backend gets the request."""
+    """A backend that sends first: no bytes of the request have been sent, so it goes to the next backend."""
 
     def connection_made(self: ScriptedBackend, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -609,7 +607,7 @@
 
 
 def test_a_call_without_an_id_leaves_nothing_behind_that_passes_for_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: a handle is freed without an id, so a second answer to it was taken for the next call's."""
+    """A handle is freed without an attempt id, so a second answer to that call was taken for the next call's."""
     seen: list[bytes] = []
 
     def data_received(self: ScriptedBackend, data: bytes) -> None:
@@ -638,7 +636,7 @@
 
 
 def test_a_freeing_that_is_not_confirmed_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: the connection stayed busy for ever, and counted against the backend's bound."""
+    """The connection stayed busy for ever and counted against the backend's limit."""
     monkeypatch.setattr(backend_connections, "FREE_TIMEOUT_S", 0.01)
     monkeypatch.setattr(ScriptedBackend, "_request", lambda *_: None)
 
@@ -653,7 +651,7 @@
 
 
 def test_an_early_answer_ends_a_connection_whose_request_is_still_on_its_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: the connection was kept, with the rest of the body ahead of the next request."""
+    """The connection was kept, with the rest of the body ahead of the next request."""
 
     def data_received(self: ScriptedBackend, data: bytes) -> None:
         self.transport.pause_reading()
@@ -672,7 +670,7 @@
 
 
 def test_a_head_gets_the_fields_of_its_answer_and_no_body(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: a HEAD waited for a body that never comes, up to its deadline."""
+    """A HEAD waited until its deadline for a body that never arrives."""
 
     async def story(made: Proxy, address: Address, record: Record) -> None:
         reader, writer = await asyncio.open_connection(*address)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -1,4 +1,5 @@
-"""The clients' side under an injected clock: the limits in force, idle connections, and bytes that come early."""
+"""Connections of clients under an injected clock: the limits in force, idle connections, and bytes that arrive
+early."""
 
 from __future__ import annotations
 
@@ -19,7 +20,7 @@
 
 
 class ManualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock moves only where a test says so."""
+    """A loop whose clock moves only when a test advances it."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -30,7 +31,7 @@
         return self.now
 
     async def advance(self, seconds: float) -> None:
-        """Let time pass, with every timer of the sweep run at its turn."""
+        """Advance the clock, running every sweep at its time."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + SWEEP_INTERVAL_S)
@@ -39,7 +40,7 @@
 
 
 class FakeTransport:
-    """Keeps what is written; its socket is one end of a pair, so that unread bytes can be put there."""
+    """Records what is written. Its socket is one end of a pair, so that unread bytes can be placed there."""
 
     def __init__(self) -> None:
         self.socket, self.peer = socket.socketpair()
@@ -48,57 +49,57 @@
         self.closed = self.paused = False
 
     def get_extra_info(self, _: str) -> Any:
-        """The socket, with the option that only TCP knows left out."""
+        """The socket, without the option that only TCP has."""
         return self
 
     def setsockopt(self, *_: object) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def fileno(self) -> int:
-        """Of the socket."""
+        """The descriptor of the socket."""
         return self.socket.fileno()
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that have not left."""
+        """Bytes that have not been sent."""
         return self.buffered
 
     def write(self, data: bytes) -> None:
-        """Keep it."""
+        """Record the data."""
         self.written += data
 
     def write_eof(self) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def is_closing(self) -> bool:
-        """Whether it was ended."""
+        """Whether the transport was closed."""
         return self.closed
 
     def close(self) -> None:
-        """End it."""
+        """Close the transport."""
         self.closed = True
 
     abort = close
 
     def pause_reading(self) -> None:
-        """Take no more."""
+        """Pause reading."""
         self.paused = True
 
     def resume_reading(self) -> None:
-        """Take more."""
+        """Resume reading."""
         self.paused = False
 
 
 @dataclass
 class Recorder(Handler):
-    """Answers nothing by itself."""
+    """A handler that records requests and answers none."""
 
     requests: list[ClientRequest] = field(default_factory=list)
 
     def begin(self, client: ClientConnection, request: ClientRequest) -> None:
-        """Keep it."""
+        """Record the request."""
         self.requests.append(request)
 
 
@@ -113,19 +114,19 @@
         self.client.connection_made(cast(asyncio.BaseTransport, self.transport))
 
     def answer(self, headers: dict[str, str] | None = None, body: bytes = b"ok") -> None:
-        """Answer the open request whole."""
+        """Answer the open request completely."""
         head = self.client.head(200, {"content-length": "2", **(headers or {})})
         self.client.write(head + self.client.frame(body) + self.client.tail())
         self.client.finish()
 
     def ask(self) -> None:
-        """A whole request, answered at once."""
+        """Send a complete request and answer it at once."""
         self.client.data_received(REQUEST)
         self.answer()
 
     @property
     def status(self) -> bytes:
-        """Of the last answer."""
+        """The status of the last answer."""
         return self.transport.written.rpartition(b"HTTP/1.1 ")[2][:3]
 
 
@@ -137,7 +138,7 @@
 
 
 def play(loop: ManualLoop, story: Callable[[Scene], Awaitable[None]]) -> None:
-    """Run a story on the injected clock."""
+    """Run a test on the injected clock."""
 
     async def run() -> None:
         scene = Scene(loop)
@@ -154,7 +155,7 @@
     async def story(scene: Scene) -> None:
         await scene.loop.advance(10)
         scene.client.data_received(REQUEST)
-        await scene.loop.advance(40)  # an open request is no idle connection
+        await scene.loop.advance(40)  # a connection with an open request is not idle
         scene.answer()
         for _ in range(3):
             await scene.loop.advance(0.8 * 15)
@@ -170,7 +171,7 @@
 
 
 def test_idle_time_does_not_run_while_the_answer_waits_to_leave(loop: ManualLoop) -> None:
-    """Found by a review: a client that read slowly lost its connection when it had just got its answer."""
+    """A client that read slowly lost its connection just after it had received its answer."""
 
     async def story(scene: Scene) -> None:
         scene.ask()
@@ -222,7 +223,7 @@
 
 @pytest.mark.parametrize("dismissed", [False, True])
 def test_an_idle_connection_with_unread_bytes_is_not_closed(loop: ManualLoop, dismissed: bool) -> None:
-    """Found by a review: a process that thawed closed connections on which requests had arrived meanwhile."""
+    """A resumed process closed connections on which requests had arrived meanwhile."""
 
     async def story(scene: Scene) -> None:
         scene.ask()
@@ -274,7 +275,7 @@
     ],
 )
 def test_bounds_on_bytes_hold_before_a_request_is_whole(loop: ManualLoop, parts: list[bytes], status: bytes) -> None:
-    """Found by a review: a field without end was held without bound, since the parser tells of whole ones only."""
+    """A field without end was buffered without limit, as the parser reports only complete fields."""
 
     async def story(scene: Scene) -> None:
         for part in parts:
@@ -299,8 +300,8 @@
 
 
 def test_bytes_of_the_next_request_stay_in_order_behind_an_answer(loop: ManualLoop) -> None:
-    """Found by a review: what came between an answer and the loop's next turn was read before what came earlier, and
-    the connection could be dismissed in between."""
+    """Bytes that arrived between an answer and the loop's next iteration were parsed before earlier ones, and the
+    connection could be closed in between."""
 
     async def story(scene: Scene) -> None:
         for cut in range(1, len(REQUEST)):
@@ -319,7 +320,7 @@
 
 
 def test_fields_behind_a_chunked_body_are_no_fields_of_the_request(loop: ManualLoop) -> None:
-    """Found by a review: a trailer could change the deadline or the id of its request."""
+    """A trailer field could change the deadline or the id of its request."""
 
     async def story(scene: Scene) -> None:
         scene.client.data_received(
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -1,4 +1,4 @@
-"""Requests to backends that are cold, summed over all proxies."""
+"""Requests to cold backends, summed over all proxies."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
 
 
 def backend(name: str, cold_left_ms: int = 0, call_seq: int = 1) -> Backend:
-    """A backend that makes tokens."""
+    """A decode backend."""
     return Backend(name, "svc", f"10.0.0.{name}:1", "z", "decode", 12, "ready", call_seq, cold_left_ms)
 
 
 def proxy_of(seed: int, backends: int = 10) -> Proxy:
-    """A proxy with so many backends, all warm."""
+    """A proxy that knows so many backends, all warm."""
     proxy = Proxy(RetryRule(0.2, 100, 10.0, True), Random(seed), asyncio.get_running_loop().time())
     assert proxy.configure(DOCUMENT)
     proxy.learn([backend(str(number)) for number in range(backends)])
@@ -54,7 +54,7 @@
 
 
 def calls_of(proxy: Proxy) -> list[Call]:
-    """Where a request of this moment goes."""
+    """The backend that a request would be sent to now."""
     assert proxy.table is not None
     now, route = asyncio.get_running_loop().time(), proxy.table.match("h", "/")
     assert route is not None
@@ -63,7 +63,7 @@
 
 
 def test_a_backend_that_turns_cold_under_its_id_is_not_flooded_by_many_proxies() -> None:
-    """All that is sent here is sent within one second."""
+    """All requests of this test are sent within one second."""
 
     async def story() -> int:
         proxies = [proxy_of(seed) for seed in range(PROXIES)]
@@ -76,7 +76,7 @@
 
 
 def in_loop(story: Callable[[], Coroutine[None, None, None]]) -> Callable[[], None]:
-    """A test that runs in an event loop, whose clock a proxy reads."""
+    """Run a test in an event loop, whose clock a proxy reads."""
 
     @wraps(story)
     def test() -> None:
@@ -86,7 +86,7 @@
 
 
 def permit(proxy: Proxy, backend_id: str, permits: int = 1, lease_s: float = 3.0) -> None:
-    """A controller leases permits."""
+    """Permits that a controller leases."""
     proxy.permit(WarmUpPermits(backend_id, permits, asyncio.get_running_loop().time() + lease_s))
 
 
@@ -98,14 +98,14 @@
 
 
 def ids(proxy: Proxy, after_s: float = 0.0, without: frozenset[str] = frozenset()) -> list[str]:
-    """Who is listed for a call, some time from now."""
+    """The candidates for a call, some time from now."""
     now = asyncio.get_running_loop().time() + after_s
     return [seen.backend.id for seen in proxy.shared.candidates.ready(now, "svc", "decode", without)]
 
 
 @in_loop
 async def test_where_all_backends_are_cold_only_permits_are_spent_and_the_rest_is_refused() -> None:
-    """One call for each permit until it is free again; the empty list breaks no invariant."""
+    """One call for each permit until it is free again; the empty list violates no invariant."""
     before = dict(violations())
     proxy = cold_proxy()
     assert calls_of(proxy) == [] and not proxy.shared.choices.of("svc", None).has_candidate(0.0, frozenset())
@@ -133,7 +133,7 @@
 
 @in_loop
 async def test_a_call_that_was_held_up_before_its_writing_is_withdrawn() -> None:
-    """Else it could be written within one second of the permit's next call."""
+    """Otherwise it could be written within one second of the permit's next call."""
     proxy = cold_proxy()
     permit(proxy, "0")
     (call,) = calls_of(proxy)
@@ -163,7 +163,7 @@
 
 @in_loop
 async def test_who_was_not_reached_comes_behind_the_others_until_its_heartbeat_can_have_told() -> None:
-    """And is used where it is the only one."""
+    """It is still used if there is no other backend."""
     proxy = proxy_of(1, 2)
     now = asyncio.get_running_loop().time()
     proxy.shared.candidates.failed(now, "0", may_be_down=True)
@@ -182,7 +182,7 @@
 
 @in_loop
 async def test_what_a_proxy_tells_of_a_cold_backend_is_what_is_left() -> None:
-    """A figure of long ago would make a restarted controller think it cold."""
+    """An old figure would make a restarted controller take the backend for cold."""
     proxy = cold_proxy()
     now = asyncio.get_running_loop().time()
     (early,), (late,) = (proxy.shared.candidates.known(now + later) for later in (1.0, 5.0))
@@ -191,7 +191,7 @@
 
 @in_loop
 async def test_without_a_limit_a_cold_backend_is_used_like_any_other() -> None:
-    """And no clock is told, so that no permits come."""
+    """No clock is reported either, so that no permits are leased."""
     proxy = proxy_of(1, 2)
     assert proxy.clock_ms() > 0
     assert proxy.configure(DOCUMENT.replace(b'"revision": 1', b'"revision": 2').replace(b"warmup_per_s", b"other"))
@@ -201,7 +201,7 @@
 
 
 async def status(address: tuple[str, int]) -> bytes:
-    """Of the answer to a request; a moment later its connection to the backend is idle."""
+    """The status of the answer to a request; its connection to the backend is idle shortly afterwards."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(REQUEST)
     line = await reader.readline()
@@ -214,7 +214,7 @@
 def test_a_process_that_stood_still_in_the_middle_of_a_turn_withdraws_its_call(
     monkeypatch: pytest.MonkeyPatch, is_connected: bool
 ) -> None:
-    """The loop's clock stands during a turn. Over a new connection, and over one that is up."""
+    """The loop's clock stands still during an iteration. Tested over a new connection and over a kept one."""
 
     async def story(made: Proxy, address: tuple[str, int]) -> None:
         if is_connected:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -30,15 +30,15 @@
 from cranebank.transport.messages import Backend, Evacuations, EvacuationsAck, Hello, Message, Push
 
 START, FINISH = "/api/Evacuation.Start/", "/api/Evacuation.Finish/"
-ACKNOWLEDGED_S = 1.0  # in calm, the operators' pages
-ZONES = ("y", "z")  # the latter is that of the controllers, too
+ACKNOWLEDGED_S = 1.0  # time limit without faults, by the operators' pages
+ZONES = ("y", "z")  # the latter is the controllers' zone, too
 
 
 def told(messages: list[tuple[object, Message]]) -> list[tuple[object, int]]:
     return [(link, message.number) for link, message in messages if isinstance(message, Evacuations)]
 
 
-# What controllers tell proxies.
+# What controllers send to proxies.
 
 
 def test_proxies_are_told_once_and_who_comes_later_ahead_of_the_backends() -> None:
@@ -68,7 +68,7 @@
     assert acks.done
 
 
-# What proxies send to.
+# Where proxies send requests.
 
 steps_of_backends = st.lists(
     st.tuples(
@@ -81,7 +81,7 @@
 
 
 def placed(number: int, phase: str, call_seq: int) -> Backend:
-    """Two zones; the last two share an address."""
+    """Backends in two zones; the last two share an address."""
     return Backend(f"b{number}", "s", f"10.0.0.{min(number, 3)}:1", ZONES[number % 2], "decode", 4, phase, call_seq)
 
 
@@ -163,7 +163,7 @@
 
 
 async def status(address: tuple[str, int]) -> int:
-    """Of the answer to a request."""
+    """The status of the answer to a request."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(REQUEST)
     head = await reader.readuntil(b"\r\n\r\n")
@@ -288,7 +288,7 @@
 
 
 class Sink:
-    """Backends, one in each zone, which count what they are sent."""
+    """Backends, one in each zone, that count the requests they get."""
 
     def __init__(self) -> None:
         self.requests = dict.fromkeys(ZONES, 0)
@@ -317,7 +317,7 @@
 
 @asynccontextmanager
 async def serving(sink: Sink) -> AsyncIterator[tuple[Proxy, tuple[str, int]]]:
-    """A proxy before the sink, not linked yet."""
+    """A proxy in front of the sink, not linked yet."""
     loop = asyncio.get_running_loop()
     await sink.start()
     made = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), loop.time())
@@ -343,7 +343,7 @@
 
 
 async def requests_reach(sink: Sink, address: tuple[str, int], count: int = 20) -> set[str]:
-    """The zones whose backends so many requests reach."""
+    """The zones whose backends get so many requests."""
     before = dict(sink.requests)
     for _ in range(count):
         assert EVENT_OF_BACKEND in await ask(address)
@@ -374,7 +374,7 @@
 
 
 def test_an_acknowledged_evacuation_outlives_the_death_of_the_primary_and_of_all_processes(tmp_path: Path) -> None:
-    """Real processes: the primary is killed right behind the answer, and later all at once."""
+    """Real processes: the primary is killed right after the answer, and later all of them at once."""
 
     async def story(ports: tuple[int, int]) -> None:
         sink = Sink()
@@ -393,7 +393,8 @@
             for ip in rest:
                 await controllers.kill(ip)
             links.stop()
-            made.evacuate(made.evacuation_number + 1, ())  # stands for a restart of the proxy, which knows of none
+            # In place of a restart of the proxy, after which it knows of none
+            made.evacuate(made.evacuation_number + 1, ())
             made.evacuation_number = 0
             await asyncio.gather(*(controllers.start(ip, is_first_start=False) for ip in IPS))
             links = linked(made, ports, IPS)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""One request's legs and its one answer, without sockets or a clock."""
+"""The legs of one request and its one answer, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class ExchangeHarness:
-    """A proxy's shared state, and one exchange driven by hand."""
+    """A proxy's shared state, and one exchange whose events a test sends."""
 
     def __init__(self, decode_backends: int = 3, prefill_backends: int = 2, slack: float = 50.0, **route: Any) -> None:
         self.now = 100.0
@@ -93,7 +93,7 @@
         return actions
 
     def out(self) -> dict[str, int]:
-        """Calls that are out, by backend."""
+        """The calls in flight, by backend."""
         return {s.backend.id: s.calls for s in self.shared.candidates.views.values() if s.calls}
 
 
@@ -103,7 +103,7 @@
 
 
 def passed(actions: list[Action]) -> bytes:
-    """What was passed on."""
+    """The bytes passed on to the client."""
     return b"".join(a.data for a in actions if isinstance(a, Data))
 
 
@@ -131,7 +131,8 @@
 
 
 def test_whoever_is_another_than_the_one_that_was_to_read_stands_back() -> None:
-    """An address that has passed to another backend answers 421, a reading too: it is no answer of that backend."""
+    """An address that now belongs to another backend answers 421, also to a prefill; that is no answer of the expected
+    backend."""
     harness = ExchangeHarness(decode_backends=1, prefill_backends=2, tries=4)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     harness.do(LegHead(prefill.leg, 421, {}))
@@ -220,7 +221,7 @@
 
 
 def test_a_client_that_resumes_itself_is_resumed_behind_what_came_since() -> None:
-    """Found by a hunt: the client's own header went along with ours, and the next run began where the client's did."""
+    """The client's own header was sent along with the proxy's, and the next attempt began where the client's did."""
     harness = ExchangeHarness()
     (call,) = calls(harness.begin(last="13"))
     assert [value for name, value in call.headers if name == "Last-Event-Id"] == ["13"]
@@ -375,14 +376,14 @@
     harness.do(LegFailed(prefill.leg, SendEvidence.NEVER_CONNECTED))
     assert seen.prefill_queue.wait(harness.now) == 0.0
     (prefill,) = calls(harness.begin("17020,17", "t:13300,o:3720"))
-    harness.do(LegHead(prefill.leg, 200, {}), 0.1)  # sooner than was thought
+    harness.do(LegHead(prefill.leg, 200, {}), 0.1)  # earlier than estimated
     harness.do(LegData(prefill.leg, b'{"prompt_handle":"h1","tokens":17020,"revision":1}'))
     harness.do(LegEnd(prefill.leg))
     assert seen.prefill_queue.wait(harness.now) == 0.0
 
 
 def test_an_answer_without_ids_is_never_continued_by_another_run() -> None:
-    """Found by a review (MIXED, ORDER): an idempotent answer that broke went on with the next run's body."""
+    """An idempotent answer that broke off went on with the next attempt's body (rules MIXED, ORDER)."""
     harness = ExchangeHarness(variant="idempotent", resumable=False)
     (call,) = calls(harness.begin())
     harness.do(LegHead(call.leg, 200, SEALED))
@@ -403,7 +404,7 @@
 
 @pytest.mark.parametrize("means", [{"slack": 0.0}, {"decode_backends": 1}], ids=["no budget", "nobody else"])
 def test_a_silent_stream_is_kept_where_it_could_not_go_on_elsewhere(means: dict[str, Any]) -> None:
-    """Found by a review: a pause broke the stream off, though nothing was there to resume it with."""
+    """A pause broke the stream off although no backend was left to resume it."""
     harness = ExchangeHarness(**means)
     (call,) = calls(harness.begin())
     harness.do(LegHead(call.leg, 200, SEALED))
@@ -423,7 +424,7 @@
 
 
 def test_a_reading_that_never_left_counts_nowhere() -> None:
-    """Found by a review: without budget the request was refused when its first prefill_backend could not be reached."""
+    """Without budget, the request was refused when its first prefill backend could not be reached."""
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0, slack=0.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     (again,) = calls(harness.do(LegFailed(prefill.leg, SendEvidence.NEVER_CONNECTED)))
@@ -432,7 +433,7 @@
 
 
 def test_out_of_time_while_only_the_prompt_was_read_is_a_refusal() -> None:
-    """A reading runs nothing: the client may come back, where the route's time ended before its own."""
+    """A prefill runs nothing: the client may retry if the route's time ended before its own."""
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0)
     harness.begin("17020,17", "s:13300,o:3720")
     end = harness.do(Wake(), 3.1)
@@ -441,7 +442,7 @@
 
 @pytest.mark.parametrize("status", [408, 429, 503])
 def test_a_backends_own_refusal_without_its_promise_is_not_passed_on_as_one(status: int) -> None:
-    """Found by a review (REFUSED): only an answer with X-Not-Run says that nothing ran; to clients the status does."""
+    """Only an answer with X-Not-Run states that nothing ran; to clients the status alone means it (rule REFUSED)."""
     harness = ExchangeHarness(tries=1, resumable=False)
     (call,) = calls(harness.begin())
     harness.do(LegHead(call.leg, status, {"content-length": "1"}))
@@ -460,7 +461,7 @@
 
 
 def test_a_failure_of_one_copy_waits_for_the_other() -> None:
-    """Found by a review: the second copy's failure was passed on, and the first, still at work, broken off."""
+    """The second copy's failure was passed on, and the first copy, still running, aborted."""
     harness = ExchangeHarness()
     (call,) = calls(harness.begin())
     (again,) = calls(harness.do(Wake(), 1.0))
@@ -472,7 +473,7 @@
 
 
 def test_a_prompt_that_was_read_goes_on_to_another_maker_where_the_first_can_not_be_reached() -> None:
-    """Found by a review: the handle was forgotten with a call that never left, and the prompt was read anew."""
+    """The handle was forgotten with a call that was never sent, and the prompt was prefilled again."""
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0, slack=0.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     harness.do(LegHead(prefill.leg, 200, {}), 0.3)
@@ -496,7 +497,7 @@
 
 
 def long_prompt(tries: int) -> tuple[ExchangeHarness, Call]:
-    """A request whose prompt is read apart first, and that call."""
+    """A request whose prompt is prefilled first, and the call of that prefill."""
     harness = ExchangeHarness(prefill_backends=3, tries=tries, resumable=tries > 1, goal_ms=600.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     assert prefill.backend.stage == "prefill"
@@ -504,7 +505,7 @@
 
 
 def test_a_reading_that_came_to_nothing_is_not_repeated_where_the_route_has_one_try() -> None:
-    """Found by a review (BUDGET): a second reading and the making ran on two backends of a route with one try."""
+    """A second prefill and the decode ran on two backends for a route with one try (rule BUDGET)."""
     harness, prefill = long_prompt(tries=1)
     (decode,) = calls(harness.do(LegFailed(1, SendEvidence.WRITTEN)))
     assert decode.backend.stage == "decode" and decode.leg != prefill.leg
@@ -545,21 +546,21 @@
 
 
 class RunCount:
-    """Which calls of one request may have run, and what that means for its tries."""
+    """Counts which calls of one request may have run, and what that means for its tries."""
 
     def __init__(self) -> None:
         self.made: dict[int, Call] = {}
         self.not_run: set[int] = set()
 
     def backends(self) -> int:
-        """Backends that it may have run on; the first reading that a backend took up is none."""
+        """Backends on which it may have run; the first prefill that a backend accepted does not count."""
         ran = [call for leg, call in self.made.items() if leg not in self.not_run]
         readings = [call for call in ran if call.backend.stage == "prefill"]
         return len(ran) - min(1, len(readings))
 
 
 def random_event(random: Random, call: Call) -> Event:
-    """Something that may happen to a call."""
+    """An event that may happen to a call."""
     status, headers = random.choice([(200, dict(SEALED)), (200, {}), (503, {"x-not-run": "1"}), (500, {}), (503, {})])
     is_prefill = call.backend.stage == "prefill"
     events: list[Event] = [
@@ -573,7 +574,7 @@
 
 
 def test_random_orders_of_events_keep_to_the_tries_and_the_time_of_a_route() -> None:
-    """BUDGET and the price of a request that is held past its route's time; every case must have been reached."""
+    """The tries (rule BUDGET) and the route's time limit hold; every case must have been reached."""
     reached: Counter[str] = Counter()
     for seed in range(3000):
         random = Random(seed)
@@ -594,7 +595,7 @@
             if isinstance(event, LegEnd) and (head := heads.get(event.leg)) and "x-not-run" in head.headers:
                 count.not_run.add(event.leg)
             if isinstance(event, LegFailed) and event.leg in heads:
-                event = LegFailed(event.leg, SendEvidence.WRITTEN)  # whose head came had been sent
+                event = LegFailed(event.leg, SendEvidence.WRITTEN)  # a call whose answer's head arrived had been sent
             actions = harness.do(event, random.random() * 0.2)
             out += calls(actions)
             count.made |= {call.leg: call for call in calls(actions)}
@@ -610,7 +611,7 @@
 
 
 def read_after(harness: ExchangeHarness, seconds: float, part: str = "s") -> None:
-    """A long prompt with this shared part, whose reading takes so long."""
+    """A long prompt with this shared prefix, whose prefill takes so long."""
     (prefill,) = calls(harness.begin("17020,17", f"{part}:13300,o{part}:3720"))
     harness.do(LegHead(prefill.leg, 200, {}), seconds)
     harness.do(LegData(prefill.leg, b'{"prompt_handle":"h1","tokens":17020,"revision":1}'))
@@ -655,14 +656,14 @@
         for harness in (idle, busy)
     ]
     assert due[0] == pytest.approx(PREFILL_TIMEOUT_BASE_S + PREFILL_TIMEOUT_FACTOR * (20.0 + 0.02 * 17_020) / 1e3)
-    assert due[1] == 3.0  # the end of the request's time comes first
+    assert due[1] == 3.0  # the end of the request's time is earlier
 
 
 def test_a_reading_that_never_left_is_no_load() -> None:
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     (once,) = harness.shared.load.report(harness.now, [])
-    harness.do(LegFailed(prefill.leg, SendEvidence.NEVER_CONNECTED))  # and another is asked
+    harness.do(LegFailed(prefill.leg, SendEvidence.NEVER_CONNECTED))  # another backend is called
     (told,) = harness.shared.load.report(harness.now, [])
     assert told.prefill == pytest.approx(once.prefill)
 
--- a/tests/test_exchange_parts.py
+++ b/tests/test_exchange_parts.py
@@ -1,4 +1,4 @@
-"""The parts of an exchange, each alone: counting of tries, kinds of answers, legs' figures, the client's answer."""
+"""The parts of an exchange, each alone: counts of attempts, kinds of answers, loads of legs, the client's answer."""
 
 from __future__ import annotations
 
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -1,8 +1,8 @@
 """A controller and a proxy over 1,000 changes: memory and processor time from the 100th to the 1,000th.
 
-A whole controller (custody, disk, delivery, registry, operator API) and a proxy's links and data plane run over
-loopback in this process. Sizes repeat every hundred changes, so that equal parts of the run do equal work; every
-change brings routes, hosts and services that no other one has.
+A whole controller (consensus, disk, delivery, registry, operator API) and a proxy's links and data plane run over
+loopback in this process. Sizes repeat every hundred changes, so that equal parts of the run do equal work. Every change
+brings routes, hosts and services of its own.
 """
 
 from __future__ import annotations
@@ -43,15 +43,15 @@
 FULL = range(400, 500)  # tables with a bound are full by now
 MEMORY_TOLERANCE = 0.1
 FULL_TOLERANCE = 0.05
-PATIENCE_S = 10.0  # of an operator with one change
+PATIENCE_S = 10.0  # an operator's time limit for one change
 FEW_CALLS = 64
 SAMPLED_EVERY = 5
-# Work that grows with the number of changes would be five to ten times as much late as early. What load on the machine
-# does to the time of any work is taken out by a piece of work that is the same at each change.
+# Work that grows with the number of changes would take five to ten times as long late as early. A fixed piece of work
+# beside each change cancels out the effect of the machine's load.
 PROCESSOR_FACTOR = 1.5
 REFERENCE = msgspec.json.encode([{"name": f"item-{number}", "values": list(range(20))} for number in range(300)])
 LIMIT_S = 240.0
-BEAT_MS = 60_000  # each backend beats once in BACKENDS changes, however long the machine takes for them
+BEAT_MS = 60_000  # each backend sends one heartbeat in BACKENDS changes, however slow the machine is
 BACKENDS = 300
 
 
@@ -68,22 +68,22 @@
 
 
 class DataPlane:
-    """What a proxy's links feed: its data plane."""
+    """The data plane of a proxy, as its links see it."""
 
     def __init__(self, proxy: Proxy) -> None:
         self._proxy = proxy
 
     @property
     def revision(self) -> int:
-        """Of the configuration in force."""
+        """The revision of the configuration in force."""
         return self._proxy.revision
 
     def configure(self, document: bytes) -> bool:
-        """Take a configuration."""
+        """Put a configuration in force."""
         return self._proxy.configure(document)
 
     def learn(self, backends: Iterable[Backend]) -> None:
-        """Take records of backends."""
+        """Merge records of backends."""
         self._proxy.learn(backends)
 
     def known(self) -> tuple[Backend, ...]:
@@ -91,37 +91,37 @@
         return self._proxy.shared.candidates.known()
 
     def set_proxy_count(self, count: int) -> None:
-        """The told number of proxies."""
+        """Set the number of proxies."""
         self._proxy.shared.choices.draws.proxies = max(1, count)
 
     def evacuate(self, number: int, zones: Iterable[str]) -> int:
-        """Nothing is sent to these zones."""
+        """Stop sending to these zones."""
         return self._proxy.evacuate(number, zones)
 
     def clock_ms(self) -> int:
-        """Its steady clock, or 0."""
+        """The steady clock, or 0."""
         return self._proxy.clock_ms()
 
     def permit(self, permits: WarmUpPermits) -> None:
-        """A controller leases permits to send to a cold backend."""
+        """Add permits to send to a cold backend."""
         self._proxy.permit(permits)
 
     def hold_off(self, backend: str, seconds: float) -> None:
-        """Nothing is sent to this backend for so long."""
+        """Avoid this backend for so long."""
         self._proxy.hold_off(backend, seconds)
 
     def loads(self) -> tuple[StageLoad, ...]:
-        """What is asked of backends."""
+        """The offered load on backends."""
         return self._proxy.loads()
 
 
 def single_replica(now: float, random: Random) -> ConsensusReplica:
-    """The custody of a system with one controller."""
+    """The consensus replica of a system with one controller."""
     return ConsensusReplica(ConsensusSettings(ONE, (ONE,), True, 0), {}, random, now)
 
 
 async def put_changes(folder: Path, look: Callable[[int], None]) -> None:
-    """Put all changes through a controller and a linked proxy; `look` is called before each."""
+    """Send all changes to a controller with a linked proxy; `look` is called before each."""
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
     settings = msgspec.structs.replace(controller_settings(ONE, ports), beat_ms=BEAT_MS)
@@ -135,7 +135,7 @@
         await asyncio.sleep(0.01)
     try:
         async with caller(ports) as client:
-            for number in range(3 * BACKENDS):  # as in service: each backend has beaten before
+            for number in range(3 * BACKENDS):  # as in service, each backend has sent heartbeats before
                 await one_heartbeat(client, number)
             await link_again(controller, links)
             for number in range(1, CHANGES + 1):
@@ -152,8 +152,8 @@
 
 
 async def link_again(controller: Controller, links: FleetLinks) -> None:
-    """End the proxy's link and wait for the next, which brings the records anew: a machine that stalls ends it at any
-    time, and what the proxy then holds of its own is no growth over changes."""
+    """Close the proxy's link and wait for the next one, which sends the records again. A stall of the machine closes
+    the link at any time, and what the proxy then holds of its own is no growth over changes."""
     (link,) = (dialer.link for dialer in links._dialers.values())
     assert link is not None
     link.close()
@@ -164,7 +164,7 @@
 
 
 async def one_change(client: Caller, number: int) -> None:
-    """Put one change, sent again as it was while there is no primary: a machine that stalls costs it its lease."""
+    """Send one change, and repeat it unchanged while there is no primary: a stall of the machine ends its lease."""
     async with asyncio.timeout(PATIENCE_S):
         status, _, answer = await client.call("POST", REPLACE, change(number), number - 1)
         while status == 503:
@@ -173,7 +173,7 @@
 
 
 async def one_heartbeat(client: Caller, number: int) -> None:
-    """Send a heartbeat of one of the backends, again while nobody hears the controller after a stall."""
+    """Send a heartbeat of one of the backends; repeat it while no one reaches the controller after a stall."""
     which = number % BACKENDS
     sent = beat(1000 + number, address=f"10.0.{which // 250}.{which % 250}:80")
     async with asyncio.timeout(PATIENCE_S):
@@ -195,13 +195,13 @@
 
 
 def kept_in(window: range, traced: dict[int, int]) -> int:
-    """The least bytes seen among these changes: what is kept, without what is under way just then."""
+    """The least bytes seen among these changes: retained memory, without what is in use only at the moment."""
     return min(size for number, size in traced.items() if number in window)
 
 
 def test_memory_is_flat_and_the_file_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The table of calls taken is kept short, so that it is full by the 100th change: its bound has tests of its own,
-    and its filling would hide a leak."""
+    """The call table is kept short, so that it is full by the 100th change: its bound has tests of its own, and its
+    filling would hide a leak."""
     monkeypatch.setattr("cranebank.control.call_table.MOST_CALLS", FEW_CALLS)
     traced = dict.fromkeys(range(0, CHANGES + 1, SAMPLED_EVERY), 0)
     largest_file = 0
@@ -228,7 +228,7 @@
 
 
 def reference_s() -> float:
-    """Processor time of a fixed piece of work of the kind that a change is: reading, building, sorting."""
+    """Processor time of a fixed piece of work like that of a change: parsing, building, sorting."""
     began = time.process_time()
     for _ in range(3):
         items = msgspec.json.decode(REFERENCE)
@@ -258,7 +258,7 @@
 
 
 def test_work_that_grows_would_be_seen() -> None:
-    """A table that is gone through at each change: the measure above finds it, whatever the machine does meanwhile."""
+    """The measure above finds a table that is scanned at each change, whatever the load of the machine."""
     table: list[int] = []
 
     def change_s(number: int) -> float:
@@ -274,7 +274,7 @@
 
 
 def growth(step: Callable[[int], None]) -> tuple[int, int]:
-    """Bytes that live after the 200th and after the 1,000th step."""
+    """Bytes that are in use after the 200th and after the 1,000th step."""
     after: dict[int, int] = {}
     tracemalloc.start()
     try:
@@ -289,14 +289,14 @@
 
 
 def backend(number: int, phase: str) -> Backend:
-    """A backend of a service that only it belongs to."""
+    """A backend of a service of its own."""
     return Backend(
         f"b-{number}", f"service-{number:05}", f"10.1.{number // 250}.{number % 250}:80", "z", "", 1, phase, 1
     )
 
 
 def test_a_proxy_forgets_the_budgets_of_services_that_are_gone() -> None:
-    """A budget is kept as long as something in its window counts, and no longer."""
+    """A budget is kept while something in its window counts, and no longer."""
 
     async def story() -> None:
         loop = asyncio.get_running_loop()
@@ -314,7 +314,7 @@
 
 
 def test_a_request_spends_from_the_budget_that_is_kept_now() -> None:
-    """An open request may outlive the budget that it began with; what it spends counts all the same."""
+    """An open request may outlive the budget that it began with; what it spends still counts."""
     story = ExchangeHarness(slack=50.0)
     (call,) = calls(story.begin())
     story.budget = Budget(0.2, 0.0, 10.0, 0.0)
--- a/tests/test_mixed_services.py
+++ b/tests/test_mixed_services.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback before services of both kinds, with stand-in backends that say what they were sent."""
+"""A proxy on loopback in front of services of both kinds, with stand-in backends that report what they received."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def document(revision: int, engine_of_status: dict[str, Any] | None = None) -> bytes:
-    """A staged service and a plain one, each with a route, and a route that leads to both by shares."""
+    """A staged service and a plain one, each with a route, and a route to both by shares."""
     status: dict[str, Any] = {"name": "status"}
     if engine_of_status is not None:
         status["engine"] = engine_of_status
@@ -40,7 +40,7 @@
 
 
 class StandIn:
-    """A backend that answers 200, or what it is told to, and keeps the heads that it was sent."""
+    """A backend that answers 200 or a given status, and records the heads of its requests."""
 
     def __init__(self, name: str, service: str, stage: str) -> None:
         self.name, self.service, self.stage = name, service, stage
@@ -55,7 +55,7 @@
         return server
 
     def record(self, phase: str = "ready", call_seq: int = 1) -> Backend:
-        """What its heartbeats tell."""
+        """The record that its heartbeats yield."""
         return Backend(self.name, self.service, self.address, "z", self.stage, 4, phase, call_seq)
 
     async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -79,7 +79,7 @@
 
 
 class Client:
-    """Sends one request at a time, each on a connection of its own."""
+    """Sends one request at a time, each on its own connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._address, self._sent = address, 0
@@ -105,7 +105,7 @@
 
 
 def play(story: Story) -> None:
-    """Two plain backends, and one of each stage."""
+    """Run a proxy with two plain backends and one of each stage."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -1,4 +1,5 @@
-"""The choice of a pair: the (1+beta) process at both stages, seen in the choices themselves; the budget; the cache."""
+"""The choice of a pair: the (1+beta) process at both stages, tested by its choices; the retry budget; the cache
+view."""
 
 from __future__ import annotations
 
@@ -30,7 +31,7 @@
 
 
 def chooser(makers: int = SIZE, readers: int = 4, seed: int = 1) -> tuple[PairChooser, Candidates]:
-    """A chooser over backends that nobody has called yet."""
+    """A chooser over backends without calls."""
     candidates = Candidates()
     candidates.merge([Backend(f"d{i}", "svc", f"10.0.0.{i}:1", "z", "decode", 32, "ready", 1) for i in range(makers)])
     candidates.merge([Backend(f"p{i}", "svc", f"10.0.1.{i}:1", "z", "prefill", 32, "ready", 1) for i in range(readers)])
@@ -38,27 +39,27 @@
 
 
 def with_cache() -> tuple[PairChooser, Candidates, CacheView]:
-    """The same, and its view of who keeps what."""
+    """The same, with its cache view."""
     _, candidates = chooser()
     cache = CacheView()
     return PairChooser(candidates, cache, BlendedDraw(Random(1))), candidates, cache
 
 
 def load(candidates: Candidates, now: float, stage: str = "d") -> None:
-    """Backend number i has i calls out; the figures are of this moment."""
+    """Backend number i has i calls in flight; the loads are current."""
     for name, seen in candidates.views.items():
         if name.startswith(stage):
             seen.calls, seen.tokens, seen.load_changed_at = int(name[1:]), 400 * int(name[1:]), now
 
 
 def rate(choose: PairChooser, now: float, calls: int, stage: str = "decode") -> None:
-    """So many calls within the last moment."""
+    """Count so many calls within the last moment."""
     for _ in range(calls):
         choose.draws.count_call(now, "svc", stage)
 
 
 def shares(choose: PairChooser, now: float, count: int = 20_000) -> Counter[str]:
-    """How often each maker is chosen."""
+    """How often each decode backend is chosen."""
     found: Counter[str] = Counter()
     for _ in range(count):
         plan = choose.choose(now, "svc", ENGINE, SHORT, 300.0, set())
@@ -68,13 +69,14 @@
 
 
 def plans(choose: PairChooser, now: float, count: int) -> list[Plan]:
-    """Pairs for a long shared prompt."""
+    """Plans for prompts with a long shared prefix."""
     found = [choose.choose(now, "svc", ENGINE, LONG, 600.0, set()) for _ in range(count)]
     return [plan for plan in found if plan is not None]
 
 
 def expected(blend: float, size: int = SIZE) -> list[float]:
-    """Shares of two different uniform draws, the lower with probability ``blend``; number 0 is the lowest."""
+    """The shares of two different uniform draws, the cheaper one with probability ``blend``; number 0 is the
+    cheapest."""
     pairs = size * (size - 1)
     return [blend * 2 * (size - 1 - i) / pairs + (1 - blend) / size for i in range(size)]
 
@@ -85,7 +87,7 @@
     choose.draws.proxies = proxies
     load(candidates, 100.0 - age)
     rate(choose, 100.0, calls)
-    b = calls / 2.0 * proxies * age  # calls a second are averaged over two seconds
+    b = calls / 2.0 * proxies * age  # calls per second are averaged over two seconds
     edge = SIZE * log(SIZE)
     blend = 1.0 if b <= edge else sqrt(edge / b)
     found = shares(choose, 100.0)
@@ -202,7 +204,7 @@
 
 
 def test_makers_are_of_any_zone() -> None:
-    """One zone may have a single maker: those who are near it must not all go there."""
+    """A zone may have a single decode backend, and the proxies near it must not all use it."""
     choose, _ = zoned({"a": 4, "b": 4, "c": 4}, "b")
     short = [choose.choose(100.0, "svc", ENGINE, SHORT, 300.0, set()) for _ in range(900)]
     found = Counter(plan.decode_backend.backend.zone for plan in short if plan is not None)
@@ -232,13 +234,13 @@
 
 
 def test_the_more_waits_the_more_a_keeper_is_worth() -> None:
-    wait = 1.2 * MIN_REREAD_WEIGHT  # of the time that its shared part takes to read
+    wait = 1.2 * MIN_REREAD_WEIGHT  # in units of the time that a prefill of the shared prefix takes
     for congested in (False, True):
         choose, candidates, cache = with_cache()
         cache.record_prefix("p3", "s", 13_300, 400_000)
         second = choose.latency("svc", "prefill").token_ms * 13.300
         if congested:
-            for _ in range(60):  # waits of eight readings are what this proxy has met
+            for _ in range(60):  # this proxy has met waits of eight prefills
                 for seen in candidates.views.values():
                     seen.prefill_queue = PrefillQueue()
                     seen.prefill_queue.add(100.0, 8 * second)
@@ -283,7 +285,7 @@
 
 @given(st.lists(st.tuples(st.floats(0, 60), st.booleans()), max_size=200), st.integers(1, 20))
 def test_all_parts_together_stay_within_the_budget(steps: list[tuple[float, bool]], proxies: int) -> None:
-    """Every proxy spends all that it may, at the worst moments; the sum holds in every window."""
+    """Every proxy spends all it may, at the worst moments; the sum stays within the budget in every window."""
     ratio, slack, window = 0.2, 58.0, 10.0
     parts = [Budget(ratio, slack, window, 0.0) for _ in range(proxies)]
     asked: list[float] = []
@@ -349,7 +351,7 @@
     )
 )
 def test_ready_lists_are_those_of_the_records_whatever_changes(steps: list[tuple[int, str, str, int]]) -> None:
-    """The ready ones, and the lost ones as well where over half of those thought to be alive are lost."""
+    """The ready backends, and the lost ones as well if over half of those thought to be alive are lost."""
     candidates = Candidates()
     for number, phase, stage, call_seq in steps:
         before = {stage: list(candidates.ready(0.0, "svc", stage)) for stage in STAGES}
--- a/tests/test_passed_on.py
+++ b/tests/test_passed_on.py
@@ -1,4 +1,4 @@
-"""What a backend gets of a client's request: its own fields as they came, and the system's, which no client can set."""
+"""The header fields that a backend gets: the client's own, unchanged, and the proxy's, which no client can set."""
 
 from __future__ import annotations
 
@@ -32,7 +32,8 @@
 
 
 class RecordingBackends:
-    """Backends that keep the heads of their requests; the first ``rejections`` answers say, late, that nothing ran."""
+    """Backends that record the heads of their requests; the first ``rejections`` answers state, late, that nothing
+    ran."""
 
     def __init__(self, rejections: int = 0, late_s: float = 0.0) -> None:
         self.heads: list[list[str]] = []
@@ -57,7 +58,7 @@
 
 
 def play(story: Story, backends: RecordingBackends, document: bytes | None = DOCUMENT) -> None:
-    """A proxy before two backends."""
+    """Run a proxy in front of two backends."""
 
     async def run() -> None:
         made = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), asyncio.get_running_loop().time())
--- a/tests/test_plain_service.py
+++ b/tests/test_plain_service.py
@@ -1,4 +1,4 @@
-"""Services without engines: the (1+beta) process on load in flight, and what becomes of their requests."""
+"""Services without engines: the (1+beta) process on calls in flight, and the outcomes of their requests."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
         seen.calls, seen.load_changed_at = i, NOW - age
     for _ in range(calls):
         choices.draws.count_call(NOW, "svc", "")
-    between_refreshes = calls / 2.0 * proxies * age  # calls a second are averaged over two seconds
+    between_refreshes = calls / 2.0 * proxies * age  # calls per second are averaged over two seconds
     edge = size * log(size)
     blend = 1.0 if between_refreshes <= edge else sqrt(edge / between_refreshes)
     found = chosen(choices, count=20_000)
@@ -101,7 +101,8 @@
 
 def test_a_service_goes_from_one_kind_to_the_other_by_its_configuration() -> None:
     choices, candidates = choices_over(backend("d", "decode"), backend("p", "prefill"))
-    assert chosen(choices, None, 20) == {"d": 20}  # it has lost its engine: whole requests are taken by decode only
+    # The service has lost its engine, and only decode backends take whole requests
+    assert chosen(choices, None, 20) == {"d": 20}
     candidates.merge([backend("plain")])
     assert chosen(choices, None, 20) == {"plain": 20}
     assert chosen(choices, ENGINE, 20) == {"d": 20}
@@ -112,7 +113,7 @@
     candidates.failed(NOW, "a")
     assert chosen(choices, None, 30) == {"b": 30}
     candidates.failed(NOW, "b")
-    assert set(chosen(choices, None, 50)) == {"a", "b"}  # all did: any may be tried
+    assert set(chosen(choices, None, 50)) == {"a", "b"}  # all have failed, so any may be tried
 
 
 class ExchangeHarness:
@@ -135,11 +136,11 @@
         return call
 
     def answer(self, leg: int, status: int, headers: dict[str, str], body: bytes = b"ok") -> list[Action]:
-        """A backend's whole answer."""
+        """A backend's complete answer."""
         return [*self.do(LegHead(leg, status, headers)), *self.do(LegData(leg, body)), *self.do(LegEnd(leg))]
 
     def out(self) -> int:
-        """Calls that are out."""
+        """The number of calls in flight."""
         return sum(seen.calls for seen in self.candidates.views.values())
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The switches of the mechanisms by which a proxy decides."""
+"""The switches of the mechanisms by which a proxy chooses backends."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def choices(*off: str) -> tuple[Choices, Candidates, CacheView]:
-    """Of a proxy in zone a, over four backends of each stage in two zones."""
+    """The choices of a proxy in zone a, over four backends of each stage in two zones."""
     candidates, cache = Candidates(), CacheView()
     for stage in ("prefill", "decode"):
         for number in range(4):
@@ -84,7 +84,7 @@
 
 
 def prefill_backends(made: Choices, now: float = 100.0) -> set[str]:
-    """Who reads a long shared prompt."""
+    """The prefill backends that are chosen for a long shared prompt."""
     plans = [made.of("svc", ENGINE).choose(now, LONG, 600.0, set()) for _ in range(200)]
     return {plan.prefill_backend.backend.id for plan in plans if plan is not None and plan.prefill_backend is not None}
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The data plane's asyncio end on real loopback sockets and the loop that it runs on in service."""
+"""The asyncio side of the data plane, on real loopback sockets and the event loop used in service."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def play(story: Story, answer: bytes = ANSWER) -> None:
-    """A proxy before one backend that answers everything the same."""
+    """Run a proxy in front of one backend that answers every request the same way."""
 
     async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError):
@@ -81,7 +81,7 @@
 
 
 async def ask(address: tuple[str, int], request: bytes = REQUEST) -> bytes:
-    """What comes for a request up to the end of a chunked answer, or of the connection."""
+    """What a client receives for a request, up to the end of a chunked answer or of the connection."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(request)
     found = b""
@@ -104,8 +104,8 @@
 
 
 def test_a_time_to_wake_that_has_passed_does_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a hunt (MIXED): uvloop answers call_at of a past time with a handle that knows no time; the exception
-    came between an answer's head and its body, and the next run's body went out without a head."""
+    """uvloop's call_at returns a handle without a time for a past time. The exception came between an answer's head and
+    its body, and the next attempt's body was sent without a head (rule MIXED)."""
     handle = Exchange.handle
 
     def late(self: Exchange, now: float, event: object) -> list[object]:
@@ -163,7 +163,7 @@
 
 
 def test_a_proxy_never_steps_back_to_a_lower_revision() -> None:
-    """Found missing by a planted fault."""
+    """No other test finds the planted fault of an older configuration that is put in force."""
     made = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), 0.0)
     older = DOCUMENT.replace(b'"revision":3', b'"revision":2').replace(b"h.example", b"old.example")
     assert made.configure(DOCUMENT) and made.configure(older)
@@ -182,8 +182,7 @@
 
 
 def test_a_connection_that_is_reset_at_once_took_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: a backend that resets connections beyond its bound made requests that never left us count as
-    sent."""
+    """A backend that resets connections beyond its limit made requests count as sent that had not been sent."""
     dial, resets = Pool.dial, [True]
 
     async def reset(self: Pool, to: Backend) -> Connection:
@@ -205,7 +204,7 @@
 
 
 def test_a_request_that_crosses_the_end_of_an_idle_connection_is_left_unread(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review (LOST): it was read and dropped, and what may run once only could not be sent again."""
+    """It was read and dropped, and what may run only once could not be sent again (rule LOST)."""
     read: list[bytes] = []
     received = ClientConnection.data_received
 
@@ -246,7 +245,7 @@
 
 
 def test_a_service_that_is_dropped_and_comes_back_has_spent_what_it_has() -> None:
-    """Found by a review (BUDGET): its budget began anew, with all of the slack."""
+    """Its budget was created anew, with all of the slack (rule BUDGET)."""
 
     async def story(made: Proxy, address: tuple[str, int]) -> None:
         budget, now = made.shared.budget("svc"), asyncio.get_running_loop().time()
--- a/tests/test_stage_watch.py
+++ b/tests/test_stage_watch.py
@@ -1,4 +1,4 @@
-"""What a proxy reports when a stage of a service has no ready backend any more."""
+"""What a proxy logs when a stage of a service has no ready backend any more."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def lines() -> Iterator[list[str]]:
-    """What is logged."""
+    """The logged lines."""
     found: list[str] = []
     logger.remove()
     sink = logger.add(lambda message: found.append(str(message).strip()), format="{level} {message}", level="INFO")
@@ -28,13 +28,13 @@
 
 
 class Watched:
-    """Candidates and what watches them."""
+    """Candidates, and the watch over them."""
 
     def __init__(self) -> None:
         self.candidates, self.watch = Candidates(), StageWatch()
 
     def learn(self, now: float, *records: Backend) -> None:
-        """Take records as a proxy does."""
+        """Merge records as a proxy does."""
         self.candidates.merge(records)
         self.watch.observe(now, self.candidates.stages_with_ready(), self.candidates.records.values())
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Backends whose heartbeats ceased: which of them a proxy still sends to, by what it has seen itself."""
+"""Backends whose heartbeats ceased: which of them a proxy still sends to, by the evidence of its own calls."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def known(ready: int, lost: int = 0) -> Candidates:
-    """The first ones are ready, the others were lost at LOST_AT."""
+    """The first backends are ready; the others were lost at LOST_AT."""
     candidates = Candidates()
     candidates.merge([backend(number) for number in range(ready + lost)], 0.0)
     candidates.merge([backend(number, "lost") for number in range(ready, ready + lost)], LOST_AT)
@@ -33,7 +33,7 @@
 
 
 def listed(candidates: Candidates, now: float, without: frozenset[str] = frozenset()) -> set[str]:
-    """Ids of those that may be chosen."""
+    """The ids of the candidates."""
     found = {seen.backend.id for seen in candidates.ready(now, "svc", "decode", without)}
     assert not violations()
     return found
@@ -113,7 +113,7 @@
 
 
 def test_the_same_list_is_given_for_as_long_as_it_holds() -> None:
-    """The choice remembers homes by it."""
+    """The choice remembers homes by the identity of the list."""
     candidates = known(1, lost=3)
     first = candidates.ready(LOST_AT, "svc", "decode")
     assert candidates.ready(LOST_AT + 1.0, "svc", "decode") is first
@@ -122,7 +122,7 @@
 
 
 def test_a_few_suspects_among_many_ready_ones_cost_no_look_at_each() -> None:
-    """A fleet of thousands has lost somebody within the last minute nearly always."""
+    """A fleet of thousands nearly always has lost a backend within the last minute."""
     looks = 0
 
     class Counted(BackendView):
@@ -169,7 +169,7 @@
 
 
 def test_suspects_that_answer_are_not_given_up_after_a_minute() -> None:
-    """They are cut off from the controllers for longer than that, and serve all the while."""
+    """They are cut off from the controllers for longer than that, yet keep serving."""
     candidates = known(0, lost=2)
     candidates.answered(LOST_AT + MAX_SUSPECT_AGE_S, "b0")
     assert listed(candidates, LOST_AT + MAX_SUSPECT_AGE_S + 0.5) == {"b0"}
@@ -178,7 +178,7 @@
 
 
 def test_a_service_without_backends_costs_no_look_at_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each refused request looks several times; 1.3 ms a look at 5,700 backends."""
+    """Each refused request looks at the candidates several times; a scan of 5,700 backends takes 1.3 ms."""
     candidates = Candidates()
     candidates.merge([backend(number) for number in range(1000)])
     looks = 0
