--- a/cranebank/dataplane/blended_draw.py
+++ b/cranebank/dataplane/blended_draw.py
@@ -29,7 +29,7 @@
         self._rates.setdefault((service, stage), DecayedRate(RATE_AVERAGING_S)).add(now)
 
     def blend(
-        self, now: float, service: str, stage: str, listed: list[BackendView], drawn: tuple[BackendView, BackendView]
+        self, now: float, service: str, stage: str, backends: list[BackendView], drawn: tuple[BackendView, BackendView]
     ) -> float:
         """Return beta for two draws. It falls as their costs age and as the number of proxies grows."""
         if not self._is_blended:
@@ -37,18 +37,18 @@
         age = now - max(self.neighbour_loads_at, min(drawn[0].load_changed_at, drawn[1].load_changed_at))
         rate = self._rates.get((service, stage))
         calls = (rate.at(now) if rate else 0.0) * self.proxies * min(age, RATE_AVERAGING_S)
-        return min(1.0, beta(len(listed), calls))
+        return min(1.0, beta(len(backends), calls))
 
-    def draw(self, listed: list[BackendView]) -> tuple[BackendView, BackendView]:
+    def draw(self, backends: list[BackendView]) -> tuple[BackendView, BackendView]:
         """Draw two backends uniformly, distinct ones if there is more than one."""
-        if len(listed) == 1:
-            return listed[0], listed[0]
-        first, second = self._random.sample(listed, 2)
+        if len(backends) == 1:
+            return backends[0], backends[0]
+        first, second = self._random.sample(backends, 2)
         return first, second
 
-    def sample_one(self, listed: list[BackendView]) -> list[BackendView]:
+    def sample_one(self, backends: list[BackendView]) -> list[BackendView]:
         """Draw one backend uniformly from a list that may be empty."""
-        return [self._random.choice(listed)] if listed else []
+        return [self._random.choice(backends)] if backends else []
 
     def prefers_second(self, blend: float, first: float, second: float) -> bool:
         """Return whether to take the second draw: with probability ``blend`` if its cost is lower; ties are broken at
--- a/cranebank/dataplane/by_zone.py
+++ b/cranebank/dataplane/by_zone.py
@@ -15,16 +15,16 @@
         self._candidates = candidates
         self._known: dict[tuple[str, str], tuple[list[BackendView], int, dict[str, list[BackendView]]]] = {}
 
-    def of(self, listed: list[BackendView], zone: str) -> list[BackendView]:
+    def of(self, backends: list[BackendView], zone: str) -> list[BackendView]:
         """Return the backends of a candidate list that are in a zone; the result must not be changed."""
-        if not zone or not listed:
+        if not zone or not backends:
             return EMPTY
-        backend, version = listed[0].backend, self._candidates.version
+        backend, version = backends[0].backend, self._candidates.version
         key = (backend.target, backend.stage)
         known = self._known.get(key)
-        if known is None or known[0] is not listed or known[1] != version:
+        if known is None or known[0] is not backends or known[1] != version:
             zones: dict[str, list[BackendView]] = {}
-            for view in listed:
+            for view in backends:
                 zones.setdefault(view.backend.zone, []).append(view)
-            known = self._known[key] = (listed, version, zones)
+            known = self._known[key] = (backends, version, zones)
         return known[2].get(zone, EMPTY)
--- a/cranebank/dataplane/cache_view.py
+++ b/cranebank/dataplane/cache_view.py
@@ -23,7 +23,7 @@
     is_prefix: bool
 
 
-class _Kept:
+class _CachedParts:
     """The cached parts of one backend, least recently used first."""
 
     __slots__ = ("entries", "tokens")
@@ -46,11 +46,11 @@
     """The cached parts by backend."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, _Kept] = {}
+        self._by_backend: dict[str, _CachedParts] = {}
 
     def cached_tokens(self, backend: str, parts: tuple[tuple[str, int], ...]) -> int:
-        """Return the tokens at the start of these parts that the backend is expected to cache."""
-        cached = self._kept.get(backend)
+        """Return how many tokens at the start of these parts the backend is expected to hold in its cache."""
+        cached = self._by_backend.get(backend)
         if cached is None:
             return 0
         total = before = 0
@@ -66,7 +66,7 @@
     def record_prefix(self, backend: str, part: str, tokens: int, max_tokens: int, share: float = CACHE_SHARE) -> None:
         """Record that another proxy had the backend read a prompt up to and including this part. ``max_tokens``: the
         backend's memory, of which ``share`` is for cached parts."""
-        cached = self._kept.setdefault(backend, _Kept())
+        cached = self._by_backend.setdefault(backend, _CachedParts())
         cached.put(part, _Entry(tokens, is_prefix=True))
         cached.trim(max_tokens * share)
 
@@ -75,11 +75,11 @@
     ) -> None:
         """Record that the backend has just read or fetched these parts. ``max_tokens``: its memory, of which ``share``
         is for cached parts."""
-        cached = self._kept.setdefault(backend, _Kept())
+        cached = self._by_backend.setdefault(backend, _CachedParts())
         for name, size in parts:
             cached.put(name, cached.entries.get(name) or _Entry(size, is_prefix=False))
         cached.trim(max_tokens * share)
 
     def forget(self, backend: str) -> None:
         """Forget a backend that has ended."""
-        self._kept.pop(backend, None)
+        self._by_backend.pop(backend, None)
--- a/cranebank/dataplane/candidates.py
+++ b/cranebank/dataplane/candidates.py
@@ -202,28 +202,28 @@
         unless all did.
 
         Invariant: the list is empty only if no backend of the service and stage is ready, or lost and not backed off.
-        Not counted are those in ``without``, those of evacuated zones and cold ones without a free permit.
+        Backends in ``without``, in evacuated zones, or cold without a free permit do not count.
         """
         key = (service, stage)
-        listed = self._ready.get(key, [])
+        backends = self._ready.get(key, [])
         if self._suspects:
-            listed = self._suspects.merged(now, key, listed)
+            backends = self._suspects.merged(now, key, backends)
         if self._avoided:
             self._avoided = {name for name in self._avoided if self.views[name].is_avoided(now)}
         if self.cold:
             self.cold.forget_expired(now)
         if without or self._avoided or self.cold:
-            listed = self._usable(now, listed, without)
-            listed = [view for view in listed if not view.is_avoided(now)] or listed
+            backends = self._usable(now, backends, without)
+            backends = [view for view in backends if not view.is_avoided(now)] or backends
         if self.cold:
-            listed = [view for view in listed if not self.cold.may_be_cold(now, view)] or listed
-        if not listed:
-            listed = self._usable(now, self._suspects.last_resort(now, key), without)
+            backends = [view for view in backends if not self.cold.may_be_cold(now, view)] or backends
+        if not backends:
+            backends = self._usable(now, self._suspects.last_resort(now, key), without)
         if self._evacuated and self._may_be_cut_off(key):
-            listed = self._usable(now, self._ready_in_evacuated_zones(key), without) or listed
-        if not listed:
+            backends = self._usable(now, self._ready_in_evacuated_zones(key), without) or backends
+        if not backends:
             self._check_empty(now, key, without)
-        return listed
+        return backends
 
     def _may_be_cut_off(self, key: StageKey) -> bool:
         """Return whether no controller that knows the state in force is reachable and half of the other zones' backends
@@ -240,9 +240,9 @@
             if _stage_key(view.backend) == key and view.backend.phase == "ready"
         ]
 
-    def _usable(self, now: float, listed: list[BackendView], without: Set[str]) -> list[BackendView]:
-        listed = [view for view in listed if view.backend.id not in without]
-        return [view for view in listed if not self.cold.refuses(now, view)] if self.cold else listed
+    def _usable(self, now: float, backends: list[BackendView], without: Set[str]) -> list[BackendView]:
+        backends = [view for view in backends if view.backend.id not in without]
+        return [view for view in backends if not self.cold.refuses(now, view)] if self.cold else backends
 
     def _check_empty(self, now: float, key: StageKey, without: Set[str]) -> None:
         """Check the invariant of ``ready`` against all backends. There may be thousands, so the rate is limited."""
--- a/cranebank/dataplane/client_request.py
+++ b/cranebank/dataplane/client_request.py
@@ -21,15 +21,15 @@
 
 
 class ClientRequest(msgspec.Struct):
-    """One complete request. ``headers``: as received, without hop-by-hop fields; ``named``: all fields by lower-case
+    """One complete request. ``headers``: as received, without hop-by-hop fields; ``fields``: all fields by lower-case
     name."""
 
     method: str
     target: str
     headers: list[tuple[str, str]]
-    named: dict[str, str]
+    fields: dict[str, str]
     body: bytes
-    begun: float
+    began_at: float
     keeps_connection: bool = True
     is_http_1_0: bool = False
 
@@ -46,17 +46,17 @@
     def _reset(self) -> None:
         self._target = b""
         self._headers: list[tuple[str, str]] = []
-        self._named: dict[str, str] = {}
+        self._fields: dict[str, str] = {}
         self._body: list[bytes] = []
         self._body_bytes = self._head_bytes = self._fed_bytes = 0
         self._is_head_done = self._is_whole = False
         self._error: RequestError | None = None
 
-    def feed(self, data: bytes, begun: float) -> ClientRequest | None:
+    def feed(self, data: bytes, began_at: float) -> ClientRequest | None:
         """Parse bytes; return the request that they complete, if any. Raises RequestError, after which nothing more can
         be parsed.
 
-        ``begun``: when the request's first byte arrived, in seconds on the steady clock.
+        ``began_at``: when the request's first byte arrived, in seconds on the steady clock.
         """
         try:
             self._parser.feed_data(data)
@@ -65,7 +65,7 @@
         except httptools.HttpParserError as error:
             raise self._cause(error) from None
         if self._is_whole:
-            return self._take(begun)
+            return self._take(began_at)
         self._fed_bytes += len(data)
         if not self._is_head_done and self._fed_bytes > self._limits().header_bytes:
             raise HeadTooLarge  # the parser reports a field only once it has ended
@@ -75,14 +75,14 @@
         found = error.__context__ if isinstance(error.__context__, RequestError) else None
         return found or self._error or Malformed(str(error))
 
-    def _take(self, begun: float) -> ClientRequest:
+    def _take(self, began_at: float) -> ClientRequest:
         request = ClientRequest(
             self._parser.get_method().decode("latin-1"),
             self._target.decode("latin-1"),
             self._headers,
-            self._named,
+            self._fields,
             b"".join(self._body),
-            begun,
+            began_at,
             self._parser.should_keep_alive(),
             self._parser.get_http_version() == "1.0",
         )
@@ -108,24 +108,24 @@
             return
         text, key = value.decode("latin-1"), name.decode("latin-1")
         lower = key.lower()
-        if lower in self._named and lower in SINGLE_FIELDS:
+        if lower in self._fields and lower in SINGLE_FIELDS:
             self._fail(Malformed(f"{lower} twice"))
-        self._named[lower] = text
+        self._fields[lower] = text
         if lower not in UNFORWARDED:
             self._headers.append((key, text))
 
     def on_headers_complete(self) -> None:
         """The head is complete."""
         self._is_head_done = True
-        named = self._named
-        if "content-length" in named and "transfer-encoding" in named:
+        fields = self._fields
+        if "content-length" in fields and "transfer-encoding" in fields:
             self._fail(Malformed("two kinds of length"))
-        length = named.get("content-length", "0")
+        length = fields.get("content-length", "0")
         if not length.isdigit():
             self._fail(Malformed("content-length"))
         if int(length) > self._limits().body_bytes:
             self._fail(BodyTooLarge())
-        if named.get("expect", "").lower() == "100-continue":
+        if fields.get("expect", "").lower() == "100-continue":
             self._on_expect()
 
     def on_body(self, body: bytes) -> None:
--- a/cranebank/dataplane/front.py
+++ b/cranebank/dataplane/front.py
@@ -114,7 +114,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _refuse(self, error: RequestError) -> None:
-        """Answer bytes that are not a request which may be sent to a backend."""
+        """Answer a request that is malformed, too large or too slow with an error, and close the connection."""
         self.open = True
         self._response = ResponseFraming(keeps_connection=False, is_http_1_0=False, to_head_request=False)
         self.reply(error, None)
--- a/cranebank/dataplane/offered_load.py
+++ b/cranebank/dataplane/offered_load.py
@@ -14,11 +14,9 @@
 from cranebank.decayed_rate import DecayedRate
 from cranebank.transport.messages import StageLoad
 
-LOAD_AVERAGING_S = (
-    # Long enough that a burst or a start with empty caches is no lasting load; the loss of a backend still shows at
-    # once
-    10.0
-)
+# Long enough that a burst or a start with empty caches does not count as lasting load; the loss of a backend still
+# shows at once
+LOAD_AVERAGING_S = 10.0
 MAX_REPORTED_SERVICES = 64  # services that are reported: those with the most load
 MIN_REPORTED_ERLANGS = 0.001  # smaller loads are not reported
 
@@ -45,11 +43,11 @@
     def report(self, now: float, backends: Iterable[BackendView]) -> tuple[StageLoad, ...]:
         """Return the load of each service. ``backends``: all known backends, with this proxy's calls in flight."""
         self._sample_decode(now, backends)
-        reading = {service: max(0.0, rate.at(now)) for service, rate in self._prefill_load.items()}
-        self._forget_idle(reading)
+        prefill = {service: max(0.0, rate.at(now)) for service, rate in self._prefill_load.items()}
+        self._forget_idle(prefill)
         loads = [
-            StageLoad(service, round(reading.get(service, 0.0), 4), round(self._decode_load.get(service, 0.0), 4))
-            for service in reading.keys() | self._decode_load.keys()
+            StageLoad(service, round(prefill.get(service, 0.0), 4), round(self._decode_load.get(service, 0.0), 4))
+            for service in prefill.keys() | self._decode_load.keys()
         ]
         loads = [load for load in loads if max(load.prefill, load.decode) >= MIN_REPORTED_ERLANGS]
         if len(loads) > MAX_REPORTED_SERVICES:
@@ -57,23 +55,23 @@
         return tuple(loads)
 
     def _sample_decode(self, now: float, backends: Iterable[BackendView]) -> None:
-        present: dict[str, float] = {}
+        current: dict[str, float] = {}
         for view in backends:
             backend = view.backend
             if view.calls and backend.stage == "decode":
-                present[backend.target] = present.get(backend.target, 0.0) + view.calls / backend.capacity
+                current[backend.target] = current.get(backend.target, 0.0) + view.calls / backend.capacity
         since = self._sampled_at if self._sampled_at is not None else now  # both loads are averaged from zero
-        kept = exp(-max(0.0, now - since) / LOAD_AVERAGING_S)
+        decay = exp(-max(0.0, now - since) / LOAD_AVERAGING_S)
         self._sampled_at = now
-        services = present.keys() | self._decode_load.keys()
+        services = current.keys() | self._decode_load.keys()
         self._decode_load = {
-            service: kept * self._decode_load.get(service, 0.0) + (1.0 - kept) * present.get(service, 0.0)
+            service: decay * self._decode_load.get(service, 0.0) + (1.0 - decay) * current.get(service, 0.0)
             for service in services
         }
 
-    def _forget_idle(self, reading: dict[str, float]) -> None:
+    def _forget_idle(self, prefill: dict[str, float]) -> None:
         self._prefill_load = {
-            name: rate for name, rate in self._prefill_load.items() if reading[name] >= MIN_REPORTED_ERLANGS / 10
+            name: rate for name, rate in self._prefill_load.items() if prefill[name] >= MIN_REPORTED_ERLANGS / 10
         }
         self._decode_load = {
             name: load for name, load in self._decode_load.items() if load >= MIN_REPORTED_ERLANGS / 10
--- a/cranebank/dataplane/open_legs.py
+++ b/cranebank/dataplane/open_legs.py
@@ -82,7 +82,7 @@
         return self._legs.get(number)
 
     def open(self, now: float, view: BackendView, tokens: int, is_prefill: bool, silent_s: float | None) -> Leg:
-        """Open a leg. It counts as silent ``silent_s`` from now unless an answer has begun."""
+        """Open a leg. ``silent_s``: seconds from now after which it counts as silent."""
         self._opened += 1
         silent_at = None if silent_s is None else now + silent_s
         leg = self._legs[self._opened] = Leg(self._opened, view, tokens, is_prefill, now, silent_at)
--- a/cranebank/dataplane/pair.py
+++ b/cranebank/dataplane/pair.py
@@ -61,9 +61,8 @@
         self._began_at: float | None = None
         self._wait_sum_ms = self._work_sum_ms = 0.0  # decayed at each choice
         self._latencies: dict[tuple[str, str], LatencyModel] = {}
-        self._homes: dict[  # by service: candidates, their version, homes by prefix
-            str, tuple[list[BackendView], int, dict[str, list[BackendView]]]
-        ] = {}  # by service: list, version, homes
+        # By service: candidates, their version, homes by prefix
+        self._homes: dict[str, tuple[list[BackendView], int, dict[str, list[BackendView]]]] = {}
 
     def latency(self, service: str, stage: str) -> LatencyModel:
         """Return the latency model of a service's stage."""
@@ -72,37 +71,37 @@
             found = self._latencies[service, stage] = prior(stage)
         return found
 
-    def cache_holders(self, listed: list[BackendView], prompt: Prompt) -> list[BackendView]:
+    def cache_holders(self, backends: list[BackendView], prompt: Prompt) -> list[BackendView]:
         """Return the backends known to cache the prompt's long shared prefix; if there are none, its home."""
         shared = prompt.shared_tokens
-        found = [view for view in listed if self._cache.cached_tokens(view.backend.id, prompt.shared) >= shared]
+        found = [view for view in backends if self._cache.cached_tokens(view.backend.id, prompt.shared) >= shared]
         if not self._policy.cached_parts:
             found = []
         if found or not self._policy.homes:
             return found
-        return self._home(listed, prompt.home_key)
+        return self._home(backends, prompt.home_key)
 
     def _is_home(self, service: str, prompt: Prompt, view: BackendView) -> bool:
         known = self._homes.get(service)
         return known is not None and bool(prompt.home_key) and view in known[2].get(prompt.home_key, ())
 
-    def _home(self, listed: list[BackendView], key: str) -> list[BackendView]:
+    def _home(self, backends: list[BackendView], key: str) -> list[BackendView]:
         """Return the home of a shared prefix, remembered for as long as the candidates stay the same."""
-        service, version = listed[0].backend.target, self._candidates.version
+        service, version = backends[0].backend.target, self._candidates.version
         known = self._homes.get(service)
-        if known is None or known[0] is not listed or known[1] != version or len(known[2]) >= MAX_REMEMBERED_HOMES:
-            known = self._homes[service] = (listed, version, {})
+        if known is None or known[0] is not backends or known[1] != version or len(known[2]) >= MAX_REMEMBERED_HOMES:
+            known = self._homes[service] = (backends, version, {})
         found = known[2].get(key)
         if found is None:
-            found = known[2][key] = nlargest(HOMES_PER_PREFIX, listed, key=lambda view: _hash(key, view.backend.id))
+            found = known[2][key] = nlargest(HOMES_PER_PREFIX, backends, key=lambda view: _hash(key, view.backend.id))
         return found
 
     def visibility(self, now: float) -> float:
         """Return the share of all proxies' recent prefills that this proxy knows of."""
         if self._began_at is None:
             self._began_at = now
-        told = (1 + self.prefill_reporters) / max(1, self.draws.proxies)
-        return min(1.0, told) * min(1.0, (now - self._began_at) / CACHE_LEARNING_S)
+        reported = (1 + self.prefill_reporters) / max(1, self.draws.proxies)
+        return min(1.0, reported) * min(1.0, (now - self._began_at) / CACHE_LEARNING_S)
 
     def wait_ms(self, now: float, service: str, view: BackendView) -> float:
         """Return the time before a prefill that is sent now would begin."""
@@ -133,27 +132,27 @@
         self, now: float, service: str, prompt: Prompt, without: Set[str]
     ) -> tuple[BackendView, float, int] | None:
         """Choose the prefill backend; return it, its estimated time in ms and the tokens expected to be read."""
-        listed = self._candidates.ready(now, service, "prefill", without)
-        if not listed:
+        backends = self._candidates.ready(now, service, "prefill", without)
+        if not backends:
             return None
-        first, second = self.draws.draw(listed)
-        blend = self.draws.blend(now, service, "prefill", listed, (first, second))
+        first, second = self.draws.draw(backends)
+        blend = self.draws.blend(now, service, "prefill", backends, (first, second))
         congestion = self._congestion(now, service, prompt, (first, second))
-        holders = self.cache_holders(listed, prompt) if prompt.home_key and self._policy.keepers else []
+        holders = self.cache_holders(backends, prompt) if prompt.home_key and self._policy.keepers else []
         is_cached = any(self._uncached_tokens(prompt, view) < prompt.tokens for view in holders)
 
         def cost(view: BackendView) -> float:
             return self._prefill_cost(now, service, prompt, view, congestion, is_cached)
 
         chosen = second if self.draws.prefers_second(blend, cost(first), cost(second)) else first
-        chosen = min((*self._draw_in_zone(listed, self.zone), *holders, chosen), key=cost)
+        chosen = min((*self._draw_in_zone(backends, self.zone), *holders, chosen), key=cost)
         tokens = self._uncached_tokens(prompt, chosen)
         read_ms = self.latency(service, "prefill").estimate(tokens)  # slowness only ranks prefill backends
         return chosen, self.wait_ms(now, service, chosen) + read_ms, tokens
 
-    def _draw_in_zone(self, listed: list[BackendView], zone: str) -> list[BackendView]:
+    def _draw_in_zone(self, backends: list[BackendView], zone: str) -> list[BackendView]:
         """Draw one candidate from a zone; empty if it has none."""
-        return self.draws.sample_one(self._by_zone.of(listed, zone)) if self._policy.near_zone else []
+        return self.draws.sample_one(self._by_zone.of(backends, zone)) if self._policy.near_zone else []
 
     def _uncached_tokens(self, prompt: Prompt, view: BackendView) -> int:
         """Return the tokens of the prompt that the backend is expected to have to read."""
@@ -198,11 +197,11 @@
         self, now: float, service: str, engine: Engine, prompt: Prompt, goal_ms: float, without: Set[str]
     ) -> Plan | None:
         """Choose a pair for a request; None if no decode backend is available."""
-        listed = self._candidates.ready(now, service, "decode", without)
-        if not listed:
+        backends = self._candidates.ready(now, service, "decode", without)
+        if not backends:
             return None
-        first, second = self.draws.draw(listed)
-        blend = self.draws.blend(now, service, "decode", listed, (first, second))
+        first, second = self.draws.draw(backends)
+        blend = self.draws.blend(now, service, "decode", backends, (first, second))
         prefill = self.choose_prefill(now, service, prompt, without) if prompt.tokens else None
         plan = self._plan(first, prefill, service, engine, prompt, goal_ms, blend)
         if second is not first:
--- a/cranebank/dataplane/plain_choice.py
+++ b/cranebank/dataplane/plain_choice.py
@@ -27,11 +27,11 @@
 
     def choose(self, now: float, prompt: Prompt, goal_ms: float, without: Set[str]) -> Plan | None:
         """Choose a backend for one request; None if none is available."""
-        listed, stage = self._ready(now, without)
-        if not listed:
+        backends, stage = self._ready(now, without)
+        if not backends:
             return None
-        first, second = self._draws.draw(listed)
-        blend = self._draws.blend(now, self._service, stage, listed, (first, second))
+        first, second = self._draws.draw(backends)
+        blend = self._draws.blend(now, self._service, stage, backends, (first, second))
         chosen = second if self._draws.prefers_second(blend, _utilisation(first), _utilisation(second)) else first
         return Plan(chosen, None, 0, _utilisation(chosen), blend)
 
--- a/cranebank/dataplane/prefill_queue.py
+++ b/cranebank/dataplane/prefill_queue.py
@@ -19,7 +19,7 @@
 
 
 class Ticket(msgspec.Struct, frozen=True, gc=False):
-    """One prefill in a queue: its estimated duration and end, before any later shift of the queue."""
+    """One prefill in a queue: its estimated duration, and its expected end without the queue's total shift."""
 
     seconds: float
     expected_end_at: float
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -84,7 +84,7 @@
         self, proxy: Proxy, client: ClientConnection, request: ClientRequest, exchange: Exchange, until: float
     ) -> None:
         self.proxy, self.client, self.request, self.exchange, self.until = proxy, client, request, exchange, until
-        self.attempt = request.named.get("x-attempt-id", "")
+        self.attempt = request.fields.get("x-attempt-id", "")
         self.legs: dict[int, Connection] = {}
         self.dialling: dict[int, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
@@ -92,7 +92,7 @@
         self.paused = False
         lines = [f"{request.method} {request.target} HTTP/1.1\r\n"]
         lines += [f"{name}: {value}\r\n" for name, value in request.headers if name.lower() not in PROXY_HEADERS]
-        if request.body or "content-length" in request.named or "transfer-encoding" in request.named:
+        if request.body or "content-length" in request.fields or "transfer-encoding" in request.fields:
             lines.append(f"Content-Length: {len(request.body)}\r\n")
         self.prefix = "".join(lines)
 
@@ -370,12 +370,12 @@
         if self.table is None:
             client.reply(NotRun("no configuration yet"), 0.2)
             return
-        route = self.table.match(request.named.get("host", ""), request.target)
+        route = self.table.match(request.fields.get("host", ""), request.target)
         if route is None:
             self.shared.count("no_route")
             client.reply(NoRoute(), None)
             return
-        left = request.named.get("x-deadline-left", "")
+        left = request.fields.get("x-deadline-left", "")
         if left and not (left.isascii() and left.replace(".", "", 1).isdigit()):
             client.reply(Malformed("x-deadline-left"), None)
             return
@@ -387,10 +387,10 @@
             route,
             service,
             known.engine if known is not None else None,
-            prompts.read(request.named),
+            prompts.read(request.fields),
             now,
             until,
-            request.named.get("last-event-id"),
+            request.fields.get("last-event-id"),
         )
         self.shared.count("requests")
         opened = OpenRequest(self, client, request, exchange, min(until, now + route.timeout_ms / 1e3))
--- a/tests/mutants_cold.py
+++ b/tests/mutants_cold.py
@@ -65,8 +65,8 @@
         Point.OTHER,
         "a suspect is a last resort although it is cold",
         "dataplane/candidates.py",
-        "listed = self._usable(now, self._suspects.last_resort(now, key), without)",
-        "listed = self._suspects.last_resort(now, key)",
+        "backends = self._usable(now, self._suspects.last_resort(now, key), without)",
+        "backends = self._suspects.last_resort(now, key)",
         "test_cold_backends.py",
     ),
     Mutant(
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -328,8 +328,8 @@
             b"2\r\nhi\r\n0\r\nX-Deadline-Left: 1\r\nX-Attempt-Id: other\r\n\r\n"
         )
         (request,) = scene.handler.requests
-        assert request.body == b"hi" and request.named["x-deadline-left"] == "900"
-        assert "x-attempt-id" not in request.named and len(request.headers) == 2
+        assert request.body == b"hi" and request.fields["x-deadline-left"] == "900"
+        assert "x-attempt-id" not in request.fields and len(request.headers) == 2
 
     play(loop, story)
 
