--- a/tests/test_call_faults.py
+++ b/tests/test_call_faults.py
@@ -27,7 +27,7 @@
 
 TRIALS_AT_ONCE = 48
 SILENT_MS = 150  # deadline of a request whose backend falls silent
-PATIENT_DIAL_S = 10.0  # the backends are up, and these tests do not test the time limit of connecting
+LONG_CONNECT_TIMEOUT_S = 10.0  # the backends are up, and these tests do not test the time limit of connecting
 SHORT_SILENCE_S = 0.03
 LONG_SILENCE_S = 0.12  # longer than this process stalls on a busy machine
 NO_SILENCE_S = 60.0  # where no backend falls silent, a stall of this process must not count as one
@@ -202,7 +202,7 @@
 
     def on_message_begin(self) -> None:
         """An answer begins."""
-        assert not self.is_whole, "a second answer where one request waits"
+        assert not self.is_whole, "a second answer to one request"
 
     def on_message_complete(self) -> None:
         """The answer is complete."""
@@ -223,22 +223,22 @@
         assert found.headers[b"x-server-seal"] == b"s" and found.headers[b"x-attempt-id"] == attempt.encode()
         expected = body_of(attempt)
         assert expected.startswith(found.body), f"{attempt}: {found.body!r}"
-        assert found.body == expected or not found.is_whole, f"{attempt}: looks whole"
+        assert found.body == expected or not found.is_whole, f"{attempt}: the answer looks complete"
         return "whole" if found.is_whole else "unclear"
     if found.status in NOT_RUN_STATUSES:
-        assert not record.ran[attempt], f"{attempt}: {found.status} for what has run"
+        assert not record.ran[attempt], f"{attempt}: status {found.status}, but the request has run"
         return "refused"
     assert found.status in (0, 500, 502, 504), f"{attempt}: {found.status}"
     return "unclear"
 
 
 Address = tuple[str, int]
-Story = Callable[[Proxy, Address, Record], Awaitable[None]]
+Scenario = Callable[[Proxy, Address, Record], Awaitable[None]]
 
 
-def play(
+def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
-    story: Story,
+    scenario: Scenario,
     backends: int = 2,
     header_read_ms: float = 3_000,
     silence_s: float = SHORT_SILENCE_S,
@@ -246,29 +246,29 @@
     """Run a proxy in front of scripted backends. It retries at once, after ``silence_s`` of silence, and without a
     limit of its budget."""
     monkeypatch.setattr(backend_connections, "REUSE_DELAY_S", 0.0)
-    monkeypatch.setattr(backend_connections, "CONNECT_TIMEOUT_S", PATIENT_DIAL_S)
+    monkeypatch.setattr(backend_connections, "CONNECT_TIMEOUT_S", LONG_CONNECT_TIMEOUT_S)
     monkeypatch.setattr(dispatch, "SECOND_COPY_DELAY_S", silence_s)
     monkeypatch.setattr(exchange, "STREAM_SILENCE_TIMEOUT_S", silence_s)
     record = Record()
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        made = Proxy(RetryRule(0.2, 1e9, 10.0, True), Random(1), loop.time())
-        assert made.configure(document(header_read_ms))
+        proxy = Proxy(RetryRule(0.2, 1e9, 10.0, True), Random(1), loop.time())
+        assert proxy.configure(document(header_read_ms))
         servers = [
             await loop.create_server(lambda: ScriptedBackend(record), "127.0.0.1", 0, backlog=512)
             for _ in range(backends)
         ]
         for number, server in enumerate(servers):
             address = "{}:{}".format(*server.sockets[0].getsockname())
-            made.learn([Backend(f"d{number}", "svc", address, "z", "decode", 4, "ready", 1)])
-        front = await loop.create_server(made.front, "127.0.0.1", 0, backlog=512)
+            proxy.learn([Backend(f"d{number}", "svc", address, "z", "decode", 4, "ready", 1)])
+        front = await loop.create_server(proxy.front, "127.0.0.1", 0, backlog=512)
         try:
             async with asyncio.timeout(60.0):
-                await story(made, front.sockets[0].getsockname(), record)
-                while made.open:
+                await scenario(proxy, front.sockets[0].getsockname(), record)
+                while proxy.open:
                     await asyncio.sleep(0.01)
-            assert not any(seen.calls for seen in made.shared.candidates.views.values()), "a call that nobody ended"
+            assert not any(view.calls for view in proxy.shared.candidates.views.values()), "a call was left open"
         finally:
             front.close()
             for server in servers:
@@ -279,7 +279,7 @@
     return record
 
 
-async def each(trials: Iterable[Awaitable[None]]) -> None:
+async def run_all(trials: Iterable[Awaitable[None]]) -> None:
     """Run trials, a limited number of them at once."""
     gate = asyncio.Semaphore(TRIALS_AT_ONCE)
 
@@ -311,7 +311,7 @@
     size = len(answer(f"{kind}-{route}-000"))
     offsets = range(size + (kind == "split"))
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(offset: int) -> None:
             attempt = f"{kind}-{route}-{offset:03}"
             deadline_ms = SILENT_MS if kind == "silence" and route == "once" else 4_000
@@ -323,19 +323,19 @@
             for found in more:
                 judge(then, found, record, 1 if route == "once" else 2)
 
-        await each(trial(offset) for offset in offsets)
+        await run_all(trial(offset) for offset in offsets)
 
-    record = play(monkeypatch, story, silence_s=LONG_SILENCE_S if kind == "silence" else NO_SILENCE_S)
+    record = run_scenario(monkeypatch, scenario, silence_s=LONG_SILENCE_S if kind == "silence" else NO_SILENCE_S)
     assert record.reached[kind] == len(offsets)
     assert not ends["refused"]
     if kind == "split":
         assert ends["whole"] == size + 1
     elif route == "once":
-        assert ends["unclear"] == size, "an answer cut off can't be whole"
+        assert ends["unclear"] == size, "a truncated answer cannot be complete"
     elif kind == "silence":
-        assert ends["whole"] > 0.9 * size, "a stream that may be resumed goes on elsewhere"
+        assert ends["whole"] > 0.9 * size, "a resumable stream continues at another backend"
     else:
-        assert ends["whole"] == size, "a stream that may be resumed goes on elsewhere"
+        assert ends["whole"] == size, "a resumable stream continues at another backend"
 
 
 @pytest.mark.parametrize("kind", ["behind", "late-200", "late-503", "late-500", "late-200-before-500"])
@@ -344,7 +344,7 @@
     ends: Counter[str] = Counter()
     size = len(stray_answer(kind, "0000-a")) + 1
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         for offset in range(1, size):
             first, second = f"{offset:04}-a", f"{offset:04}-b"
             (found,) = await ask(address, request(first, fault=f"{kind}:{offset}"))
@@ -356,16 +356,16 @@
                 ends["failed" if found.status == 500 else "unclear"] += 1
             else:
                 ends[judge(second, found, record, 1)] += 1
-        assert kind != "behind" or made.counters["dialled"] == size, "no such connection is used again"
+        assert kind != "behind" or proxy.counters["dialled"] == size, "the connection must not be reused"
 
-    record = play(monkeypatch, story, backends=1)
+    record = run_scenario(monkeypatch, scenario, backends=1)
     assert record.reached[kind] == size - 1 and not ends["refused"]
     if kind == "behind":
         assert ends["whole"] == size - 1
     else:
-        assert record.reached["stray"] > 0.9 * (size - 1), "the kept connection was taken again"
-        assert ends["failed" if kind == "late-200-before-500" else "whole"], "a whole answer too many is dropped"
-        assert ends["unclear"], "one that is cut off makes the next unclear"
+        assert record.reached["stray"] > 0.9 * (size - 1), "the kept connection must be reused"
+        assert ends["failed" if kind == "late-200-before-500" else "whole"], "a complete surplus answer is dropped"
+        assert ends["unclear"], "a truncated surplus answer makes the next one unclear"
 
 
 class PartialReader:
@@ -415,14 +415,14 @@
 
 
 @contextlib.asynccontextmanager
-async def only_backend(made: Proxy, reader: PartialReader) -> AsyncIterator[None]:
+async def only_backend(proxy: Proxy, reader: PartialReader) -> AsyncIterator[None]:
     """Replace the backends that the proxy knows by this one."""
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
         listener.setblocking(False)
         address = "{}:{}".format(*listener.getsockname())
-        known = made.shared.candidates.known()
-        made.learn([msgspec.structs.replace(record, phase="gone", call_seq=9) for record in known])
-        made.learn([msgspec.structs.replace(known[0], id="partial", address=address)])
+        known = proxy.shared.candidates.known()
+        proxy.learn([msgspec.structs.replace(record, phase="gone", call_seq=9) for record in known])
+        proxy.learn([msgspec.structs.replace(known[0], id="partial", address=address)])
         accepting = asyncio.create_task(reader.accept(listener))
         yield
         accepting.cancel()
@@ -438,17 +438,17 @@
     ends: Counter[str] = Counter()
     deadline_ms = SILENT_MS if kind == "silence" else 4_000
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(number: int) -> None:
             attempt = f"{number:04}-a"
             (found,) = await ask(address, request(attempt, deadline_ms=deadline_ms))
             ends[judge(attempt, found, record, 1)] += 1
 
-        async with only_backend(made, PartialReader(kind, False, record)):
-            await each(trial(number) for number in range(REQUEST_BYTES))
-        assert made.counters["makes"] == REQUEST_BYTES
+        async with only_backend(proxy, PartialReader(kind, False, record)):
+            await run_all(trial(number) for number in range(REQUEST_BYTES))
+        assert proxy.counters["makes"] == REQUEST_BYTES
 
-    record = play(monkeypatch, story, backends=1)
+    record = run_scenario(monkeypatch, scenario, backends=1)
     assert record.reached[kind] == REQUEST_BYTES and ends == {"unclear": REQUEST_BYTES}
     assert 0 < record.reached["whole request read"] < REQUEST_BYTES / 2
 
@@ -460,18 +460,18 @@
     deadline_ms = 20 if kind == "silence" else 4_000
     trials = 40 if kind == "silence" else REQUEST_BYTES  # one after the other, as each takes its own kept connection
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
-        async with only_backend(made, PartialReader(kind, True, record)):
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
+        async with only_backend(proxy, PartialReader(kind, True, record)):
             for number in range(trials):
                 (warm,) = await ask(address, request(f"{number:04}-w"))
                 assert warm.is_whole
                 attempt = f"{number:04}-a"
                 (found,) = await ask(address, request(attempt, deadline_ms=deadline_ms))
                 ends[judge(attempt, found, record, 1)] += 1
-        assert made.counters["dialled"] == trials, "each went over a kept connection"
-        assert made.counters["makes"] == 2 * trials
+        assert proxy.counters["dialled"] == trials, "each call uses a kept connection"
+        assert proxy.counters["makes"] == 2 * trials
 
-    record = play(monkeypatch, story, backends=1)
+    record = run_scenario(monkeypatch, scenario, backends=1)
     assert record.reached[kind] == trials and ends == {"unclear": trials}
 
 
@@ -481,7 +481,7 @@
     size = len(request("0000-a"))
     ends: Counter[int] = Counter()
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(offset: int) -> None:
             attempt = f"{offset:04}-a"
             reader, writer = await asyncio.open_connection(*address)
@@ -496,14 +496,14 @@
             writer.close()
             assert not record.arrivals[attempt]
 
-        await each(trial(offset) for offset in range(1, size))
+        await run_all(trial(offset) for offset in range(1, size))
         (found,) = await ask(address, request("last"))
         assert judge("last", found, record, 1) == "whole"
-        while made.front.count:
+        while proxy.front.count:
             await asyncio.sleep(0.01)
         assert record.arrivals == {"last": 1}
 
-    play(monkeypatch, story, header_read_ms=100)
+    run_scenario(monkeypatch, scenario, header_read_ms=100)
     if kind == "silence":
         assert ends == {408: size - 1}
 
@@ -516,7 +516,7 @@
     ends: Counter[str] = Counter()
     left: Counter[str] = Counter()
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(offset: int) -> None:
             attempt, other = f"{offset:04}-a", f"{offset:04}-b"
             reader, writer = await asyncio.open_connection(*address)
@@ -530,9 +530,9 @@
             (found,) = await ask(address, request(other))
             ends[judge(other, found, record, 1)] += 1
 
-        await each(trial(offset) for offset in range(size))
+        await run_all(trial(offset) for offset in range(size))
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
     assert ends == {"whole": size} and left["within"]
 
 
@@ -577,7 +577,7 @@
 
     monkeypatch.setattr(ScriptedBackend, "_fail", fail)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         (found, *_) = await ask(address, request("one", fault="odd:0"))
         assert found.status == status if status is not None else not found.is_whole
         assert judge("one", found, record, 1) == ("whole" if status == 200 else "unclear")
@@ -585,7 +585,7 @@
         (found,) = await ask(address, request("two"))
         assert judge("two", found, record, 1) == "whole"
 
-    assert play(monkeypatch, story, backends=1).reached["odd"]
+    assert run_scenario(monkeypatch, scenario, backends=1).reached["odd"]
 
 
 def test_an_answer_ahead_of_its_request_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -599,11 +599,11 @@
 
     monkeypatch.setattr(ScriptedBackend, "connection_made", connection_made)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         (found,) = await ask(address, request("one"))
         assert judge("one", found, record, 1) in ("whole", "unclear")
 
-    assert play(monkeypatch, story).reached["early"]
+    assert run_scenario(monkeypatch, scenario).reached["early"]
 
 
 def test_a_call_without_an_id_leaves_nothing_behind_that_passes_for_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -621,18 +621,18 @@
     received = ScriptedBackend.data_received
     monkeypatch.setattr(ScriptedBackend, "data_received", data_received)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         (found,) = await ask(address, request("one"))
         assert judge("one", found, record, 1) == "whole"
-        (known,) = made.shared.candidates.known()
-        made.pool.free(known, "h1")
-        while (kept := made.pool.take(known)) is None or not seen:
+        (known,) = proxy.shared.candidates.known()
+        proxy.pool.free(known, "h1")
+        while (kept := proxy.pool.take(known)) is None or not seen:
             await asyncio.sleep(0.001)
-        made.pool.give_back(kept)
+        proxy.pool.give_back(kept)
         (found,) = await ask(address, request("two"))
         assert record.reached["stray"] == 1 and found.status == 502
 
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
 
 
 def test_a_freeing_that_is_not_confirmed_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -640,14 +640,14 @@
     monkeypatch.setattr(backend_connections, "FREE_TIMEOUT_S", 0.01)
     monkeypatch.setattr(ScriptedBackend, "_request", lambda *_: None)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
-        (known,) = made.shared.candidates.known()
-        made.pool.give_back(await made.pool.dial(known))
-        made.pool.free(known, "h1")
-        while made.pool._all:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
+        (known,) = proxy.shared.candidates.known()
+        proxy.pool.give_back(await proxy.pool.dial(known))
+        proxy.pool.free(known, "h1")
+        while proxy.pool._all:
             await asyncio.sleep(0.001)
 
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
 
 
 def test_an_early_answer_ends_a_connection_whose_request_is_still_on_its_way(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -659,20 +659,20 @@
 
     monkeypatch.setattr(ScriptedBackend, "data_received", data_received)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         big = request("big").replace(b"Content-Length: 2", b"Content-Length: 4000000")[:-2] + b"x" * 4_000_000
         (found,) = await ask(address, big)
         assert found.status == 200 and found.is_whole
-        (known,) = made.shared.candidates.known()
-        assert made.pool.take(known) is None and not made.pool._all
+        (known,) = proxy.shared.candidates.known()
+        assert proxy.pool.take(known) is None and not proxy.pool._all
 
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
 
 
 def test_a_head_gets_the_fields_of_its_answer_and_no_body(monkeypatch: pytest.MonkeyPatch) -> None:
     """A HEAD waited until its deadline for a body that never arrives."""
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         reader, writer = await asyncio.open_connection(*address)
         head = request("one").replace(b"POST", b"HEAD")
         for attempt in (b"one", b"two"):
@@ -685,4 +685,4 @@
         self.transport.write(answer(fields["x-attempt-id"], chunked=False).partition(b"\r\n\r\n")[0] + b"\r\n\r\n")
 
     monkeypatch.setattr(ScriptedBackend, "_request", fail)
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -132,18 +132,18 @@
 
 @pytest.fixture
 def loop() -> Iterator[ManualLoop]:
-    made = ManualLoop()
-    yield made
-    made.close()
+    manual_loop = ManualLoop()
+    yield manual_loop
+    manual_loop.close()
 
 
-def play(loop: ManualLoop, story: Callable[[Scene], Awaitable[None]]) -> None:
+def run_scenario(loop: ManualLoop, scenario: Callable[[Scene], Awaitable[None]]) -> None:
     """Run a test on the injected clock."""
 
     async def run() -> None:
         scene = Scene(loop)
         try:
-            await story(scene)
+            await scenario(scene)
         finally:
             scene.transport.socket.close()
             scene.transport.peer.close()
@@ -152,7 +152,7 @@
 
 
 def test_idle_time_counts_from_the_last_byte_of_the_answer(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await scene.loop.advance(10)
         scene.client.data_received(REQUEST)
         await scene.loop.advance(40)  # a connection with an open request is not idle
@@ -167,13 +167,13 @@
         await scene.loop.advance(0.75)
         assert scene.transport.closed
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_idle_time_does_not_run_while_the_answer_waits_to_leave(loop: ManualLoop) -> None:
     """A client that read slowly lost its connection just after it had received its answer."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.transport.buffered = 1
         await scene.loop.advance(30)
@@ -184,14 +184,14 @@
         await scene.loop.advance(1)
         assert scene.transport.closed
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 @pytest.mark.parametrize(("idle_ms", "closed_after"), [(5_000, 5.25), (60_000, 60.25)])
 def test_a_configurations_limits_apply_to_open_connections(
     loop: ManualLoop, idle_ms: float, closed_after: float
 ) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.limits = ClientLimits(idle_ms=idle_ms)
         await scene.loop.advance(closed_after - 0.5)
@@ -199,33 +199,33 @@
         await scene.loop.advance(0.75)
         assert scene.transport.closed
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_lower_bounds_on_bytes_apply_to_open_connections(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.limits = ClientLimits(header_bytes=400, body_bytes=1)
         scene.client.data_received(REQUEST)
         assert scene.status == b"413" and len(scene.handler.requests) == 1
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_no_time_to_keep_the_connection_is_told(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.client.data_received(REQUEST)
         scene.answer({"keep-alive": "timeout=1", "connection": "keep-alive"})
         assert b"keep-alive" not in scene.transport.written.lower()
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 @pytest.mark.parametrize("dismissed", [False, True])
 def test_an_idle_connection_with_unread_bytes_is_not_closed(loop: ManualLoop, dismissed: bool) -> None:
     """A resumed process closed connections on which requests had arrived meanwhile."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.transport.peer.send(REQUEST[:1])
         if dismissed:
@@ -240,11 +240,11 @@
         scene.client.data_received(REQUEST[1:])
         assert len(scene.handler.requests) == 2
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_a_request_that_is_not_in_in_time_is_told_so_at_any_byte(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         for cut in range(1, len(REQUEST)):
             scene = Scene(scene.loop)
             scene.client.data_received(REQUEST[:cut])
@@ -253,9 +253,9 @@
             await scene.loop.advance(1)
             assert scene.status == b"408" and b"connection: close" in scene.transport.written, cut
             scene.client.data_received(REQUEST[cut:])
-            assert not scene.handler.requests, "what was refused never runs"
+            assert not scene.handler.requests, "a refused request never runs"
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 @pytest.mark.parametrize(
@@ -277,17 +277,17 @@
 def test_bounds_on_bytes_hold_before_a_request_is_whole(loop: ManualLoop, parts: list[bytes], status: bytes) -> None:
     """A field without end was buffered without limit, as the parser reports only complete fields."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         for part in parts:
             scene.client.data_received(part)
         assert scene.status == status and not scene.handler.requests
         assert b"connection: close" in scene.transport.written
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_a_request_of_exactly_the_allowed_size_is_taken(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         head = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\nX-Fill: "
         head += b"x" * (LIMITS.header_bytes - len(head) - 4) + b"\r\n\r\n"
         for request in (head + b"b" * 100, *[bytes([byte]) for byte in head + b"b" * 100]):
@@ -296,14 +296,14 @@
                 scene.answer()
         assert len(scene.handler.requests) == 2
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_bytes_of_the_next_request_stay_in_order_behind_an_answer(loop: ManualLoop) -> None:
     """Bytes that arrived between an answer and the loop's next iteration were parsed before earlier ones, and the
     connection could be closed in between."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         for cut in range(1, len(REQUEST)):
             scene.client.data_received(REQUEST)
             scene.client.data_received(REQUEST[:cut])
@@ -316,13 +316,13 @@
         assert len(scene.handler.requests) == 2 * (len(REQUEST) - 1)
         assert all(request.body == b"hi" for request in scene.handler.requests)
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_fields_behind_a_chunked_body_are_no_fields_of_the_request(loop: ManualLoop) -> None:
     """A trailer field could change the deadline or the id of its request."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.client.data_received(
             b"POST /x HTTP/1.1\r\nHost: h\r\nX-Deadline-Left: 900\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\nX-Deadline-Left: 1\r\nX-Attempt-Id: other\r\n\r\n"
@@ -331,11 +331,11 @@
         assert request.body == b"hi" and request.fields["x-deadline-left"] == "900"
         assert "x-attempt-id" not in request.fields and len(request.headers) == 2
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_the_answer_to_a_head_has_no_body(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.client.data_received(b"HEAD /x HTTP/1.1\r\nHost: h\r\n\r\n")
         scene.answer({"content-length": "900"}, b"")
         assert scene.transport.written.endswith(b"\r\n\r\n") and not scene.transport.closed
@@ -343,4 +343,4 @@
         scene.answer()
         assert scene.transport.written.endswith(b"\r\n\r\nok")
 
-    play(loop, story)
+    run_scenario(loop, scenario)
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -12,7 +12,7 @@
 import pytest
 from msgspec import structs
 from test_proxy import DOCUMENT as WIRE_DOCUMENT
-from test_proxy import REQUEST, play
+from test_proxy import REQUEST, run_scenario
 
 from cranebank.dataplane import prompt as prompts
 from cranebank.dataplane import proxy as plane
@@ -65,22 +65,22 @@
 def test_a_backend_that_turns_cold_under_its_id_is_not_flooded_by_many_proxies() -> None:
     """All requests of this test are sent within one second."""
 
-    async def story() -> int:
+    async def scenario() -> int:
         proxies = [proxy_of(seed) for seed in range(PROXIES)]
         for proxy in proxies:
             proxy.learn([backend("0", 3000, 2)])
         calls = [call for proxy in proxies for _ in range(REQUESTS_PER_PROXY) for call in calls_of(proxy)]
         return sum(call.backend.id == "0" for call in calls)
 
-    assert asyncio.run(story()) <= BOUND
+    assert asyncio.run(scenario()) <= BOUND
 
 
-def in_loop(story: Callable[[], Coroutine[None, None, None]]) -> Callable[[], None]:
+def in_loop(scenario: Callable[[], Coroutine[None, None, None]]) -> Callable[[], None]:
     """Run a test in an event loop, whose clock a proxy reads."""
 
-    @wraps(story)
+    @wraps(scenario)
     def test() -> None:
-        asyncio.run(story())
+        asyncio.run(scenario())
 
     return test
 
@@ -100,7 +100,7 @@
 def ids(proxy: Proxy, after_s: float = 0.0, without: frozenset[str] = frozenset()) -> list[str]:
     """The candidates for a call, some time from now."""
     now = asyncio.get_running_loop().time() + after_s
-    return [seen.backend.id for seen in proxy.shared.candidates.ready(now, "svc", "decode", without)]
+    return [view.backend.id for view in proxy.shared.candidates.ready(now, "svc", "decode", without)]
 
 
 @in_loop
@@ -216,18 +216,18 @@
 ) -> None:
     """The loop's clock stands still during an iteration. Tested over a new connection and over a kept one."""
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         if is_connected:
             assert await status(address) == b"200"
-        assert made.configure(WIRE_DOCUMENT.replace(b'"revision":3', b'"revision":4').replace(*LIMITED))
-        (record,) = made.shared.candidates.known()
-        made.learn([structs.replace(record, cold_left_ms=3000, call_seq=2)])
-        permit(made, "d0", 1)
+        assert proxy.configure(WIRE_DOCUMENT.replace(b'"revision":3', b'"revision":4').replace(*LIMITED))
+        (record,) = proxy.shared.candidates.known()
+        proxy.learn([structs.replace(record, cold_left_ms=3000, call_seq=2)])
+        permit(proxy, "d0", 1)
         monkeypatch.setattr(plane, "monotonic", lambda: time.monotonic() + PERMIT_SEND_TIMEOUT_S)
         assert await status(address) == b"503"
-        assert made.counters["legs_unsent"] == 1
+        assert proxy.counters["legs_unsent"] == 1
         monkeypatch.setattr(plane, "monotonic", time.monotonic)
-        permit(made, "d0", 1)
+        permit(proxy, "d0", 1)
         assert await status(address) == b"200"
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -19,7 +19,7 @@
 from test_flat_over_changes import DataPlane
 from test_proxy import ANSWER, REQUEST, ask
 from test_proxy import DOCUMENT as ROUTED
-from test_proxy import play as play_proxy
+from test_proxy import run_scenario as run_proxy_scenario
 
 from cranebank.dataplane.backend_connections import Connection, Pool
 from cranebank.dataplane.candidates import Candidates
@@ -34,7 +34,7 @@
 ZONES = ("y", "z")  # the latter is the controllers' zone, too
 
 
-def told(messages: list[tuple[object, Message]]) -> list[tuple[object, int]]:
+def sent_numbers(messages: list[tuple[object, Message]]) -> list[tuple[object, int]]:
     return [(link, message.number) for link, message in messages if isinstance(message, Evacuations)]
 
 
@@ -44,11 +44,11 @@
 def test_proxies_are_told_once_and_who_comes_later_ahead_of_the_backends() -> None:
     delivery = made(2)
     delivery.update_evacuations(0, ())
-    assert delivery.pop_messages() == [], "nothing was ever evacuated"
+    assert delivery.pop_messages() == [], "no zone was evacuated"
     delivery.update_evacuations(3, ("x",))
     delivery.update_evacuations(3, ("x",))
     delivery.update_evacuations(2, ("y",))
-    assert told(delivery.pop_messages()) == [(0, 3), (1, 3)]
+    assert sent_numbers(delivery.pop_messages()) == [(0, 3), (1, 3)]
     join(delivery, 1, 2, records=(backend("a"),))
     kinds = [type(message) for _, message in delivery.pop_messages()]
     assert kinds.index(Evacuations) < kinds.index(Push)
@@ -94,9 +94,9 @@
         for candidates in (evacuating, plain):
             candidates.merge([placed(number, phase, now + 1)], float(now))
         evacuating.evacuate(now, frozenset(zones))
-        offered = [seen.backend for seen in evacuating.ready(now, "s", "decode")]
+        offered = [view.backend for view in evacuating.ready(now, "s", "decode")]
         assert not any(record.zone in zones or not evacuating.may_take(record.id) for record in offered)
-        ready = {seen.backend.id for seen in plain.ready(now, "s", "decode") if seen.backend.phase == "ready"}
+        ready = {view.backend.id for view in plain.ready(now, "s", "decode") if view.backend.phase == "ready"}
         assert {one.id for one in offered} >= {name for name in ready if plain.records[name].zone not in zones}
         assert evacuating.any_ready() == plain.any_ready()
     evacuating.evacuate(99, frozenset())
@@ -115,7 +115,7 @@
     candidates.evacuate(1.0, frozenset("x"))
 
     def offered(now: float) -> set[str]:
-        return {seen.backend.id for seen in candidates.ready(now, "s", "decode")}
+        return {view.backend.id for view in candidates.ready(now, "s", "decode")}
 
     candidates.has_lost_contact = lambda: True
     candidates.failed(1.0, "b")
@@ -141,25 +141,25 @@
 
 
 def test_older_evacuations_change_nothing_at_a_proxy() -> None:
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
-        assert made.evacuate(2, ["z"]) == 2
-        assert made.evacuate(1, []) == made.evacuate(2, []) == 2
-        assert made.evacuated == {"z"}
+    async def scenario(data_plane: Proxy, address: tuple[str, int]) -> None:
+        assert data_plane.evacuate(2, ["z"]) == 2
+        assert data_plane.evacuate(1, []) == data_plane.evacuate(2, []) == 2
+        assert data_plane.evacuated == {"z"}
 
-    play_proxy(story)
+    run_proxy_scenario(scenario)
 
 
 def test_a_request_for_a_service_of_an_evacuated_zone_alone_is_refused_and_served_again_after_the_finish() -> None:
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(data_plane: Proxy, address: tuple[str, int]) -> None:
         assert EVENT_OF_BACKEND in await ask(address)
-        made.evacuate(1, ["z"])
-        sent = made.counters["makes"]
+        data_plane.evacuate(1, ["z"])
+        sent = data_plane.counters["makes"]
         assert await status(address) == 503
-        assert made.ready and made.counters["makes"] == sent
-        made.evacuate(2, [])
+        assert data_plane.ready and data_plane.counters["makes"] == sent
+        data_plane.evacuate(2, [])
         assert EVENT_OF_BACKEND in await ask(address)
 
-    play_proxy(story)
+    run_proxy_scenario(scenario)
 
 
 async def status(address: tuple[str, int]) -> int:
@@ -192,12 +192,12 @@
     monkeypatch.setattr(Pool, "dial", evacuated_meanwhile)
     monkeypatch.setattr(Connection, "call", noted)
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
-        PROXIES.append(made)
+    async def scenario(data_plane: Proxy, address: tuple[str, int]) -> None:
+        PROXIES.append(data_plane)
         assert await status(address) == 503
         assert written == []
 
-    play_proxy(story)
+    run_proxy_scenario(scenario)
 
 
 PROXIES: list[Proxy] = []
@@ -207,21 +207,21 @@
     freed: list[str] = []
     monkeypatch.setattr(Pool, "free", lambda self, backend, handle: freed.append(handle))
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
-        (record,) = made.shared.candidates.known()
-        made.free(record, "first")
-        made.evacuate(1, ["z"])
-        made.free(record, "second")
+    async def scenario(data_plane: Proxy, address: tuple[str, int]) -> None:
+        (record,) = data_plane.shared.candidates.known()
+        data_plane.free(record, "first")
+        data_plane.evacuate(1, ["z"])
+        data_plane.free(record, "second")
         assert freed == ["first"]
 
-    play_proxy(story)
+    run_proxy_scenario(scenario)
 
 
 # The operator's call, and links.
 
 
 def test_an_evacuation_is_acknowledged_when_proxies_have_it_and_again_when_it_is_sent_again(tmp_path: Path) -> None:
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), proxy(ports) as edge, caller(ports) as client:
             answering = asyncio.create_task(client.call("POST", START + "z"))
             assert await edge.next(Evacuations) == Evacuations(1, ("z",))
@@ -235,56 +235,56 @@
             assert (await client.call("POST", FINISH + "z"))[0] == 200
             assert await edge.next(Evacuations) == Evacuations(2, ())
 
-    play(story)
+    play(scenario)
 
 
 def test_a_silent_proxy_holds_up_no_acknowledgement(tmp_path: Path) -> None:
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), proxy(ports), caller(ports) as client:
             async with asyncio.timeout(ACKNOWLEDGED_S):
                 assert (await client.call("POST", START + "z"))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_a_zone_that_nobody_names_is_refused_and_one_of_a_backend_is_not(tmp_path: Path) -> None:
-    async def story(ports: tuple[int, int]) -> None:
-        async with controller(tmp_path, ports) as made, caller(ports) as client:
+    async def scenario(ports: tuple[int, int]) -> None:
+        async with controller(tmp_path, ports) as running, caller(ports) as client:
             status, _, fault = await client.call("POST", START + "nowhere")
             assert (status, json.loads(fault)["key"]) == (400, "zone")
-            made.registry.merge(0.0, [Backend("i", "s", "10.0.0.9:80", "nowhere", "", 1, "ready", 1)])
+            running.registry.merge(0.0, [Backend("i", "s", "10.0.0.9:80", "nowhere", "", 1, "ready", 1)])
             assert (await client.call("POST", START + "nowhere"))[0] == 200
         async with controller(tmp_path, ports), caller(ports) as client:
             assert (await client.call("GET", START + "z"))[0] == 405
 
-    play(story)
+    play(scenario)
 
 
 def test_the_command_evacuates_a_zone_and_takes_it_back_and_tells_a_mistake(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def story(ports: tuple[int, int]) -> None:
-        async with controller(tmp_path, ports) as made:
+    async def scenario(ports: tuple[int, int]) -> None:
+        async with controller(tmp_path, ports) as running:
             address, odd = f"{ONE}:{ports[1]}", "z / \u00e9"
-            made.registry.merge(0.0, [Backend("i", "s", "10.0.0.9:80", odd, "", 1, "ready", 1)])
+            running.registry.merge(0.0, [Backend("i", "s", "10.0.0.9:80", odd, "", 1, "ready", 1)])
             for zone, change, code in ((odd, "start", 0), (odd, "finish", 0), ("z", "start", 0), ("y", "start", 2)):
                 assert await asyncio.to_thread(command.main, ["evacuate", zone, change, address]) == code
-            assert made.evacuated() == ("z",)
+            assert running.evacuated() == ("z",)
             assert await asyncio.to_thread(command.main, ["show", address]) == 0
 
-    play(story)
-    told = capsys.readouterr()
-    assert "unknown_zone" in told.err and "evacuated     z" in told.out
+    play(scenario)
+    sent_numbers = capsys.readouterr()
+    assert "unknown_zone" in sent_numbers.err and "evacuated     z" in sent_numbers.out
 
 
 def test_who_is_no_primary_confirms_no_evacuation(tmp_path: Path) -> None:
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports, leader="127.0.11.77"), caller(ports) as client:
             for path in (START + "z", FINISH + "z", START + "nowhere"):
                 status, headers, _ = await client.call("POST", path)
                 assert (status, headers["retry-after"]) == (503, "0.2")
 
-    play(story)
+    play(scenario)
 
 
 class Sink:
@@ -320,19 +320,19 @@
     """A proxy in front of the sink, not linked yet."""
     loop = asyncio.get_running_loop()
     await sink.start()
-    made = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), loop.time())
-    made.learn(sink.records)
-    front = await loop.create_server(made.front, "127.0.0.1", 0)
+    data_plane = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), loop.time())
+    data_plane.learn(sink.records)
+    front = await loop.create_server(data_plane.front, "127.0.0.1", 0)
     try:
-        yield made, front.sockets[0].getsockname()
+        yield data_plane, front.sockets[0].getsockname()
     finally:
         front.close()
         sink.stop()
 
 
-def linked(made: Proxy, ports: tuple[int, int], ips: tuple[str, ...]) -> FleetLinks:
-    hello = Hello("edge-1", "proxy", PROXY, "z", 1, made.revision, ())
-    links = FleetLinks(DataPlane(made), lambda: hello, PROXY, ports[0])
+def linked(data_plane: Proxy, ports: tuple[int, int], ips: tuple[str, ...]) -> FleetLinks:
+    hello = Hello("edge-1", "proxy", PROXY, "z", 1, data_plane.revision, ())
+    links = FleetLinks(DataPlane(data_plane), lambda: hello, PROXY, ports[0])
     links.name(ips)
     return links
 
@@ -351,37 +351,41 @@
 
 
 def test_a_proxy_that_was_cut_off_during_an_evacuation_sends_nothing_there_once_it_is_back(tmp_path: Path) -> None:
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         sink = Sink()
-        async with controller(tmp_path, ports), serving(sink) as (made, address):
-            made.configure(ROUTED)
+        async with controller(tmp_path, ports), serving(sink) as (data_plane, address):
+            data_plane.configure(ROUTED)
             assert await requests_reach(sink, address) == set(ZONES)
             async with caller(ports) as client:
                 assert (await client.call("POST", START + "z"))[0] == 200
-                assert await requests_reach(sink, address) == set(ZONES), "it is cut off"
-                links = linked(made, ports, (ONE,))
-                await until(lambda: made.evacuation_number == 1)
+                assert await requests_reach(sink, address) == set(ZONES), (
+                    "the proxy is cut off and knows of no evacuation"
+                )
+                links = linked(data_plane, ports, (ONE,))
+                await until(lambda: data_plane.evacuation_number == 1)
                 assert await requests_reach(sink, address) == {"y"}
                 links.stop()
-                assert await requests_reach(sink, address) == {"y"}, "cut off, it goes on with what it knows"
+                assert await requests_reach(sink, address) == {"y"}, (
+                    "a proxy that is cut off keeps to the evacuations that it knows"
+                )
                 assert (await client.call("POST", FINISH + "z"))[0] == 200
-                links = linked(made, ports, (ONE,))
-                await until(lambda: made.evacuation_number == 2)
+                links = linked(data_plane, ports, (ONE,))
+                await until(lambda: data_plane.evacuation_number == 2)
                 assert await requests_reach(sink, address) == set(ZONES)
                 links.stop()
 
-    play(story)
+    play(scenario)
 
 
 def test_an_acknowledged_evacuation_outlives_the_death_of_the_primary_and_of_all_processes(tmp_path: Path) -> None:
     """Real processes: the primary is killed right after the answer, and later all of them at once."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         sink = Sink()
-        async with three(tmp_path, ports) as controllers, serving(sink) as (made, address):
-            links = linked(made, ports, IPS)
+        async with three(tmp_path, ports) as controllers, serving(sink) as (data_plane, address):
+            links = linked(data_plane, ports, IPS)
             assert (await controllers.follow("POST", REPLACE, ROUTED, 0))[0][0] == 200
-            await until(lambda: made.revision == 3)
+            await until(lambda: data_plane.revision == 3)
             loop = asyncio.get_running_loop()
             since = loop.time()
             answer, primary = await controllers.follow("POST", START + "z")
@@ -394,15 +398,15 @@
                 await controllers.kill(ip)
             links.stop()
             # In place of a restart of the proxy, after which it knows of none
-            made.evacuate(made.evacuation_number + 1, ())
-            made.evacuation_number = 0
+            data_plane.evacuate(data_plane.evacuation_number + 1, ())
+            data_plane.evacuation_number = 0
             await asyncio.gather(*(controllers.start(ip, is_first_start=False) for ip in IPS))
-            links = linked(made, ports, IPS)
-            await until(lambda: made.evacuation_number == 1)
+            links = linked(data_plane, ports, IPS)
+            await until(lambda: data_plane.evacuation_number == 1)
             assert await requests_reach(sink, address) == {"y"}
             assert (await controllers.follow("POST", FINISH + "z"))[0][0] == 200
-            await until(lambda: made.evacuation_number == 2)
+            await until(lambda: data_plane.evacuation_number == 2)
             assert await requests_reach(sink, address) == set(ZONES)
             links.stop()
 
-    play(story, 40.0)
+    play(scenario, 40.0)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -139,7 +139,7 @@
     (again,) = calls(harness.do(LegEnd(prefill.leg)))
     assert again.backend.id != prefill.backend.id
     ready = harness.shared.candidates.ready(harness.now, "svc", "prefill")
-    assert prefill.backend.id not in {seen.backend.id for seen in ready}
+    assert prefill.backend.id not in {view.backend.id for view in ready}
 
 
 def test_the_only_maker_makes_though_a_call_of_another_request_has_just_failed_there() -> None:
@@ -336,50 +336,57 @@
 
 
 def test_a_reading_is_told_as_it_begins_with_what_is_not_kept() -> None:
-    harness, told = ExchangeHarness(prefill_backends=1, tries=1, resumable=False, goal_ms=600.0), list[PrefillBegun]()
-    harness.shared.on_prefill_begun = told.append
-    harness.shared.on_prefix_cached = lambda backend, part, tokens: pytest.fail("its beginning was told")
+    harness, reported = (
+        ExchangeHarness(prefill_backends=1, tries=1, resumable=False, goal_ms=600.0),
+        list[PrefillBegun](),
+    )
+    harness.shared.on_prefill_begun = reported.append
+    harness.shared.on_prefix_cached = lambda backend, part, tokens: pytest.fail(
+        "the start of a prefill was reported as a cached prefix"
+    )
     for count in (1, 2):
         (prefill,) = calls(harness.begin("17020,17", f"r:300,s:13000,o{count}:3720"))
-        assert len(told) == count
+        assert len(reported) == count
         harness.do(LegHead(prefill.leg, 200, {}), 0.3)
         harness.do(LegData(prefill.leg, b'{"prompt_handle":"h1","tokens":17020,"revision":1}'))
         harness.do(LegEnd(prefill.leg))
     took = 300.0 / harness.shared.choices.pairs.latency("svc", "prefill").estimate(17_020)
-    assert told[0] == PrefillBegun("p0", 17_020, "s", 13_300)
-    assert told[1] == PrefillBegun("p0", 3_720, "s", 13_300, told[1].slowness)
-    assert told[1].slowness == pytest.approx(took, rel=0.3), "what the first one showed goes with the second"
+    assert reported[0] == PrefillBegun("p0", 17_020, "s", 13_300)
+    assert reported[1] == PrefillBegun("p0", 3_720, "s", 13_300, reported[1].slowness)
+    assert reported[1].slowness == pytest.approx(took, rel=0.3), (
+        "the slowness observed in the first prefill is reported with the second"
+    )
     harness.begin("1500,6", "a:1500")
-    assert told[2] == PrefillBegun("p0", 1_500), "nothing of it is shared"
+    assert reported[2] == PrefillBegun("p0", 1_500), "no part of it is shared"
 
 
 def test_a_long_shared_part_that_a_maker_has_read_is_told_once() -> None:
-    harness, told = (
+    harness, reported = (
         ExchangeHarness(decode_backends=1, prefill_backends=0, tries=1, resumable=False),
         list[tuple[str, str, int]](),
     )
-    harness.shared.on_prefix_cached = lambda backend, part, tokens: told.append((backend, part, tokens))
+    harness.shared.on_prefix_cached = lambda backend, part, tokens: reported.append((backend, part, tokens))
     for _ in range(2):
         (decode,) = calls(harness.begin("17020,17", "r:300,s:13000,o:3720"))
         harness.do(LegHead(decode.leg, 200, SEALED), 0.3)
         harness.do(LegData(decode.leg, b"id: 1\ndata: x\n\n"))
         harness.do(LegEnd(decode.leg))
-    assert told == [("d0", "s", 13_300)], "the second time it was kept there"
+    assert reported == [("d0", "s", 13_300)], "the second time, the prefix was cached there"
 
 
 def test_a_reading_waits_behind_those_before_it_until_it_is_over_or_never_left() -> None:
     harness = ExchangeHarness(prefill_backends=1, tries=1, resumable=False, goal_ms=600.0)
-    pairs, seen = harness.shared.choices.pairs, harness.shared.candidates.views["p0"]
+    pairs, view = harness.shared.choices.pairs, harness.shared.candidates.views["p0"]
     latency = pairs.latency("svc", "prefill")
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
-    assert seen.prefill_queue.wait(harness.now) == pytest.approx(17.020 * latency.token_ms)
+    assert view.prefill_queue.wait(harness.now) == pytest.approx(17.020 * latency.token_ms)
     harness.do(LegFailed(prefill.leg, SendEvidence.NEVER_CONNECTED))
-    assert seen.prefill_queue.wait(harness.now) == 0.0
+    assert view.prefill_queue.wait(harness.now) == 0.0
     (prefill,) = calls(harness.begin("17020,17", "t:13300,o:3720"))
     harness.do(LegHead(prefill.leg, 200, {}), 0.1)  # earlier than estimated
     harness.do(LegData(prefill.leg, b'{"prompt_handle":"h1","tokens":17020,"revision":1}'))
     harness.do(LegEnd(prefill.leg))
-    assert seen.prefill_queue.wait(harness.now) == 0.0
+    assert view.prefill_queue.wait(harness.now) == 0.0
 
 
 def test_an_answer_without_ids_is_never_continued_by_another_run() -> None:
@@ -549,12 +556,12 @@
     """Counts which calls of one request may have run, and what that means for its tries."""
 
     def __init__(self) -> None:
-        self.made: dict[int, Call] = {}
+        self.calls_made: dict[int, Call] = {}
         self.not_run: set[int] = set()
 
     def backends(self) -> int:
         """Backends on which it may have run; the first prefill that a backend accepted does not count."""
-        ran = [call for leg, call in self.made.items() if leg not in self.not_run]
+        ran = [call for leg, call in self.calls_made.items() if leg not in self.not_run]
         readings = [call for call in ran if call.backend.stage == "prefill"]
         return len(ran) - min(1, len(readings))
 
@@ -585,7 +592,7 @@
         )
         out = calls(harness.begin(*random.choice([("383,6", "a:55,b:37,c:291"), ("17020,17", "s:13300,o:3720")])))
         begun, heads = harness.now, dict[int, LegHead]()
-        count.made |= {call.leg: call for call in out}
+        count.calls_made |= {call.leg: call for call in out}
         while not harness.exchange.is_over:
             event = random_event(random, random.choice(out))
             if isinstance(event, LegHead):
@@ -598,19 +605,19 @@
                 event = LegFailed(event.leg, SendEvidence.WRITTEN)  # a call whose answer's head arrived had been sent
             actions = harness.do(event, random.random() * 0.2)
             out += calls(actions)
-            count.made |= {call.leg: call for call in calls(actions)}
+            count.calls_made |= {call.leg: call for call in calls(actions)}
             if not harness.exchange.is_over:
                 assert isinstance(actions[-1], WakeAt) and actions[-1].at <= begun + 2.0
                 assert harness.now < begun + 2.0 or not isinstance(event, Wake), "held past the route's time"
         assert count.backends() <= tries, f"seed {seed}"
         reached[f"{tries} tries, {count.backends()} backends"] += 1
-        reached["a further reading"] += sum(call.backend.stage == "prefill" for call in count.made.values()) > 1
+        reached["a further reading"] += sum(call.backend.stage == "prefill" for call in count.calls_made.values()) > 1
         reached["out of time"] += harness.now >= begun + 2.0
     assert all(reached[f"{tries} tries, {tries} backends"] for tries in (1, 2, 3))
     assert reached["a further reading"] and reached["out of time"]
 
 
-def read_after(harness: ExchangeHarness, seconds: float, part: str = "s") -> None:
+def prefill_after(harness: ExchangeHarness, seconds: float, part: str = "s") -> None:
     """A long prompt with this shared prefix, whose prefill takes so long."""
     (prefill,) = calls(harness.begin("17020,17", f"{part}:13300,o{part}:3720"))
     harness.do(LegHead(prefill.leg, 200, {}), seconds)
@@ -625,14 +632,14 @@
     prefill_backend = harness.shared.candidates.views["p0"]
     for busy_with in ("calls", "others_calls"):
         setattr(prefill_backend, busy_with, 3)
-        read_after(harness, 2.0, busy_with)
+        prefill_after(harness, 2.0, busy_with)
         setattr(prefill_backend, busy_with, 0)
     assert latency.estimate(17020) == before
     prefill_backend.prefill_queue = PrefillQueue()
-    read_after(harness, 2.0, "calls")
-    assert latency.estimate(17020) == before, "part of it was thought to be kept"
+    prefill_after(harness, 2.0, "calls")
+    assert latency.estimate(17020) == before, "part of it was expected to be cached"
     prefill_backend.prefill_queue = PrefillQueue()
-    read_after(harness, 0.5, "s")
+    prefill_after(harness, 0.5, "s")
     assert before < latency.estimate(17020) <= 500.0
 
 
@@ -640,8 +647,8 @@
     for prefill_backends in (1, 0):
         harness = ExchangeHarness(prefill_backends=prefill_backends, tries=1, resumable=False)
         harness.begin("17020,17", "s:13300,o:3720")
-        (told,) = harness.shared.load.report(harness.now, [])
-        assert told.prefill == pytest.approx(17020 * 0.02e-3 / LOAD_AVERAGING_S, rel=0.01)
+        (reported,) = harness.shared.load.report(harness.now, [])
+        assert reported.prefill == pytest.approx(17020 * 0.02e-3 / LOAD_AVERAGING_S, rel=0.01)
     harness = ExchangeHarness()
     harness.begin()
     assert harness.shared.load.report(harness.now, []) == ()
@@ -664,8 +671,8 @@
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     (once,) = harness.shared.load.report(harness.now, [])
     harness.do(LegFailed(prefill.leg, SendEvidence.NEVER_CONNECTED))  # another backend is called
-    (told,) = harness.shared.load.report(harness.now, [])
-    assert told.prefill == pytest.approx(once.prefill)
+    (reported,) = harness.shared.load.report(harness.now, [])
+    assert reported.prefill == pytest.approx(once.prefill)
 
 
 def test_a_call_that_was_withdrawn_is_no_failure_of_its_backend() -> None:
--- a/tests/test_exchange_parts.py
+++ b/tests/test_exchange_parts.py
@@ -66,28 +66,28 @@
 
 
 def test_figures_of_a_backend_come_back_to_nothing() -> None:
-    legs, seen = OpenLegs(), BackendView(BACKEND)
-    first, second = legs.open(1.0, seen, 100, True, 2.0), legs.open(1.5, seen, 30, False, None)
-    assert (seen.calls, seen.tokens, legs.runs, len(legs)) == (2, 130, 1, 2)
+    legs, view = OpenLegs(), BackendView(BACKEND)
+    first, second = legs.open(1.0, view, 100, True, 2.0), legs.open(1.5, view, 30, False, None)
+    assert (view.calls, view.tokens, legs.runs, len(legs)) == (2, 130, 1, 2)
     assert legs.next_silence(9.0) == 3.0 and legs.next_silence(2.0) == 2.0
-    assert legs.mark_prompt_read(2.0, second) == 30 and seen.tokens == 100
+    assert legs.mark_prompt_read(2.0, second) == 30 and view.tokens == 100
     for leg in legs:
         legs.close(2.0, leg)
-    assert (seen.calls, seen.tokens, len(legs)) == (0, 0, 0) and legs.get(first.number) is None
-    assert legs.open(3.0, seen, 0, False, None).number > second.number
+    assert (view.calls, view.tokens, len(legs)) == (0, 0, 0) and legs.get(first.number) is None
+    assert legs.open(3.0, view, 0, False, None).number > second.number
 
 
 def leg() -> Leg:
     """A leg that has been answered with a success."""
-    made = OpenLegs().open(0.0, BackendView(BACKEND), 0, False, None)
-    made.status, made.headers = 200, {"x-server-seal": "s"}
-    return made
+    answered_leg = OpenLegs().open(0.0, BackendView(BACKEND), 0, False, None)
+    answered_leg.status, answered_leg.headers = 200, {"x-server-seal": "s"}
+    return answered_leg
 
 
 def test_an_answer_begins_once_and_ends_whole() -> None:
-    answer, made = ClientAnswer(True, "3"), leg()
-    assert answer.last_event_id == "3" and answer.pass_on(made, b"id: 4\n") == [] and not answer.is_begun
-    assert answer.pass_on(made, b"\nid: 5") == [Head(200, made.headers), Data(b"id: 4\n\n")]
+    answer, answered_leg = ClientAnswer(True, "3"), leg()
+    assert answer.last_event_id == "3" and answer.pass_on(answered_leg, b"id: 4\n") == [] and not answer.is_begun
+    assert answer.pass_on(answered_leg, b"\nid: 5") == [Head(200, answered_leg.headers), Data(b"id: 4\n\n")]
     assert answer.last_event_id == "4" and answer.can_continue
     answer.drop_rest()
     assert answer.finish(leg()) == [Finish()]
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -43,7 +43,7 @@
 FULL = range(400, 500)  # tables with a bound are full by now
 MEMORY_TOLERANCE = 0.1
 FULL_TOLERANCE = 0.05
-PATIENCE_S = 10.0  # an operator's time limit for one change
+CHANGE_TIMEOUT_S = 10.0  # an operator's time limit for one change
 FEW_CALLS = 64
 SAMPLED_EVERY = 5
 # Work that grows with the number of changes would take five to ten times as long late as early. A fixed piece of work
@@ -51,7 +51,7 @@
 PROCESSOR_FACTOR = 1.5
 REFERENCE = msgspec.json.encode([{"name": f"item-{number}", "values": list(range(20))} for number in range(300)])
 LIMIT_S = 240.0
-BEAT_MS = 60_000  # each backend sends one heartbeat in BACKENDS changes, however slow the machine is
+HEARTBEAT_INTERVAL_MS = 60_000  # each backend sends one heartbeat in BACKENDS changes, however slow the machine is
 BACKENDS = 300
 
 
@@ -124,7 +124,7 @@
     """Send all changes to a controller with a linked proxy; `look` is called before each."""
     ports = (free_port(), free_port())
     store, _ = open_store(folder, "custody")
-    settings = msgspec.structs.replace(controller_settings(ONE, ports), beat_ms=BEAT_MS)
+    settings = msgspec.structs.replace(controller_settings(ONE, ports), beat_ms=HEARTBEAT_INTERVAL_MS)
     controller = Controller(settings, single_replica, AsyncStore(store), Random(1), lambda: settings)
     await controller.start()
     proxy = Proxy(RetryRule(0.1, 10, 1.0, True), Random(2), controller.now())
@@ -145,7 +145,7 @@
                 assert proxy.revision == number
         look(CHANGES + 1)
         phases = {record.phase for record in controller.registry.all_records()}
-        assert phases == {"ready"}, "the pace of the machine decided how many backends were lost, and so the memory"
+        assert phases == {"ready"}, "a slow machine lost backends, which changes the memory in use"
     finally:
         links.stop()
         await controller.stop()
@@ -158,14 +158,14 @@
     assert link is not None
     link.close()
     await link.ended.wait()
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(CHANGE_TIMEOUT_S):
         while not (controller._delivery.proxies and links.up):
             await asyncio.sleep(0.01)
 
 
 async def one_change(client: Caller, number: int) -> None:
     """Send one change, and repeat it unchanged while there is no primary: a stall of the machine ends its lease."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(CHANGE_TIMEOUT_S):
         status, _, answer = await client.call("POST", REPLACE, change(number), number - 1)
         while status == 503:
             status, _, answer = await client.call("POST", REPLACE, change(number), number - 1)
@@ -176,14 +176,14 @@
     """Send a heartbeat of one of the backends; repeat it while no one reaches the controller after a stall."""
     which = number % BACKENDS
     sent = beat(1000 + number, address=f"10.0.{which // 250}.{which % 250}:80")
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(CHANGE_TIMEOUT_S):
         status, _, answer = await client.call("POST", f"/api/Servers.Heartbeat/i-{which}", sent)
         while status == 503:
             status, _, answer = await client.call("POST", f"/api/Servers.Heartbeat/i-{which}", sent)
     assert status == 200, answer
 
 
-def play(folder: Path, look: Callable[[int], None]) -> None:
+def run_changes(folder: Path, look: Callable[[int], None]) -> None:
     """Run all changes on the loop that the programs use."""
 
     async def limited() -> None:
@@ -194,7 +194,7 @@
         runner.run(limited())
 
 
-def kept_in(window: range, traced: dict[int, int]) -> int:
+def retained_bytes(window: range, traced: dict[int, int]) -> int:
     """The least bytes seen among these changes: retained memory, without what is in use only at the moment."""
     return min(size for number, size in traced.items() if number in window)
 
@@ -215,12 +215,12 @@
 
     tracemalloc.start()
     try:
-        play(tmp_path, look)
+        run_changes(tmp_path, look)
     finally:
         tracemalloc.stop()
-    early = kept_in(EARLY, traced)
-    full = kept_in(FULL, traced)
-    late = kept_in(LATE, traced)
+    early = retained_bytes(EARLY, traced)
+    full = retained_bytes(FULL, traced)
+    late = retained_bytes(LATE, traced)
     print(f"traced bytes: {early} early, {full} with full tables, {late} late; largest file {largest_file}")
     assert late <= early * (1 + MEMORY_TOLERANCE)
     assert late <= full * (1 + FULL_TOLERANCE)
@@ -249,11 +249,11 @@
             unit[number] = reference_s()
         began[number] = time.process_time()
 
-    play(tmp_path, look)
+    run_changes(tmp_path, look)
     cost = {number: (ended[number] - began[number]) / unit[number] for number in unit}
     ratios = [cost[late] / cost[early] for early, late in zip(EARLY, LATE, strict=True)]
-    told = f"{median(ratios):.2f} times as much late as early, {median(cost.values()):.2f} references a change"
-    print(f"{told}; reference {median(unit.values()) * 1e3:.2f} ms; pid {os.getpid()}")
+    result = f"{median(ratios):.2f} times as much late as early, {median(cost.values()):.2f} references a change"
+    print(f"{result}; reference {median(unit.values()) * 1e3:.2f} ms; pid {os.getpid()}")
     assert median(ratios) <= PROCESSOR_FACTOR
 
 
@@ -298,7 +298,7 @@
 def test_a_proxy_forgets_the_budgets_of_services_that_are_gone() -> None:
     """A budget is kept while something in its window counts, and no longer."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         proxy = Proxy(RetryRule(0.1, 10, 30.0, True), Random(2), loop.time())
         for number in range(1, CHANGES + 1):
@@ -310,15 +310,15 @@
         proxy.shared.budget("third")
         assert proxy._budgets.keys() >= {"spent", "third"}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_request_spends_from_the_budget_that_is_kept_now() -> None:
     """An open request may outlive the budget that it began with; what it spends still counts."""
-    story = ExchangeHarness(slack=50.0)
-    (call,) = calls(story.begin())
-    story.budget = Budget(0.2, 0.0, 10.0, 0.0)
-    assert not calls(story.do(LegFailed(call.leg, SendEvidence.WRITTEN)))
+    scenario = ExchangeHarness(slack=50.0)
+    (call,) = calls(scenario.begin())
+    scenario.budget = Budget(0.2, 0.0, 10.0, 0.0)
+    assert not calls(scenario.do(LegFailed(call.leg, SendEvidence.WRITTEN)))
 
 
 @pytest.mark.parametrize("end", ["gone", "lost"])
--- a/tests/test_mixed_services.py
+++ b/tests/test_mixed_services.py
@@ -71,11 +71,11 @@
             self.heads.append(head)
             mark = "X-Not-Run: 1" if self.is_full else "X-Server-Seal: s"
             status, body = ("503 Full" if self.is_full else "200 OK"), self.name.encode()
-            told = f"HTTP/1.1 {status}\r\nX-Attempt-Id: {head['x-attempt-id']}\r\n{mark}\r\n"
-            writer.write(f"{told}Content-Length: {len(body)}\r\n\r\n".encode() + body)
+            head_text = f"HTTP/1.1 {status}\r\nX-Attempt-Id: {head['x-attempt-id']}\r\n{mark}\r\n"
+            writer.write(f"{head_text}Content-Length: {len(body)}\r\n\r\n".encode() + body)
 
 
-Story = Callable[[Proxy, "Client", dict[str, StandIn]], Awaitable[None]]
+Scenario = Callable[[Proxy, "Client", dict[str, StandIn]], Awaitable[None]]
 
 
 class Client:
@@ -104,13 +104,13 @@
     return await reader.readexactly(size)
 
 
-def play(story: Story) -> None:
+def run_scenario(scenario: Scenario) -> None:
     """Run a proxy with two plain backends and one of each stage."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        made = [StandIn("a", "status", ""), StandIn("b", "status", ""), StandIn("d", "model", "decode")]
-        backends = {one.name: one for one in (*made, StandIn("p", "model", "prefill"))}
+        stand_ins = [StandIn("a", "status", ""), StandIn("b", "status", ""), StandIn("d", "model", "decode")]
+        backends = {one.name: one for one in (*stand_ins, StandIn("p", "model", "prefill"))}
         servers = [await one.serve() for one in backends.values()]
         proxy = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), loop.time())
         assert proxy.configure(document(1))
@@ -118,7 +118,7 @@
         front = await loop.create_server(proxy.front, "127.0.0.1", 0)
         try:
             async with asyncio.timeout(LIMIT_S):
-                await story(proxy, Client(front.sockets[0].getsockname()), backends)
+                await scenario(proxy, Client(front.sockets[0].getsockname()), backends)
         finally:
             for server in (front, *servers):
                 server.close()
@@ -128,7 +128,7 @@
 
 
 def test_each_service_is_served_by_its_own_backends() -> None:
-    async def story(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
+    async def scenario(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
         plain = Counter([await client.ask("status.example") for _ in range(30)])
         assert plain.keys() == {(200, "a"), (200, "b")}
         assert [await client.ask("model.example") for _ in range(5)] == [(200, "d")] * 5
@@ -139,22 +139,24 @@
             assert not any("x-stage" in head or "kv-from" in head for head in one.heads)
         assert not backends["p"].heads and proxy.counters["served"] == 95
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_full_backend_is_told_of_as_it_is_and_the_other_serves() -> None:
-    async def story(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
+    async def scenario(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
         backends["a"].is_full = True
         found = Counter([await client.ask("status.example") for _ in range(40)])
-        assert {status for status, _ in found} == {200, 503}, "the route has one try: what did not run is refused"
+        assert {status for status, _ in found} == {200, 503}, (
+            "the route has one try, so a request that did not run is refused"
+        )
         assert found[200, "b"] == len(backends["b"].heads)
-        assert len(backends["a"].heads) + len(backends["b"].heads) == 40, "and nothing is sent twice"
+        assert len(backends["a"].heads) + len(backends["b"].heads) == 40, "nothing is sent twice"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_who_drains_or_is_gone_is_sent_nothing() -> None:
-    async def story(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
+    async def scenario(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
         await client.ask("status.example")
         proxy.learn([backends["a"].record("draining", 2)])
         before = len(backends["a"].heads)
@@ -163,14 +165,14 @@
         assert (await client.ask("status.example"))[0] == 503
         assert len(backends["a"].heads) == before
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_service_changes_its_kind_by_a_configuration() -> None:
-    async def story(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
+    async def scenario(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
         assert (await client.ask("status.example"))[0] == 200
         assert proxy.configure(document(2, ENGINE))
-        assert (await client.ask("status.example"))[0] == 503, "its backends tell no stage"
+        assert (await client.ask("status.example"))[0] == 503, "its backends report no stage"
         staged = StandIn("e", "status", "decode")
         server = await staged.serve()
         proxy.learn([staged.record()])
@@ -179,4 +181,4 @@
         assert {(await client.ask("status.example"))[1] for _ in range(30)} == {"a", "b"}
         server.close()
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -47,9 +47,9 @@
 
 def load(candidates: Candidates, now: float, stage: str = "d") -> None:
     """Backend number i has i calls in flight; the loads are current."""
-    for name, seen in candidates.views.items():
+    for name, view in candidates.views.items():
         if name.startswith(stage):
-            seen.calls, seen.tokens, seen.load_changed_at = int(name[1:]), 400 * int(name[1:]), now
+            view.calls, view.tokens, view.load_changed_at = int(name[1:]), 400 * int(name[1:]), now
 
 
 def rate(choose: PairChooser, now: float, calls: int, stage: str = "decode") -> None:
@@ -151,8 +151,8 @@
     found = Counter(
         plan.prefill_backend.backend.id for plan in plans(choose, now, 400) if plan.prefill_backend is not None
     )
-    home = Counter(seen.backend.id for seen in choose.cache_holders(candidates.ready(now, "svc", "prefill"), LONG))
-    assert abs(found["p3"] / 400 - 1 / 2) < 0.1 or "p3" in home, "it is among two of four in half of all draws"
+    home = Counter(view.backend.id for view in choose.cache_holders(candidates.ready(now, "svc", "prefill"), LONG))
+    assert abs(found["p3"] / 400 - 1 / 2) < 0.1 or "p3" in home, "half of all draws of two of four include it"
 
 
 def test_a_keeper_is_taken_unless_reading_anew_costs_less_than_the_wait() -> None:
@@ -176,11 +176,11 @@
         return {reading[0].backend.id for reading in found if reading is not None}
 
     assert readers(100.0) == {"p0", "p2", "p3"}
-    assert choose.choose_prefill(100.0, "svc", own, {"p0", "p2", "p3"}) is not None, "alone it is used"
-    for seen in candidates.views.values():
-        if seen.backend.id != "p1":
-            seen.prefill_queue.add(160.0, 0.05)
-    assert "p1" in readers(160.0), "what was seen has faded, and the others have something to do"
+    assert choose.choose_prefill(100.0, "svc", own, {"p0", "p2", "p3"}) is not None, "the only candidate is used"
+    for view in candidates.views.values():
+        if view.backend.id != "p1":
+            view.prefill_queue.add(160.0, 0.05)
+    assert "p1" in readers(160.0), "the observation has faded, and the others are busy"
 
 
 def zoned(counts: dict[str, int], zone: str) -> tuple[PairChooser, Candidates]:
@@ -191,9 +191,9 @@
         candidates.merge(
             [Backend(id_, "svc", f"10.0.0.1:{n}", at, stage, 32, "ready", 1) for n, (id_, at) in enumerate(records)]
         )
-    made = PairChooser(candidates, CacheView(), BlendedDraw(Random(4)))
-    made.zone = zone
-    return made, candidates
+    pairs = PairChooser(candidates, CacheView(), BlendedDraw(Random(4)))
+    pairs.zone = zone
+    return pairs, candidates
 
 
 def test_where_all_are_alike_the_body_stays_within_the_zone() -> None:
@@ -213,13 +213,13 @@
 
 def test_a_reader_in_a_zone_that_is_busier_than_others_is_left_to_the_two_draws() -> None:
     choose, candidates = zoned({"a": 4, "b": 4, "c": 4}, "b")
-    for name, seen in candidates.views.items():
+    for name, view in candidates.views.items():
         if name.startswith("p-b"):
-            seen.prefill_queue.add(100.0, 9.0)
+            view.prefill_queue.add(100.0, 9.0)
     own = Prompt(6_000, 10, (("o", 6_000),))
     readings = [choose.choose_prefill(100.0, "svc", own, set()) for _ in range(400)]
     away = sum(reading[0].backend.zone != "b" for reading in readings if reading is not None)
-    assert abs(away / 400 - (1 - 4 / 12 * 3 / 11)) < 0.05, "unless both draws are there"
+    assert abs(away / 400 - (1 - 4 / 12 * 3 / 11)) < 0.05, "unless both draws are in the zone"
 
 
 def test_a_part_that_is_kept_elsewhere_is_read_anew_only_where_three_readings_of_it_are_saved() -> None:
@@ -241,12 +241,12 @@
         second = choose.latency("svc", "prefill").token_ms * 13.300
         if congested:
             for _ in range(60):  # this proxy has met waits of eight prefills
-                for seen in candidates.views.values():
-                    seen.prefill_queue = PrefillQueue()
-                    seen.prefill_queue.add(100.0, 8 * second)
+                for view in candidates.views.values():
+                    view.prefill_queue = PrefillQueue()
+                    view.prefill_queue.add(100.0, 8 * second)
                 choose.choose_prefill(100.0, "svc", LONG, set())
-        for seen in candidates.views.values():
-            seen.prefill_queue = PrefillQueue()
+        for view in candidates.views.values():
+            view.prefill_queue = PrefillQueue()
         candidates.views["p3"].prefill_queue.add(100.0, wait * second)
         reading = choose.choose_prefill(100.0, "svc", LONG, set())
         assert reading is not None and (reading[0].backend.id == "p3") is congested
@@ -271,10 +271,10 @@
 
     candidates.merge([Backend("p3", "svc", "10.0.1.3:1", "z", "prefill", 32, "gone", 2)])
     listed = candidates.ready(100.0, "svc", "prefill")
-    before = [{seen.backend.id for seen in choose.cache_holders(listed, prompt)} for prompt in prompts_]
+    before = [{view.backend.id for view in choose.cache_holders(listed, prompt)} for prompt in prompts_]
     candidates.merge([Backend("p4", "svc", "10.0.1.4:1", "z", "prefill", 32, "gone", 2)])
     listed = candidates.ready(100.0, "svc", "prefill")
-    after = [{seen.backend.id for seen in choose.cache_holders(listed, prompt)} for prompt in prompts_]
+    after = [{view.backend.id for view in choose.cache_holders(listed, prompt)} for prompt in prompts_]
     assert all(old - {"p4"} <= new for old, new in zip(before, after, strict=True))
 
 
@@ -364,7 +364,7 @@
             lost = {key for key, one in candidates.records.items() if one.phase == "lost" and one.stage == name}
             assert len(ready) == candidates.count("svc", name)
             assert len(set(listed)) == len(listed)
-            assert {seen.backend.id for seen in listed} == (ready | lost if len(lost) > len(ready) else ready)
+            assert {view.backend.id for view in listed} == (ready | lost if len(lost) > len(ready) else ready)
         assert before == after or candidates.version > version
         assert candidates.any_ready() == any(one.phase in {"ready", "lost"} for one in candidates.records.values())
         assert not violations()
@@ -374,7 +374,7 @@
     _, candidates = chooser()
 
     def ready(now: float) -> set[str]:
-        return {seen.backend.id for seen in candidates.ready(now, "svc", "prefill")}
+        return {view.backend.id for view in candidates.ready(now, "svc", "prefill")}
 
     everybody = {"p0", "p1", "p2", "p3"}
     candidates.failed(100.0, "p0")
--- a/tests/test_passed_on.py
+++ b/tests/test_passed_on.py
@@ -20,7 +20,7 @@
 DEADLINE_MS = 3000
 
 Address = tuple[str, int]
-Story = Callable[[Proxy, Address], Awaitable[None]]
+Scenario = Callable[[Proxy, Address], Awaitable[None]]
 
 
 def request(more: bytes = b"") -> bytes:
@@ -57,21 +57,21 @@
         return [line.split(": ", 1)[1] for line in lines if line.lower().startswith(f"{name.lower()}: ")]
 
 
-def play(story: Story, backends: RecordingBackends, document: bytes | None = DOCUMENT) -> None:
+def run_scenario(scenario: Scenario, backends: RecordingBackends, document: bytes | None = DOCUMENT) -> None:
     """Run a proxy in front of two backends."""
 
     async def run() -> None:
-        made = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), asyncio.get_running_loop().time())
+        proxy = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), asyncio.get_running_loop().time())
         if document is not None:
-            assert made.configure(document)
+            assert proxy.configure(document)
         hosts = [await asyncio.start_server(backends.talk, "127.0.0.1", 0) for _ in range(2)]
         for number, host in enumerate(hosts):
             address = "{}:{}".format(*host.sockets[0].getsockname())
-            made.learn([Backend(f"d{number}", "svc", address, "z", "decode", 4, "ready", 1)])
-        front = await asyncio.get_running_loop().create_server(made.front, "127.0.0.1", 0)
+            proxy.learn([Backend(f"d{number}", "svc", address, "z", "decode", 4, "ready", 1)])
+        front = await asyncio.get_running_loop().create_server(proxy.front, "127.0.0.1", 0)
         try:
             async with asyncio.timeout(10.0):
-                await story(made, front.sockets[0].getsockname())
+                await scenario(proxy, front.sockets[0].getsockname())
         finally:
             front.close()
             for host in hosts:
@@ -84,10 +84,10 @@
 def test_a_clients_fields_go_on_as_they_came() -> None:
     backends = RecordingBackends()
 
-    async def story(made: Proxy, address: Address) -> None:
+    async def scenario(proxy: Proxy, address: Address) -> None:
         assert (await ask(address, request())).startswith(b"HTTP/1.1 200 ")
 
-    play(story, backends)
+    run_scenario(scenario, backends)
     assert backends.heads[0][0] == "POST /x/y?z=1 HTTP/1.1"
     for name, value in (
         ("Host", "h.example"),
@@ -103,10 +103,10 @@
 def test_the_systems_own_fields_are_set_whatever_a_client_sent() -> None:
     backends = RecordingBackends()
 
-    async def story(made: Proxy, address: Address) -> None:
+    async def scenario(proxy: Proxy, address: Address) -> None:
         assert (await ask(address, request(FORGED))).startswith(b"HTTP/1.1 200 ")
 
-    play(story, backends)
+    run_scenario(scenario, backends)
     assert backends.values(0, "X-Stage") == []
     assert backends.values(0, "Kv-From") == []
     assert backends.values(0, "Priority") == ["3"]
@@ -118,10 +118,10 @@
 def test_the_time_that_is_left_is_handed_on_also_with_a_call_that_is_sent_again(late_s: float) -> None:
     backends = RecordingBackends(rejections=1, late_s=late_s)
 
-    async def story(made: Proxy, address: Address) -> None:
+    async def scenario(proxy: Proxy, address: Address) -> None:
         assert (await ask(address, request())).startswith(b"HTTP/1.1 200 ")
 
-    play(story, backends)
+    run_scenario(scenario, backends)
     (first,), (second,) = (backends.values(number, "X-Deadline-Left") for number in range(2))
     assert 0 < int(first) <= DEADLINE_MS
     assert 0 < int(second) <= int(first) - late_s * 1000 + 1
@@ -130,8 +130,8 @@
 def test_without_any_configuration_the_answer_is_a_refusal_with_a_time_to_come_back() -> None:
     backends = RecordingBackends()
 
-    async def story(made: Proxy, address: Address) -> None:
-        assert not made.ready
+    async def scenario(proxy: Proxy, address: Address) -> None:
+        assert not proxy.ready
         reader, writer = await asyncio.open_connection(*address)
         writer.write(request())
         head = await reader.readuntil(END)
@@ -139,5 +139,5 @@
         assert head.startswith(b"HTTP/1.1 503 ")
         assert b"retry-after: " in head.lower()
 
-    play(story, backends, None)
+    run_scenario(scenario, backends, None)
     assert backends.heads == []
--- a/tests/test_plain_service.py
+++ b/tests/test_plain_service.py
@@ -68,8 +68,8 @@
     choices, candidates = choices_over(*(backend(f"b{i}") for i in range(size)))
     choices.draws.proxies = proxies
     for i in range(size):
-        seen = candidates.views[f"b{i}"]
-        seen.calls, seen.load_changed_at = i, NOW - age
+        view = candidates.views[f"b{i}"]
+        view.calls, view.load_changed_at = i, NOW - age
     for _ in range(calls):
         choices.draws.count_call(NOW, "svc", "")
     between_refreshes = calls / 2.0 * proxies * age  # calls per second are averaged over two seconds
@@ -141,7 +141,7 @@
 
     def out(self) -> int:
         """The number of calls in flight."""
-        return sum(seen.calls for seen in self.candidates.views.values())
+        return sum(view.calls for view in self.candidates.views.values())
 
 
 def test_the_answer_is_passed_on_and_the_place_is_free_again() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -78,59 +78,61 @@
             zone = "ab"[number % 2]
             record = Backend(f"{stage}-{number}", "svc", f"10.0.0.{number}:{len(stage)}", zone, stage, 32, "ready", 1)
             candidates.merge([record])
-    made = Choices(candidates, cache, Random(2), without(off))
-    made.pairs.zone = "a"
-    return made, candidates, cache
+    proxy_choices = Choices(candidates, cache, Random(2), without(off))
+    proxy_choices.pairs.zone = "a"
+    return proxy_choices, candidates, cache
 
 
-def prefill_backends(made: Choices, now: float = 100.0) -> set[str]:
+def prefill_backends(proxy_choices: Choices, now: float = 100.0) -> set[str]:
     """The prefill backends that are chosen for a long shared prompt."""
-    plans = [made.of("svc", ENGINE).choose(now, LONG, 600.0, set()) for _ in range(200)]
+    plans = [proxy_choices.of("svc", ENGINE).choose(now, LONG, 600.0, set()) for _ in range(200)]
     return {plan.prefill_backend.backend.id for plan in plans if plan is not None and plan.prefill_backend is not None}
 
 
 @pytest.mark.parametrize("mechanism", ["keepers", "cached_parts"])
 def test_who_keeps_a_part_is_found_only_with(mechanism: str) -> None:
     for off in ((), (mechanism,)):
-        made, _, cache = choices("near_zone", "homes", *off)
+        proxy_choices, _, cache = choices("near_zone", "homes", *off)
         cache.record_prefix("prefill-3", "s", 13_300, 400_000)
-        assert (prefill_backends(made) == {"prefill-3"}) is not bool(off)
+        assert (prefill_backends(proxy_choices) == {"prefill-3"}) is not bool(off)
 
 
 def test_homes_are_gone_to_only_where_they_are_on() -> None:
     for off in ((), ("homes",)):
-        made, _, _ = choices(*off)
-        made.draws.proxies = 350
-        assert (len(prefill_backends(made)) == 1) is not bool(off)
+        proxy_choices, _, _ = choices(*off)
+        proxy_choices.draws.proxies = 350
+        assert (len(prefill_backends(proxy_choices)) == 1) is not bool(off)
 
 
 def test_the_nearest_zone_counts_only_where_it_is_on() -> None:
     for off in ((), ("near_zone",)):
-        made, _, _ = choices("homes", *off)
-        assert prefill_backends(made) == ({f"prefill-{n}" for n in range(4)} if off else {"prefill-0", "prefill-2"})
+        proxy_choices, _, _ = choices("homes", *off)
+        assert prefill_backends(proxy_choices) == (
+            {f"prefill-{n}" for n in range(4)} if off else {"prefill-0", "prefill-2"}
+        )
 
 
 def test_slow_readers_are_avoided_only_where_it_is_on() -> None:
     for off in ((), ("slowness",)):
-        made, candidates, _ = choices("near_zone", "homes", *off)
+        proxy_choices, candidates, _ = choices("near_zone", "homes", *off)
         for _ in range(9):
             candidates.views["prefill-0"].slowness.observe(100.0, 8.0)
-        assert ("prefill-0" in prefill_backends(made)) is bool(off)
+        assert ("prefill-0" in prefill_backends(proxy_choices)) is bool(off)
 
 
 def test_short_prompts_are_read_apart_only_where_makers_may_not_read() -> None:
     for off in ((), ("short_prompts_at_makers",)):
-        made, _, _ = choices(*off)
-        plan = made.of("svc", ENGINE).choose(100.0, SHORT, 300.0, set())
+        proxy_choices, _, _ = choices(*off)
+        plan = proxy_choices.of("svc", ENGINE).choose(100.0, SHORT, 300.0, set())
         assert plan is not None and (plan.prefill_backend is not None) is bool(off)
 
 
 def test_draws_are_always_compared_where_the_blend_is_off() -> None:
     for off in ((), ("blended_draws",)):
-        made, candidates, _ = choices(*off)
-        made.draws.proxies = 350
+        proxy_choices, candidates, _ = choices(*off)
+        proxy_choices.draws.proxies = 350
         for _ in range(400):
-            made.draws.count_call(100.0, "svc", "decode")
+            proxy_choices.draws.count_call(100.0, "svc", "decode")
         listed = candidates.ready(100.0, "svc", "decode")
-        blend = made.draws.blend(100.0, "svc", "decode", listed, (listed[0], listed[1]))
+        blend = proxy_choices.draws.blend(100.0, "svc", "decode", listed, (listed[0], listed[1]))
         assert (blend == 1.0) is bool(off)
--- a/tests/test_prefill_queue.py
+++ b/tests/test_prefill_queue.py
@@ -13,7 +13,7 @@
     assert queue.wait(10.0) == 0.0
     assert queue.add(10.0, 0.3).expected_end_at == 10.3 and queue.add(10.1, 0.2).expected_end_at == 10.5
     assert abs(queue.wait(10.2) - 0.3) < 1e-9 and queue.wait(11.0) == 0.0
-    assert queue.add(12.0, 0.1).expected_end_at == 12.1, "nothing is gained by a pause"
+    assert queue.add(12.0, 0.1).expected_end_at == 12.1, "an idle gap does not shorten the queue"
 
 
 def test_the_end_of_one_reading_shows_how_late_or_early_those_behind_it_are() -> None:
@@ -22,7 +22,7 @@
     queue.finish(10.5, first)
     assert abs(queue.wait(10.5) - 0.6) < 1e-9
     queue.finish(10.8, second)
-    assert abs(queue.wait(10.8) - 0.3) < 1e-9, "one delay counts once, however many readings it holds up"
+    assert abs(queue.wait(10.8) - 0.3) < 1e-9, "one delay counts once, however many prefills it delays"
     queue.finish(10.9, third)
     assert queue.wait(10.9) == 0.0
 
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -50,10 +50,10 @@
     b"X-Prompt-Prefix: a:55,b:328\r\nX-Deadline-Left: 3000\r\nContent-Length: 2\r\n\r\nhi"
 )
 
-Story = Callable[[Proxy, tuple[str, int]], Awaitable[None]]
+Scenario = Callable[[Proxy, tuple[str, int]], Awaitable[None]]
 
 
-def play(story: Story, answer: bytes = ANSWER) -> None:
+def run_scenario(scenario: Scenario, answer: bytes = ANSWER) -> None:
     """Run a proxy in front of one backend that answers every request the same way."""
 
     async def backend(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -64,14 +64,14 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         host = await asyncio.start_server(backend, "127.0.0.1", 0)
-        made = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), loop.time())
-        assert made.configure(DOCUMENT)
+        proxy = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), loop.time())
+        assert proxy.configure(DOCUMENT)
         address = "{}:{}".format(*host.sockets[0].getsockname())
-        made.learn([Backend("d0", "svc", address, "z", "decode", 4, "ready", 1)])
-        front = await loop.create_server(made.front, "127.0.0.1", 0)
+        proxy.learn([Backend("d0", "svc", address, "z", "decode", 4, "ready", 1)])
+        front = await loop.create_server(proxy.front, "127.0.0.1", 0)
         try:
             async with asyncio.timeout(10.0):
-                await story(made, front.sockets[0].getsockname())
+                await scenario(proxy, front.sockets[0].getsockname())
         finally:
             front.close()
             host.close()
@@ -95,12 +95,12 @@
 
 
 def test_a_stream_passes_through_unaltered() -> None:
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         found = await ask(address)
         assert found.startswith(b"HTTP/1.1 200 OK\r\n") and b"x-server-seal: s\r\n" in found and EVENT in found
-        assert made.counters["served"] == 1 and not made.open
+        assert proxy.counters["served"] == 1 and not proxy.open
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_time_to_wake_that_has_passed_does_no_harm(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -114,11 +114,11 @@
 
     monkeypatch.setattr(Exchange, "handle", late)
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         found = await ask(address)
         assert found.startswith(b"HTTP/1.1 200 OK\r\n") and EVENT in found
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_breaks_inside_ends_the_connection_and_shows_no_half_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -128,13 +128,13 @@
 
     monkeypatch.setattr(plane.OpenRequest, "_wake_at", broken)
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         with pytest.raises(ConnectionResetError):
             assert not await ask(address)
             raise ConnectionResetError
-        assert not made.open
+        assert not proxy.open
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -152,33 +152,33 @@
     ],
 )
 def test_bad_requests_get_the_status_that_says_why(request_: bytes, status: bytes) -> None:
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(request_)
         line = await reader.readline()
         assert line.split()[1] == status
         writer.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_proxy_never_steps_back_to_a_lower_revision() -> None:
     """No other test finds the planted fault of an older configuration that is put in force."""
-    made = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), 0.0)
+    proxy = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), 0.0)
     older = DOCUMENT.replace(b'"revision":3', b'"revision":2').replace(b"h.example", b"old.example")
-    assert made.configure(DOCUMENT) and made.configure(older)
-    assert made.table is not None
-    assert made.revision == 3 and made.table.match("h.example", "/") and not made.table.match("old.example", "/")
+    assert proxy.configure(DOCUMENT) and proxy.configure(older)
+    assert proxy.table is not None
+    assert proxy.revision == 3 and proxy.table.match("h.example", "/") and not proxy.table.match("old.example", "/")
 
 
 def test_an_answer_for_another_request_is_read_and_dropped() -> None:
     other = ANSWER.replace(b"X-Attempt-Id: t1", b"X-Attempt-Id: t0").replace(b"data: a", b"data: b")
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         found = await ask(address)
         assert EVENT in found and b"data: b" not in found
 
-    play(story, other + ANSWER)
+    run_scenario(scenario, other + ANSWER)
 
 
 def test_a_connection_that_is_reset_at_once_took_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -194,13 +194,13 @@
 
     monkeypatch.setattr(Pool, "dial", reset)
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
-        (known,) = made.shared.candidates.known()
-        made.learn([msgspec.structs.replace(known, id="d1")])
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
+        (known,) = proxy.shared.candidates.known()
+        proxy.learn([msgspec.structs.replace(known, id="d1")])
         assert EVENT in await ask(address)
-        assert made.counters["legs_unsent"] == 1 and "legs_broken" not in made.counters
+        assert proxy.counters["legs_unsent"] == 1 and "legs_broken" not in proxy.counters
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_request_that_crosses_the_end_of_an_idle_connection_is_left_unread(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -214,26 +214,26 @@
 
     monkeypatch.setattr(ClientConnection, "data_received", data_received)
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         reader, writer = await asyncio.open_connection(*address)
-        while not made.front.count:
+        while not proxy.front.count:
             await asyncio.sleep(0.01)
-        made.front.dismiss()
+        proxy.front.dismiss()
         writer.write(REQUEST)
         with contextlib.suppress(ConnectionError):
             assert not await reader.read()
-        while made.front.count:
+        while proxy.front.count:
             await asyncio.sleep(0.01)
         assert not read
         writer.close()
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_answer_that_has_no_body_but_names_a_length_is_whole() -> None:
     answer = b"HTTP/1.1 304 Not Modified\r\nX-Attempt-Id: t1\r\nContent-Length: 9\r\n\r\n"
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(REQUEST)
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 304 ")
@@ -241,20 +241,20 @@
         assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 304 ")
         writer.close()
 
-    play(story, answer)
+    run_scenario(scenario, answer)
 
 
 def test_a_service_that_is_dropped_and_comes_back_has_spent_what_it_has() -> None:
     """Its budget was created anew, with all of the slack (rule BUDGET)."""
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
-        budget, now = made.shared.budget("svc"), asyncio.get_running_loop().time()
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
+        budget, now = proxy.shared.budget("svc"), asyncio.get_running_loop().time()
         assert budget.may(now, 1)
         while budget.may(now, 1):
             budget.spend(now)
         known = msgspec.json.decode(DOCUMENT)
-        assert made.configure(msgspec.json.encode({**known, "revision": 4, "routes": [], "services": []}))
-        assert made.configure(msgspec.json.encode({**known, "revision": 5}))
-        assert not made.shared.budget("svc").may(now, 1)
+        assert proxy.configure(msgspec.json.encode({**known, "revision": 4, "routes": [], "services": []}))
+        assert proxy.configure(msgspec.json.encode({**known, "revision": 5}))
+        assert not proxy.shared.budget("svc").may(now, 1)
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -34,7 +34,7 @@
 
 def listed(candidates: Candidates, now: float, without: frozenset[str] = frozenset()) -> set[str]:
     """The ids of the candidates."""
-    found = {seen.backend.id for seen in candidates.ready(now, "svc", "decode", without)}
+    found = {view.backend.id for view in candidates.ready(now, "svc", "decode", without)}
     assert not violations()
     return found
 
