--- a/tests/test_call_faults.py
+++ b/tests/test_call_faults.py
@@ -588,7 +588,7 @@
     assert run_scenario(monkeypatch, scenario, backends=1).reached["odd"]
 
 
-def test_an_answer_ahead_of_its_request_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bytes_ahead_of_a_request_are_not_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     """A backend that sends first: no bytes of the request have been sent, so it goes to the next backend."""
 
     def connection_made(self: ScriptedBackend, transport: asyncio.BaseTransport) -> None:
@@ -606,7 +606,9 @@
     assert run_scenario(monkeypatch, scenario).reached["early"]
 
 
-def test_a_call_without_an_id_leaves_nothing_behind_that_passes_for_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_surplus_answer_to_a_call_without_an_id_is_not_accepted_for_the_next_call(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A handle is freed without an attempt id, so a second answer to that call was taken for the next call's."""
     seen: list[bytes] = []
 
@@ -635,7 +637,7 @@
     run_scenario(monkeypatch, scenario, backends=1)
 
 
-def test_a_freeing_that_is_not_confirmed_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_freeing_a_handle_without_confirmation_releases_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection stayed busy for ever and counted against the backend's limit."""
     monkeypatch.setattr(backend_connections, "FREE_TIMEOUT_S", 0.01)
     monkeypatch.setattr(ScriptedBackend, "_request", lambda *_: None)
@@ -650,7 +652,7 @@
     run_scenario(monkeypatch, scenario, backends=1)
 
 
-def test_an_early_answer_ends_a_connection_whose_request_is_still_on_its_way(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_early_answer_closes_a_connection_whose_request_is_still_being_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection was kept, with the rest of the body ahead of the next request."""
 
     def data_received(self: ScriptedBackend, data: bytes) -> None:
@@ -669,7 +671,7 @@
     run_scenario(monkeypatch, scenario, backends=1)
 
 
-def test_a_head_gets_the_fields_of_its_answer_and_no_body(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_head_request_gets_header_fields_and_no_body(monkeypatch: pytest.MonkeyPatch) -> None:
     """A HEAD waited until its deadline for a body that never arrives."""
 
     async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -170,7 +170,7 @@
     run_scenario(loop, scenario)
 
 
-def test_idle_time_does_not_run_while_the_answer_waits_to_leave(loop: ManualLoop) -> None:
+def test_idle_time_does_not_count_while_the_answer_is_being_sent(loop: ManualLoop) -> None:
     """A client that read slowly lost its connection just after it had received its answer."""
 
     async def scenario(scene: Scene) -> None:
@@ -212,7 +212,7 @@
     run_scenario(loop, scenario)
 
 
-def test_no_time_to_keep_the_connection_is_told(loop: ManualLoop) -> None:
+def test_a_backends_keep_alive_field_is_not_passed_on(loop: ManualLoop) -> None:
     async def scenario(scene: Scene) -> None:
         scene.client.data_received(REQUEST)
         scene.answer({"keep-alive": "timeout=1", "connection": "keep-alive"})
@@ -243,7 +243,7 @@
     run_scenario(loop, scenario)
 
 
-def test_a_request_that_is_not_in_in_time_is_told_so_at_any_byte(loop: ManualLoop) -> None:
+def test_a_slow_request_gets_408_at_any_byte(loop: ManualLoop) -> None:
     async def scenario(scene: Scene) -> None:
         for cut in range(1, len(REQUEST)):
             scene = Scene(scene.loop)
@@ -274,7 +274,7 @@
         ),
     ],
 )
-def test_bounds_on_bytes_hold_before_a_request_is_whole(loop: ManualLoop, parts: list[bytes], status: bytes) -> None:
+def test_byte_limits_apply_before_a_request_is_complete(loop: ManualLoop, parts: list[bytes], status: bytes) -> None:
     """A field without end was buffered without limit, as the parser reports only complete fields."""
 
     async def scenario(scene: Scene) -> None:
@@ -286,7 +286,7 @@
     run_scenario(loop, scenario)
 
 
-def test_a_request_of_exactly_the_allowed_size_is_taken(loop: ManualLoop) -> None:
+def test_a_request_of_exactly_the_allowed_size_is_accepted(loop: ManualLoop) -> None:
     async def scenario(scene: Scene) -> None:
         head = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\nX-Fill: "
         head += b"x" * (LIMITS.header_bytes - len(head) - 4) + b"\r\n\r\n"
@@ -319,7 +319,7 @@
     run_scenario(loop, scenario)
 
 
-def test_fields_behind_a_chunked_body_are_no_fields_of_the_request(loop: ManualLoop) -> None:
+def test_trailer_fields_are_not_fields_of_the_request(loop: ManualLoop) -> None:
     """A trailer field could change the deadline or the id of its request."""
 
     async def scenario(scene: Scene) -> None:
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -162,7 +162,7 @@
 
 
 @in_loop
-async def test_who_was_not_reached_comes_behind_the_others_until_its_heartbeat_can_have_told() -> None:
+async def test_an_unreachable_backend_is_avoided_until_its_heartbeat_may_have_reported_it_cold() -> None:
     """It is still used if there is no other backend."""
     proxy = proxy_of(1, 2)
     now = asyncio.get_running_loop().time()
@@ -173,7 +173,7 @@
 
 
 @in_loop
-async def test_the_backends_of_a_zone_that_is_taken_back_are_cold() -> None:
+async def test_backends_of_a_restored_zone_count_as_cold() -> None:
     proxy = proxy_of(1, 2)
     proxy.learn([structs.replace(backend("1", 0, 2), zone="other")])
     proxy.shared.candidates.restore_zones(asyncio.get_running_loop().time(), {"z"})
@@ -181,7 +181,7 @@
 
 
 @in_loop
-async def test_what_a_proxy_tells_of_a_cold_backend_is_what_is_left() -> None:
+async def test_a_proxy_reports_the_remaining_cold_time_of_a_backend() -> None:
     """An old figure would make a restarted controller take the backend for cold."""
     proxy = cold_proxy()
     now = asyncio.get_running_loop().time()
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize("is_connected", [False, True])
-def test_a_process_that_stood_still_in_the_middle_of_a_turn_withdraws_its_call(
+def test_a_process_that_was_suspended_within_an_iteration_withdraws_its_call(
     monkeypatch: pytest.MonkeyPatch, is_connected: bool
 ) -> None:
     """The loop's clock stands still during an iteration. Tested over a new connection and over a kept one."""
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -41,7 +41,7 @@
 # What controllers send to proxies.
 
 
-def test_proxies_are_told_once_and_who_comes_later_ahead_of_the_backends() -> None:
+def test_proxies_get_an_evacuation_once_and_late_joiners_before_the_backends() -> None:
     delivery = made(2)
     delivery.update_evacuations(0, ())
     assert delivery.pop_messages() == [], "no zone was evacuated"
@@ -86,7 +86,7 @@
 
 
 @given(steps_of_backends)
-def test_nothing_of_an_evacuated_zone_is_offered_and_all_are_back_when_it_is_taken_back(
+def test_backends_of_an_evacuated_zone_are_not_offered_until_it_is_restored(
     steps: list[tuple[int, str, set[str]]],
 ) -> None:
     evacuating, plain = Candidates(), Candidates()
@@ -203,7 +203,7 @@
 PROXIES: list[Proxy] = []
 
 
-def test_no_memory_is_freed_at_a_backend_of_an_evacuated_zone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_handle_is_freed_at_a_backend_of_an_evacuated_zone(monkeypatch: pytest.MonkeyPatch) -> None:
     freed: list[str] = []
     monkeypatch.setattr(Pool, "free", lambda self, backend, handle: freed.append(handle))
 
@@ -247,7 +247,7 @@
     play(scenario)
 
 
-def test_a_zone_that_nobody_names_is_refused_and_one_of_a_backend_is_not(tmp_path: Path) -> None:
+def test_an_unknown_zone_is_refused_and_a_backends_zone_is_accepted(tmp_path: Path) -> None:
     async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as running, caller(ports) as client:
             status, _, fault = await client.call("POST", START + "nowhere")
@@ -260,7 +260,7 @@
     play(scenario)
 
 
-def test_the_command_evacuates_a_zone_and_takes_it_back_and_tells_a_mistake(
+def test_the_command_evacuates_and_restores_a_zone_and_reports_errors(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def scenario(ports: tuple[int, int]) -> None:
@@ -277,7 +277,7 @@
     assert "unknown_zone" in sent_numbers.err and "evacuated     z" in sent_numbers.out
 
 
-def test_who_is_no_primary_confirms_no_evacuation(tmp_path: Path) -> None:
+def test_only_the_primary_confirms_an_evacuation(tmp_path: Path) -> None:
     async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports, leader="127.0.11.77"), caller(ports) as client:
             for path in (START + "z", FINISH + "z", START + "nowhere"):
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -107,7 +107,7 @@
     return b"".join(a.data for a in actions if isinstance(a, Data))
 
 
-def test_a_short_prompt_is_read_where_its_tokens_are_made_and_streams_through() -> None:
+def test_a_short_prompt_is_prefilled_by_the_decode_backend_and_streams_through() -> None:
     harness = ExchangeHarness()
     (call,) = calls(harness.begin())
     assert call.backend.stage == "decode" and "X-Stage" not in dict(call.headers)
@@ -119,7 +119,7 @@
     assert passed(harness.log) == b"id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 
 
-def test_a_long_prompt_is_read_first_and_its_handle_named_to_the_maker() -> None:
+def test_a_long_prompt_is_prefilled_first_and_its_handle_sent_to_the_decode_backend() -> None:
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0, timeout_ms=6000.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     assert prefill.backend.stage == "prefill" and dict(prefill.headers)["X-Stage"] == "prefill"
@@ -130,7 +130,7 @@
     assert harness.out() == {decode.backend.id: 1}
 
 
-def test_whoever_is_another_than_the_one_that_was_to_read_stands_back() -> None:
+def test_a_misdirected_prefill_backend_is_avoided() -> None:
     """An address that now belongs to another backend answers 421, also to a prefill; that is no answer of the expected
     backend."""
     harness = ExchangeHarness(decode_backends=1, prefill_backends=2, tries=4)
@@ -142,7 +142,7 @@
     assert prefill.backend.id not in {view.backend.id for view in ready}
 
 
-def test_the_only_maker_makes_though_a_call_of_another_request_has_just_failed_there() -> None:
+def test_the_only_decode_backend_is_used_although_another_request_just_failed_there() -> None:
     harness = ExchangeHarness(decode_backends=1, tries=1, resumable=False, goal_ms=600.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     harness.do(LegHead(prefill.leg, 200, {}))
@@ -152,7 +152,7 @@
     assert decode.backend.id == "d0"
 
 
-def test_a_prompt_that_nobody_takes_is_freed_when_the_client_leaves() -> None:
+def test_a_handle_that_is_not_fetched_is_freed_at_the_end() -> None:
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0, decode_backends=1)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     harness.do(LegHead(prefill.leg, 200, {}))
@@ -163,7 +163,7 @@
     assert [a.error.status for a in end if isinstance(a, Reply)] == [503]
 
 
-def test_memory_that_lapsed_before_the_fetch_is_refused_as_not_run_or_read_anew() -> None:
+def test_an_expired_handle_is_refused_as_not_run_or_prefilled_again() -> None:
     """The decode backend answers 503 with X-Not-Run: with a try left the prompt is prefilled again elsewhere, otherwise
     the client gets the refusal."""
     for tries in (1, 2):
@@ -199,7 +199,7 @@
     assert reply.error.status == 503 and reply.retry_after_s
 
 
-def test_a_call_that_never_left_is_made_again_elsewhere_and_counts_nowhere() -> None:
+def test_an_unsent_call_is_repeated_elsewhere_and_not_counted() -> None:
     harness = ExchangeHarness(tries=1, resumable=False, slack=0.0)
     (call,) = calls(harness.begin())
     (again,) = calls(harness.do(LegFailed(call.leg, SendEvidence.NEVER_CONNECTED)))
@@ -220,7 +220,7 @@
     assert [a.headers for a in harness.log if isinstance(a, Head)] == [SEALED]
 
 
-def test_a_client_that_resumes_itself_is_resumed_behind_what_came_since() -> None:
+def test_a_stream_resumed_by_the_client_is_resumed_after_the_latest_event() -> None:
     """The client's own header was sent along with the proxy's, and the next attempt began where the client's did."""
     harness = ExchangeHarness()
     (call,) = calls(harness.begin(last="13"))
@@ -240,7 +240,7 @@
     assert any(isinstance(a, Break) for a in end) and not any(isinstance(a, Finish) for a in harness.log)
 
 
-def test_a_success_without_a_stamp_is_no_answer() -> None:
+def test_a_success_without_a_seal_is_not_accepted() -> None:
     harness = ExchangeHarness(tries=1, resumable=False)
     (call,) = calls(harness.begin())
     harness.do(LegHead(call.leg, 200, {}))
@@ -260,7 +260,7 @@
     assert harness.exchange.is_over and not harness.out()
 
 
-def test_without_budget_nothing_goes_out_again() -> None:
+def test_without_budget_nothing_is_repeated() -> None:
     harness = ExchangeHarness(slack=0.0)
     (call,) = calls(harness.begin())
     end = harness.do(LegFailed(call.leg, SendEvidence.WRITTEN))
@@ -274,7 +274,7 @@
     assert harness.exchange.is_over and not harness.out()
 
 
-def test_time_out_is_told_as_what_it_is() -> None:
+def test_a_time_out_has_a_status_of_its_own() -> None:
     harness = ExchangeHarness(tries=1, resumable=False)
     harness.begin()
     end = harness.do(Wake(), 3.1)
@@ -335,7 +335,7 @@
         assert found == stream and splitter.last_id == "3" and not splitter.take_rest()
 
 
-def test_a_reading_is_told_as_it_begins_with_what_is_not_kept() -> None:
+def test_a_prefill_is_reported_as_it_begins_with_its_uncached_tokens() -> None:
     harness, reported = (
         ExchangeHarness(prefill_backends=1, tries=1, resumable=False, goal_ms=600.0),
         list[PrefillBegun](),
@@ -360,7 +360,7 @@
     assert reported[2] == PrefillBegun("p0", 1_500), "no part of it is shared"
 
 
-def test_a_long_shared_part_that_a_maker_has_read_is_told_once() -> None:
+def test_a_long_shared_prefix_read_by_a_decode_backend_is_reported_once() -> None:
     harness, reported = (
         ExchangeHarness(decode_backends=1, prefill_backends=0, tries=1, resumable=False),
         list[tuple[str, str, int]](),
@@ -374,7 +374,7 @@
     assert reported == [("d0", "s", 13_300)], "the second time, the prefix was cached there"
 
 
-def test_a_reading_waits_behind_those_before_it_until_it_is_over_or_never_left() -> None:
+def test_a_prefill_queues_behind_earlier_ones_until_it_ends_or_proves_unsent() -> None:
     harness = ExchangeHarness(prefill_backends=1, tries=1, resumable=False, goal_ms=600.0)
     pairs, view = harness.shared.choices.pairs, harness.shared.candidates.views["p0"]
     latency = pairs.latency("svc", "prefill")
@@ -410,7 +410,7 @@
 
 
 @pytest.mark.parametrize("means", [{"slack": 0.0}, {"decode_backends": 1}], ids=["no budget", "nobody else"])
-def test_a_silent_stream_is_kept_where_it_could_not_go_on_elsewhere(means: dict[str, Any]) -> None:
+def test_a_silent_stream_is_kept_if_it_cannot_continue_elsewhere(means: dict[str, Any]) -> None:
     """A pause broke the stream off although no backend was left to resume it."""
     harness = ExchangeHarness(**means)
     (call,) = calls(harness.begin())
@@ -421,7 +421,7 @@
     assert any(isinstance(a, Finish) for a in harness.do(LegEnd(call.leg))) and not harness.out()
 
 
-def test_a_silent_stream_goes_on_elsewhere_where_it_can() -> None:
+def test_a_silent_stream_continues_elsewhere_if_it_can() -> None:
     harness = ExchangeHarness()
     (call,) = calls(harness.begin())
     harness.do(LegHead(call.leg, 200, SEALED))
@@ -430,7 +430,7 @@
     assert dict(again.headers)["Last-Event-Id"] == "1" and harness.out() == {again.backend.id: 1}
 
 
-def test_a_reading_that_never_left_counts_nowhere() -> None:
+def test_an_unsent_prefill_is_not_counted() -> None:
     """Without budget, the request was refused when its first prefill backend could not be reached."""
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0, slack=0.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
@@ -439,7 +439,7 @@
     assert not harness.budget.may(harness.now, 1)
 
 
-def test_out_of_time_while_only_the_prompt_was_read_is_a_refusal() -> None:
+def test_out_of_time_during_a_prefill_is_a_refusal() -> None:
     """A prefill runs nothing: the client may retry if the route's time ended before its own."""
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0)
     harness.begin("17020,17", "s:13300,o:3720")
@@ -448,7 +448,7 @@
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
-def test_a_backends_own_refusal_without_its_promise_is_not_passed_on_as_one(status: int) -> None:
+def test_a_backends_refusal_without_the_not_run_mark_is_not_passed_on(status: int) -> None:
     """Only an answer with X-Not-Run states that nothing ran; to clients the status alone means it (rule REFUSED)."""
     harness = ExchangeHarness(tries=1, resumable=False)
     (call,) = calls(harness.begin())
@@ -479,7 +479,7 @@
     assert any(isinstance(a, Finish) for a in harness.do(LegEnd(call.leg))) and passed(harness.log) == b"id: 1\n\n"
 
 
-def test_a_prompt_that_was_read_goes_on_to_another_maker_where_the_first_can_not_be_reached() -> None:
+def test_a_prefilled_prompt_goes_to_another_decode_backend_if_the_first_is_unreachable() -> None:
     """The handle was forgotten with a call that was never sent, and the prompt was prefilled again."""
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0, slack=0.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
@@ -492,7 +492,7 @@
     assert [a for a in harness.do(ClientGone()) if isinstance(a, Free)] == []
 
 
-def test_a_prompt_that_was_read_is_freed_where_no_maker_can_be_reached() -> None:
+def test_the_handle_is_freed_if_no_decode_backend_is_reachable() -> None:
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0, slack=0.0, decode_backends=1)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     harness.do(LegHead(prefill.leg, 200, {}), 0.3)
@@ -511,14 +511,14 @@
     return harness, prefill
 
 
-def test_a_reading_that_came_to_nothing_is_not_repeated_where_the_route_has_one_try() -> None:
+def test_a_failed_prefill_is_not_repeated_on_a_route_with_one_try() -> None:
     """A second prefill and the decode ran on two backends for a route with one try (rule BUDGET)."""
     harness, prefill = long_prompt(tries=1)
     (decode,) = calls(harness.do(LegFailed(1, SendEvidence.WRITTEN)))
     assert decode.backend.stage == "decode" and decode.leg != prefill.leg
 
 
-def test_a_silent_reading_is_waited_for_where_no_other_backend_may_read() -> None:
+def test_a_silent_prefill_is_kept_if_no_other_backend_may_prefill() -> None:
     """A decode backend that prefilled such prompts cached their shared prefix and went on prefilling for other
     requests."""
     harness, prefill = long_prompt(tries=1)
@@ -529,7 +529,7 @@
     assert decode.backend.stage == "decode" and any(name == "Kv-From" for name, _ in decode.headers)
 
 
-def test_a_further_reading_takes_a_try() -> None:
+def test_a_further_prefill_takes_a_try() -> None:
     for tries, stages in ((2, ["prefill", "decode"]), (3, ["prefill", "decode", "decode"])):
         harness, prefill = long_prompt(tries)
         found = calls(harness.do(LegFailed(prefill.leg, SendEvidence.WRITTEN)))
@@ -541,7 +541,7 @@
         assert [call.backend.stage for call in found] == stages
 
 
-def test_a_rejected_reading_is_made_up_for_by_another_first_one() -> None:
+def test_a_rejected_prefill_is_replaced_by_another_first_one() -> None:
     harness, prefill = long_prompt(tries=2)
     harness.do(LegHead(prefill.leg, 503, {"x-not-run": "1"}))
     (again,) = calls(harness.do(LegEnd(prefill.leg)))
@@ -562,8 +562,8 @@
     def backends(self) -> int:
         """Backends on which it may have run; the first prefill that a backend accepted does not count."""
         ran = [call for leg, call in self.calls_made.items() if leg not in self.not_run]
-        readings = [call for call in ran if call.backend.stage == "prefill"]
-        return len(ran) - min(1, len(readings))
+        prefills = [call for call in ran if call.backend.stage == "prefill"]
+        return len(ran) - min(1, len(prefills))
 
 
 def random_event(random: Random, call: Call) -> Event:
@@ -611,10 +611,10 @@
                 assert harness.now < begun + 2.0 or not isinstance(event, Wake), "held past the route's time"
         assert count.backends() <= tries, f"seed {seed}"
         reached[f"{tries} tries, {count.backends()} backends"] += 1
-        reached["a further reading"] += sum(call.backend.stage == "prefill" for call in count.calls_made.values()) > 1
+        reached["a further prefill"] += sum(call.backend.stage == "prefill" for call in count.calls_made.values()) > 1
         reached["out of time"] += harness.now >= begun + 2.0
     assert all(reached[f"{tries} tries, {tries} backends"] for tries in (1, 2, 3))
-    assert reached["a further reading"] and reached["out of time"]
+    assert reached["a further prefill"] and reached["out of time"]
 
 
 def prefill_after(harness: ExchangeHarness, seconds: float, part: str = "s") -> None:
@@ -625,7 +625,7 @@
     harness.do(LegEnd(prefill.leg))
 
 
-def test_the_pace_of_reading_is_learnt_from_backends_that_were_idle_only() -> None:
+def test_prefill_latency_is_learnt_from_idle_backends_only() -> None:
     harness = ExchangeHarness(prefill_backends=1, tries=1, resumable=False, goal_ms=600.0)
     latency = harness.shared.choices.pairs.latency("svc", "prefill")
     before = latency.estimate(17020)
@@ -643,7 +643,7 @@
     assert before < latency.estimate(17020) <= 500.0
 
 
-def test_a_prompt_counts_as_load_whoever_is_asked_to_read_it_and_a_short_one_does_not() -> None:
+def test_a_long_prompt_counts_as_prefill_load_at_either_stage_and_a_short_one_does_not() -> None:
     for prefill_backends in (1, 0):
         harness = ExchangeHarness(prefill_backends=prefill_backends, tries=1, resumable=False)
         harness.begin("17020,17", "s:13300,o:3720")
@@ -654,7 +654,7 @@
     assert harness.shared.load.report(harness.now, []) == ()
 
 
-def test_a_reading_behind_a_queue_is_late_and_not_silent() -> None:
+def test_a_prefill_behind_a_queue_is_late_and_not_silent() -> None:
     idle, busy = ExchangeHarness(prefill_backends=1, tries=1), ExchangeHarness(prefill_backends=1, tries=1)
     prefill_backend = busy.shared.candidates.views["p0"]
     prefill_backend.tokens = prefill_backend.others_tokens = 50_000
@@ -666,7 +666,7 @@
     assert due[1] == 3.0  # the end of the request's time is earlier
 
 
-def test_a_reading_that_never_left_is_no_load() -> None:
+def test_an_unsent_prefill_is_not_load() -> None:
     harness = ExchangeHarness(tries=1, resumable=False, goal_ms=600.0)
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     (once,) = harness.shared.load.report(harness.now, [])
--- a/tests/test_exchange_parts.py
+++ b/tests/test_exchange_parts.py
@@ -31,16 +31,16 @@
         (500, {"x-server-seal": "s"}, AnswerKind.FAILED),
     ],
 )
-def test_what_an_answer_says(status: int, headers: dict[str, str], kind: AnswerKind) -> None:
+def test_an_answer_is_classified_by_its_head(status: int, headers: dict[str, str], kind: AnswerKind) -> None:
     assert kind_of(status, headers) is kind
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b"[]", b"\xff", b'{"prompt_handle":3}', b'{"prompt_handle":'])
-def test_an_odd_answer_of_a_reading_holds_no_handle(body: bytes) -> None:
+def test_an_odd_answer_to_a_prefill_yields_no_handle(body: bytes) -> None:
     assert handle_in(body) == "" and handle_in(b'{"prompt_handle":"h","tokens":3}') == "h"
 
 
-def test_what_never_left_counts_nowhere_and_is_bounded() -> None:
+def test_unsent_calls_are_not_counted_and_limited() -> None:
     attempts = Attempts(1)
     for number in range(MAX_UNSENT):
         assert not attempts.has_too_many_unsent and not attempts.are_used_up, number
@@ -51,21 +51,21 @@
 
 
 @pytest.mark.parametrize(("tries", "may"), [(1, False), (2, True)])
-def test_a_further_reading_needs_a_try_and_leaves_one(tries: int, may: bool) -> None:
+def test_a_further_prefill_needs_a_try_and_leaves_one(tries: int, may: bool) -> None:
     attempts = Attempts(tries)
     assert not attempts.count_prefill() and attempts.may_prefill() is may
     if may:
         assert attempts.count_prefill() and not attempts.may_prefill() and not attempts.are_used_up
 
 
-def test_a_rejected_reading_takes_a_try_and_the_next_is_the_first_again() -> None:
+def test_a_rejected_prefill_takes_a_try_and_the_next_counts_as_the_first() -> None:
     attempts = Attempts(2)
     is_counted = attempts.count_prefill()
     attempts.prefill_rejected(is_counted)
     assert attempts.count == attempts.arrivals == 1 and attempts.may_prefill() and not attempts.count_prefill()
 
 
-def test_figures_of_a_backend_come_back_to_nothing() -> None:
+def test_the_load_of_a_backend_returns_to_zero() -> None:
     legs, view = OpenLegs(), BackendView(BACKEND)
     first, second = legs.open(1.0, view, 100, True, 2.0), legs.open(1.5, view, 30, False, None)
     assert (view.calls, view.tokens, legs.runs, len(legs)) == (2, 130, 1, 2)
--- a/tests/test_mixed_services.py
+++ b/tests/test_mixed_services.py
@@ -142,7 +142,7 @@
     run_scenario(scenario)
 
 
-def test_a_full_backend_is_told_of_as_it_is_and_the_other_serves() -> None:
+def test_a_full_backend_leads_to_refusals_while_the_other_serves() -> None:
     async def scenario(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
         backends["a"].is_full = True
         found = Counter([await client.ask("status.example") for _ in range(40)])
@@ -155,7 +155,7 @@
     run_scenario(scenario)
 
 
-def test_who_drains_or_is_gone_is_sent_nothing() -> None:
+def test_draining_and_ended_backends_get_no_requests() -> None:
     async def scenario(proxy: Proxy, client: Client, backends: dict[str, StandIn]) -> None:
         await client.ask("status.example")
         proxy.learn([backends["a"].record("draining", 2)])
--- a/tests/test_passed_on.py
+++ b/tests/test_passed_on.py
@@ -81,7 +81,7 @@
         runner.run(run())
 
 
-def test_a_clients_fields_go_on_as_they_came() -> None:
+def test_a_clients_fields_are_passed_on_unchanged() -> None:
     backends = RecordingBackends()
 
     async def scenario(proxy: Proxy, address: Address) -> None:
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.6])
-def test_the_time_that_is_left_is_handed_on_also_with_a_call_that_is_sent_again(late_s: float) -> None:
+def test_the_remaining_time_is_passed_on_also_with_a_repeated_call(late_s: float) -> None:
     backends = RecordingBackends(rejections=1, late_s=late_s)
 
     async def scenario(proxy: Proxy, address: Address) -> None:
--- a/tests/test_plain_service.py
+++ b/tests/test_plain_service.py
@@ -81,7 +81,7 @@
         assert abs(found[f"b{i}"] / 20_000 - share) < 4 * sqrt(share / 20_000) + 0.002
 
 
-def test_load_is_the_part_of_the_places_that_is_taken_and_ties_break_at_random() -> None:
+def test_load_is_the_used_share_of_the_capacity_and_ties_break_at_random() -> None:
     choices, candidates = choices_over(backend("small", capacity=4), backend("large", capacity=16))
     candidates.views["small"].calls, candidates.views["large"].calls = 2, 6
     assert chosen(choices, count=50) == {"large": 50}
@@ -108,7 +108,7 @@
     assert chosen(choices, ENGINE, 20) == {"d": 20}
 
 
-def test_a_plain_backend_that_failed_stands_back() -> None:
+def test_a_plain_backend_that_failed_is_avoided() -> None:
     choices, candidates = choices_over(backend("a"), backend("b"))
     candidates.failed(NOW, "a")
     assert chosen(choices, None, 30) == {"b": 30}
@@ -144,7 +144,7 @@
         return sum(view.calls for view in self.candidates.views.values())
 
 
-def test_the_answer_is_passed_on_and_the_place_is_free_again() -> None:
+def test_the_answer_is_passed_on_and_the_slot_is_free_again() -> None:
     harness = ExchangeHarness()
     call = harness.call()
     assert harness.out() == 1 and not {name for name, _ in call.headers} & {"X-Stage", "Kv-From"}
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize(("tries", "calls"), [(1, 0), (2, 1)])
-def test_what_did_not_run_goes_on_elsewhere_where_the_tries_allow(tries: int, calls: int) -> None:
+def test_a_request_that_did_not_run_is_sent_elsewhere_if_the_tries_allow(tries: int, calls: int) -> None:
     harness = ExchangeHarness(tries=tries)
     first = harness.call()
     actions = harness.answer(first.leg, 503, {"x-not-run": "1"})
@@ -186,14 +186,14 @@
     assert again.backend.id != first.backend.id
 
 
-def test_a_call_that_never_left_goes_to_another_backend_and_takes_no_try() -> None:
+def test_an_unsent_call_goes_to_another_backend_and_takes_no_try() -> None:
     harness = ExchangeHarness()
     first = harness.call()
     (again,) = [a for a in harness.do(LegFailed(first.leg, SendEvidence.NEVER_CONNECTED)) if isinstance(a, Call)]
     assert again.backend.id != first.backend.id
 
 
-def test_with_nobody_ready_it_is_refused_at_once() -> None:
+def test_without_a_ready_backend_a_request_is_refused_at_once() -> None:
     harness = ExchangeHarness(names=())
     (reply,) = [action for action in harness.do(Begin()) if isinstance(action, Reply)]
     assert isinstance(reply.error, NotRun) and harness.counters["without_backend"] == 1
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -30,7 +30,7 @@
 """
 
 
-def test_every_mechanism_is_on_by_default_and_told_of() -> None:
+def test_every_mechanism_is_on_by_default_and_described() -> None:
     assert all(msgspec.structs.astuple(Policy()))
     assert set(Policy.__struct_fields__) == set(MECHANISMS)
 
@@ -90,21 +90,21 @@
 
 
 @pytest.mark.parametrize("mechanism", ["keepers", "cached_parts"])
-def test_who_keeps_a_part_is_found_only_with(mechanism: str) -> None:
+def test_cache_holders_are_found_only_with(mechanism: str) -> None:
     for off in ((), (mechanism,)):
         proxy_choices, _, cache = choices("near_zone", "homes", *off)
         cache.record_prefix("prefill-3", "s", 13_300, 400_000)
         assert (prefill_backends(proxy_choices) == {"prefill-3"}) is not bool(off)
 
 
-def test_homes_are_gone_to_only_where_they_are_on() -> None:
+def test_homes_are_used_only_if_on() -> None:
     for off in ((), ("homes",)):
         proxy_choices, _, _ = choices(*off)
         proxy_choices.draws.proxies = 350
         assert (len(prefill_backends(proxy_choices)) == 1) is not bool(off)
 
 
-def test_the_nearest_zone_counts_only_where_it_is_on() -> None:
+def test_the_proxys_zone_counts_only_if_on() -> None:
     for off in ((), ("near_zone",)):
         proxy_choices, _, _ = choices("homes", *off)
         assert prefill_backends(proxy_choices) == (
@@ -112,7 +112,7 @@
         )
 
 
-def test_slow_readers_are_avoided_only_where_it_is_on() -> None:
+def test_slow_prefill_backends_are_avoided_only_if_on() -> None:
     for off in ((), ("slowness",)):
         proxy_choices, candidates, _ = choices("near_zone", "homes", *off)
         for _ in range(9):
@@ -120,7 +120,7 @@
         assert ("prefill-0" in prefill_backends(proxy_choices)) is bool(off)
 
 
-def test_short_prompts_are_read_apart_only_where_makers_may_not_read() -> None:
+def test_short_prompts_are_prefilled_apart_only_if_decode_backends_may_not() -> None:
     for off in ((), ("short_prompts_at_makers",)):
         proxy_choices, _, _ = choices(*off)
         plan = proxy_choices.of("svc", ENGINE).choose(100.0, SHORT, 300.0, set())
--- a/tests/test_prefill_queue.py
+++ b/tests/test_prefill_queue.py
@@ -8,7 +8,7 @@
 from cranebank.dataplane.prefill_queue import MAX_QUEUE_S, SLOWNESS_BOUNDS, SLOWNESS_FADE_S, PrefillQueue, Slowness
 
 
-def test_readings_stand_one_behind_the_other_and_time_ends_them() -> None:
+def test_prefills_queue_up_and_end_with_time() -> None:
     queue = PrefillQueue()
     assert queue.wait(10.0) == 0.0
     assert queue.add(10.0, 0.3).expected_end_at == 10.3 and queue.add(10.1, 0.2).expected_end_at == 10.5
@@ -16,7 +16,7 @@
     assert queue.add(12.0, 0.1).expected_end_at == 12.1, "an idle gap does not shorten the queue"
 
 
-def test_the_end_of_one_reading_shows_how_late_or_early_those_behind_it_are() -> None:
+def test_the_end_of_one_prefill_shifts_the_later_ones() -> None:
     queue = PrefillQueue()
     first, second, third = (queue.add(10.0, 0.3) for _ in range(3))
     queue.finish(10.5, first)
@@ -27,7 +27,7 @@
     assert queue.wait(10.9) == 0.0
 
 
-def test_a_reading_that_never_left_is_taken_out_again() -> None:
+def test_an_unsent_prefill_is_removed_from_the_queue() -> None:
     queue = PrefillQueue()
     ticket = queue.add(10.0, 0.3)
     queue.add(10.0, 0.5)
@@ -48,7 +48,7 @@
         assert 0.0 <= queue.wait(now) <= MAX_QUEUE_S + 1e-6
 
 
-def test_a_slow_backend_is_known_after_some_readings_and_tried_again_after_a_while() -> None:
+def test_slowness_is_learnt_from_some_prefills_and_fades() -> None:
     slowness = Slowness()
     assert slowness.at(5.0) == 1.0
     for _ in range(30):
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -121,7 +121,7 @@
     run_scenario(scenario)
 
 
-def test_what_breaks_inside_ends_the_connection_and_shows_no_half_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_internal_error_closes_the_connection_without_a_partial_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(self: plane.OpenRequest, at: float) -> None:
         if self.client.transport is not None and self.legs:
             raise RuntimeError("planted")
@@ -162,7 +162,7 @@
     run_scenario(scenario)
 
 
-def test_a_proxy_never_steps_back_to_a_lower_revision() -> None:
+def test_a_proxy_never_returns_to_a_lower_revision() -> None:
     """No other test finds the planted fault of an older configuration that is put in force."""
     proxy = Proxy(RetryRule(0.2, 50.0, 10.0, True), Random(1), 0.0)
     older = DOCUMENT.replace(b'"revision":3', b'"revision":2').replace(b"h.example", b"old.example")
--- a/tests/test_stage_watch.py
+++ b/tests/test_stage_watch.py
@@ -39,7 +39,7 @@
         self.watch.observe(now, self.candidates.stages_with_ready(), self.candidates.records.values())
 
 
-def test_a_stage_that_loses_its_last_backend_is_an_error_that_tells_who_is_left(lines: list[str]) -> None:
+def test_the_loss_of_a_stages_last_backend_is_an_error_that_names_the_remaining_ones(lines: list[str]) -> None:
     watched = Watched()
     watched.learn(0, backend("d1", "decode"), backend("d2", "decode"), backend("p1", "prefill"))
     watched.learn(1, backend("d1", "decode", "draining", 2))
@@ -51,7 +51,7 @@
     assert lines[1:] == ["INFO service svc: a decode backend is ready again"]
 
 
-def test_a_stage_that_comes_and_goes_is_reported_once_in_a_while(lines: list[str]) -> None:
+def test_a_flapping_stage_is_reported_at_a_limited_rate(lines: list[str]) -> None:
     watched = Watched()
     for number in range(1, 100):
         watched.learn(number / 10, backend("d1", "decode", "lost" if number % 2 else "ready", number))
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -71,7 +71,7 @@
     assert listed(candidates, LOST_AT + 0.1) == {"b2"}
 
 
-def test_where_all_are_lost_and_failed_each_is_tried_when_its_back_off_is_over() -> None:
+def test_where_all_are_lost_and_failed_each_is_tried_when_its_backoff_is_over() -> None:
     candidates = known(0, lost=2)
     candidates.failed(LOST_AT, "b0")
     candidates.failed(LOST_AT + 0.2, "b1")
@@ -112,7 +112,7 @@
     assert listed(candidates, LOST_AT) == {"b0"}
 
 
-def test_the_same_list_is_given_for_as_long_as_it_holds() -> None:
+def test_the_same_list_object_is_returned_while_its_content_is_the_same() -> None:
     """The choice remembers homes by the identity of the list."""
     candidates = known(1, lost=3)
     first = candidates.ready(LOST_AT, "svc", "decode")
@@ -121,7 +121,7 @@
     assert candidates.ready(LOST_AT + 2.0, "svc", "decode") is not first
 
 
-def test_a_few_suspects_among_many_ready_ones_cost_no_look_at_each() -> None:
+def test_a_few_suspects_do_not_cause_a_scan_of_many_ready_backends() -> None:
     """A fleet of thousands nearly always has lost a backend within the last minute."""
     looks = 0
 
@@ -145,7 +145,7 @@
 
 
 @given(st.integers(0, 10**6))
-def test_whatever_is_told_and_seen_nobody_who_may_be_tried_is_left_out_and_no_end_is_taken_back(seed: int) -> None:
+def test_random_events_leave_out_no_usable_backend_and_revive_no_ended_one(seed: int) -> None:
     random = Random(seed)
     candidates, now = Candidates(), 0.0
     ended: set[str] = set()
@@ -177,7 +177,7 @@
     assert listed(candidates, LOST_AT + 2 * MAX_SUSPECT_AGE_S + 0.5) == set()
 
 
-def test_a_service_without_backends_costs_no_look_at_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_service_without_backends_causes_no_scan_of_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each refused request looks at the candidates several times; a scan of 5,700 backends takes 1.3 ms."""
     candidates = Candidates()
     candidates.merge([backend(number) for number in range(1000)])
