--- a/cranebank/dataplane/backend_connections.py
+++ b/cranebank/dataplane/backend_connections.py
@@ -28,7 +28,7 @@
 IDLE_CLOSE_MARGIN_S = 0.6  # closed so long before the backend would close it, so that no request crosses the close
 MAX_ANSWER_BYTES = 64 << 20
 SWEEP_INTERVAL_S = 0.5
-HIGH_WATER = 256 << 10
+HIGH_WATER_BYTES = 256 << 10
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] \d{3}")
 FREE_TIMEOUT_S = 2.0  # a connection is closed if the backend does not confirm the freeing of a handle for so long
 
--- a/cranebank/dataplane/front.py
+++ b/cranebank/dataplane/front.py
@@ -20,7 +20,7 @@
 from cranebank.invariants import invariant_error
 
 SWEEP_INTERVAL_S = 0.25
-HIGH_WATER = 128 << 10
+HIGH_WATER_BYTES = 128 << 10
 MAX_PIPELINED_BYTES = 64 << 10  # of a next request that arrives early; more is left in the kernel
 LINGER_S = 0.5
 
@@ -59,7 +59,7 @@
         """A client has connected."""
         transport = cast(asyncio.Transport, transport)  # uvloop's class does not inherit from it
         self.transport = transport
-        transport.set_write_buffer_limits(high=HIGH_WATER)
+        transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.since = asyncio.get_running_loop().time()
         self._front.connected(self)
@@ -186,8 +186,8 @@
             self.transport.abort()
 
     def _end(self) -> None:
-        """Close our side after the last answer, and keep reading for a while, as closing over unread bytes causes a
-        reset."""
+        """Close the write side after the last answer, and keep reading for a while, as closing over unread bytes causes
+        a reset."""
         self._is_ending = True
         if self.transport is None or self.transport.is_closing():
             return
--- a/cranebank/dataplane/suspects.py
+++ b/cranebank/dataplane/suspects.py
@@ -11,8 +11,8 @@
 
 from cranebank.dataplane.backend_view import BackendView
 
-# A suspect counts as alive for so long after an answer: less than the time after which a dead backend is lost
-ANSWER_VOUCHES_S = 3.0
+# A suspect counts as alive for so long after an answer; less than the time after which a dead backend counts as lost
+ALIVE_AFTER_ANSWER_S = 3.0
 # A backend that was lost, and gave no answer, for longer is dead; controllers forget it then too
 MAX_SUSPECT_AGE_S = 60.0
 FAIL_OPEN_SHARE = 0.5  # suspects are used like ready backends if a smaller share of those thought to be alive is ready
@@ -70,7 +70,7 @@
         unfailed = [view for view in self._by_stage.get(key, {}).values() if not view.has_failed]
         if not _has_enough_ready(now, ready, len(unfailed)):
             return unfailed
-        return [view for view in unfailed if now - view.answered_at <= ANSWER_VOUCHES_S]
+        return [view for view in unfailed if now - view.answered_at <= ALIVE_AFTER_ANSWER_S]
 
     def _forget(self, now: float, key: StageKey) -> None:
         for backend, view in list(self._by_stage[key].items()):
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -12,7 +12,7 @@
 from cranebank.dataplane import candidates as candidates_module
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.suspects import ANSWER_VOUCHES_S, MAX_SUSPECT_AGE_S, Suspects
+from cranebank.dataplane.suspects import ALIVE_AFTER_ANSWER_S, MAX_SUSPECT_AGE_S, Suspects
 from cranebank.invariants import violations
 from cranebank.transport.messages import Backend
 
@@ -49,7 +49,7 @@
     candidates.answered(LOST_AT - 0.5, "b2")
     candidates.merge([backend(2, "lost")], LOST_AT)
     assert listed(candidates, LOST_AT) == {"b0", "b1", "b2"}
-    assert listed(candidates, LOST_AT - 0.5 + ANSWER_VOUCHES_S + 0.01) == {"b0", "b1"}
+    assert listed(candidates, LOST_AT - 0.5 + ALIVE_AFTER_ANSWER_S + 0.01) == {"b0", "b1"}
     candidates.answered(LOST_AT + 5.0, "b2")
     assert listed(candidates, LOST_AT + 5.0) == {"b0", "b1", "b2"}
     candidates.failed(LOST_AT + 5.1, "b2")
