--- a/cranebank/dataplane/exchange.py
+++ b/cranebank/dataplane/exchange.py
@@ -1,8 +1,8 @@
-"""One request from a client, from its taking to the one answer: explicit states, no clock, no sockets.
+"""One request from a client, from its arrival to its one answer: explicit states, no clock, no sockets.
 
-``handle(now, event)`` returns what to do, in order. Where the request goes is decided in ``dispatch.py``, how often in
-``attempts.py``, what a backend's answer says in ``backend_answers.py``, and which answer may be given in
-``client_answer.py``.
+``handle(now, event)`` returns the actions to carry out, in order. ``dispatch.py`` decides where the request is sent,
+``attempts.py`` how often, ``backend_answers.py`` classifies a backend's answer, and ``client_answer.py`` decides which
+answer the client may get. A *leg* is one call to one backend (``open_legs.py``).
 """
 
 from __future__ import annotations
@@ -39,34 +39,34 @@
 from cranebank.dataplane.shared import Shared
 from cranebank.invariants import invariant_error
 
-SILENT_STREAM_S = 0.6  # a stream that may be resumed is given up after so long without an event
-UNPASSED_BYTES = 1 << 20  # of an answer that is held until it is whole
+STREAM_SILENCE_TIMEOUT_S = 0.6  # a resumable stream is given up after so long without an event
+MAX_HELD_ANSWER_BYTES = 1 << 20  # of an answer that is held until it is complete
 
 
 class State(Enum):
-    """Of one request."""
+    """The states of one request."""
 
     NEW = auto()
-    READING = auto()  # a prefill backend reads the prompt
-    MAKING = auto()  # a decode backend has the request; nothing was passed on
-    STREAMING = auto()  # part of the answer was passed on
+    PREFILLING = auto()  # a prefill backend reads the prompt
+    DECODING = auto()  # a decode backend has the request; nothing has been passed on to the client
+    STREAMING = auto()  # part of the answer has been passed on
     OVER = auto()
 
 
-NEXT = {
-    State.NEW: {State.READING, State.MAKING, State.OVER},
-    State.READING: {State.READING, State.MAKING, State.OVER},
-    State.MAKING: {State.READING, State.MAKING, State.STREAMING, State.OVER},
+TRANSITIONS = {
+    State.NEW: {State.PREFILLING, State.DECODING, State.OVER},
+    State.PREFILLING: {State.PREFILLING, State.DECODING, State.OVER},
+    State.DECODING: {State.PREFILLING, State.DECODING, State.STREAMING, State.OVER},
     State.STREAMING: {State.OVER},
     State.OVER: set(),
 }
 
 
 class Exchange:
-    """One request. Times in seconds on the steady clock; ``deadline`` is when the client stops waiting.
+    """One request. Times are in seconds on the steady clock; ``deadline`` is when the client stops waiting.
 
-    ``last_event_id``: where the client itself resumes a stream; it goes to the backend by a leg's own header, of which
-    there must be one only: a later run must not begin where the client's own try did.
+    ``last_event_id`` is where the client itself resumes a stream. It is sent to the backend in a header of the leg's
+    own. There must be only one such header: a later attempt must not begin where the client's own attempt did.
     """
 
     __slots__ = (
@@ -106,7 +106,7 @@
         self._actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event; return what to do, in order."""
+        """Process one event; return the actions to carry out, in order."""
         self._actions = []
         if self.state is State.OVER:
             return self._actions
@@ -120,25 +120,25 @@
             case LegFailed(number, evidence):
                 self._failed(now, self._legs.get(number), evidence)
             case Begin():
-                self._dispatch.budget.request(now)
-                self._replan(now)
+                self._dispatch.budget.count_request(now)
+                self._send_next(now)
             case Wake():
                 self._wake(now)
             case ClientGone():
                 self._shared.count("clients_gone")
-                self._over(now)
+                self._close(now)
         self._check()
-        if not self.over:
+        if not self.is_over:
             self._actions.append(WakeAt(self._legs.next_silence(self._until)))
         return self._actions
 
     @property
-    def over(self) -> bool:
-        """Whether the one answer is given."""
+    def is_over(self) -> bool:
+        """Return whether the client has got its one answer."""
         return self.state is State.OVER
 
-    def _change(self, state: State) -> None:
-        if state not in NEXT[self.state]:
+    def _enter_state(self, state: State) -> None:
+        if state not in TRANSITIONS[self.state]:
             raise invariant_error("states of a request follow one another", f"{self.state} to {state}")
         self.state = state
 
@@ -149,37 +149,37 @@
             raise invariant_error("what can't be repeated runs once")
         self._attempts.check()
 
-    def _replan(self, now: float) -> None:
-        """Send the request on; where that can't be, end."""
-        self._go_on(now, self._dispatch.next_call(now))
+    def _send_next(self, now: float) -> None:
+        """Send the request to a backend, or end it if that is not possible."""
+        self._send_or_give_up(now, self._dispatch.next_call(now))
 
-    def _go_on(self, now: float, call: Call | None) -> None:
+    def _send_or_give_up(self, now: float, call: Call | None) -> None:
         if call is None:
             self._give_up(now)
             return
         leg = self._legs.get(call.leg)
         if leg is None:
             raise invariant_error("a planned call has its leg")
-        if leg.reads:
-            self._change(State.READING)
+        if leg.is_prefill:
+            self._enter_state(State.PREFILLING)
         elif self.state is not State.STREAMING:
-            self._change(State.MAKING)
+            self._enter_state(State.DECODING)
         self._actions.append(call)
 
     def _abort(self, now: float, leg: Leg) -> None:
         self._legs.close(now, leg)
         self._actions.append(Abort(leg.number))
 
-    # What legs say. None is a leg that is over already.
+    # Events of legs. ``leg`` is None for a leg that has already ended.
 
     def _head(self, now: float, leg: Leg | None, status: int, headers: dict[str, str]) -> None:
         if leg is None:
             return
         leg.status, leg.headers = status, headers
-        self._shared.candidates.answered(now, leg.seen.backend.id)
-        if leg.reads:
+        self._shared.candidates.answered(now, leg.view.backend.id)
+        if leg.is_prefill:
             return
-        read = self._legs.read(now, leg)
+        read_tokens = self._legs.mark_prompt_read(now, leg)
         kind = kind_of(status, headers)
         if kind is not AnswerKind.REJECTED:
             self._answer.may_have_run = True
@@ -189,22 +189,22 @@
         for other in self._legs:
             if other is not leg:
                 self._abort(now, other)
-        if read:
-            self._shared.choices.pairs.pace(self._service, "decode").learn(read, (now - leg.sent_at) * 1e3)
-            self._tell_read(leg, read)
+        if read_tokens:
+            self._shared.choices.pairs.latency(self._service, "decode").learn(read_tokens, (now - leg.sent_at) * 1e3)
+            self._report_cached_prefix(leg, read_tokens)
 
     def _data(self, now: float, leg: Leg | None, data: bytes) -> None:
         if leg is None:
             return
         if not leg.answering:
-            if len(leg.body) + len(data) > UNPASSED_BYTES:
+            if len(leg.body) + len(data) > MAX_HELD_ANSWER_BYTES:
                 self._abort(now, leg)
-                self._again_or_end(now, leg)
+                self._retry_or_give_up(now, leg)
                 return
             leg.body += data
             return
         if self._answer.is_resumable:
-            leg.silent_at = now + SILENT_STREAM_S if self._attempts.are_left else None
+            leg.silent_at = now + STREAM_SILENCE_TIMEOUT_S if self._attempts.are_left else None
         try:
             self._pass(self._answer.pass_on(leg, data))
         except EventTooLong:
@@ -214,112 +214,113 @@
     def _pass(self, actions: Iterable[Action]) -> None:
         self._actions += actions
         if self._answer.is_begun and self.state is not State.STREAMING:
-            self._change(State.STREAMING)
+            self._enter_state(State.STREAMING)
 
     def _end(self, now: float, leg: Leg | None) -> None:
         if leg is None:
             return
         self._legs.close(now, leg)
-        if leg.reads:
-            self._reading_ended(now, leg)
+        if leg.is_prefill:
+            self._prefill_ended(now, leg)
         elif leg.answering:
             self._pass(self._answer.finish(leg))
             self._shared.count("served")
-            self._over(now)
+            self._close(now)
         else:
             self._failure_ended(now, leg)
 
     def _failure_ended(self, now: float, leg: Leg) -> None:
-        """An answer that is no success is whole."""
+        """Process the end of an answer that is not a success."""
         kind = kind_of(leg.status, leg.headers)
         if kind is AnswerKind.REJECTED:
             self._rejected(now, leg)
-        elif kind is AnswerKind.UNSEALED or (leg.status >= 500 and self._can_repeat()):
-            self._again_or_end(now, leg)
+        elif kind is AnswerKind.UNSEALED or (leg.status >= 500 and self._may_repeat_run()):
+            self._retry_or_give_up(now, leg)
         elif self._answer.is_begun or self._legs or kind is AnswerKind.UNPROVEN:
             self._give_up(now)
         else:
             self._actions += self._answer.pass_failure(leg)
             self._shared.count("failed_there")
-            self._over(now)
+            self._close(now)
 
-    def _reading_ended(self, now: float, leg: Leg) -> None:
-        """The answer of a reading is whole."""
-        backend = leg.seen.backend
+    def _prefill_ended(self, now: float, leg: Leg) -> None:
+        """Process the end of the answer to a prefill."""
+        backend = leg.view.backend
         handle = handle_in(leg.body) if leg.status == 200 else ""
         if handle:
-            self._go_on(now, self._dispatch.call_after_reading(now, leg, handle))
+            self._send_or_give_up(now, self._dispatch.call_after_prefill(now, leg, handle))
             return
         self._dispatch.without.add(backend.id)
         if leg.status in REJECTIONS:
             self._shared.count("readings_rejected")
             if leg.status == MISDIRECTED:
                 self._shared.candidates.failed(now, backend.id)
-            self._attempts.reading_rejected(leg.is_counted)
+            self._attempts.prefill_rejected(leg.is_counted)
             if self._attempts.arrivals > 1:
                 self._dispatch.budget.spend(now)
         else:
             self._shared.candidates.failed(now, backend.id)
-        self._replan(now)
+        self._send_next(now)
 
-    def _tell_read(self, leg: Leg, tokens: int) -> None:
-        """A backend has read so many tokens: where shared ones were among them, others want to know."""
-        prompt, tell = self._prompt, self._shared.on_prefix_cached
-        if tell is not None and prompt.home_key and tokens > prompt.tokens - prompt.shared_tokens:
-            tell(leg.seen.backend.id, prompt.home_key, prompt.shared_tokens)
+    def _report_cached_prefix(self, leg: Leg, tokens: int) -> None:
+        """Report to other proxies that a decode backend has read this many tokens, if a shared prefix was among
+        them."""
+        prompt, report = self._prompt, self._shared.on_prefix_cached
+        if report is not None and prompt.home_key and tokens > prompt.tokens - prompt.shared_tokens:
+            report(leg.view.backend.id, prompt.home_key, prompt.shared_tokens)
 
     def _rejected(self, now: float, leg: Leg) -> None:
-        """A backend said that it did not run the request."""
+        """Process an answer by which a backend rejects the request without running it."""
         self._shared.count("rejected")
-        self._dispatch.without.add(leg.seen.backend.id)
+        self._dispatch.without.add(leg.view.backend.id)
         if leg.status == MISDIRECTED:
-            self._shared.candidates.failed(now, leg.seen.backend.id)
-        if not self._legs:  # else another copy is out
-            self._replan(now)
+            self._shared.candidates.failed(now, leg.view.backend.id)
+        if not self._legs:  # otherwise another copy is in flight
+            self._send_next(now)
 
     def _failed(self, now: float, leg: Leg | None, evidence: SendEvidence) -> None:
         if leg is None:
             return
         self._legs.close(now, leg)
-        backend = leg.seen.backend.id
+        backend = leg.view.backend.id
         if evidence is not SendEvidence.BACKEND_WITHDRAWN:
             self._shared.candidates.failed(now, backend, may_be_down=evidence is SendEvidence.NEVER_CONNECTED)
         self._dispatch.without.add(backend)
         self._shared.count("legs_broken" if evidence.may_have_run else "legs_unsent")
         if not evidence.may_have_run:
             self._unsent(now, leg)
-        elif leg.reads:
-            self._replan(now)
+        elif leg.is_prefill:
+            self._send_next(now)
         else:
             self._answer.may_have_run = True
-            self._again_or_end(now, leg)
+            self._retry_or_give_up(now, leg)
 
     def _unsent(self, now: float, leg: Leg) -> None:
-        """A call never left us."""
-        self._attempts.unsent(leg.reads, leg.is_counted)
+        """Process the failure of a call that was never sent."""
+        self._attempts.unsent(leg.is_prefill, leg.is_counted)
         self._dispatch.unsent(now, leg)
-        if self._attempts.never_left:
+        if self._attempts.has_too_many_unsent:
             self._give_up(now)
         elif not self._legs:
-            self._replan(now)
+            self._send_next(now)
 
-    # Another run.
+    # Further attempts.
 
-    def _can_repeat(self) -> bool:
+    def _may_repeat_run(self) -> bool:
         return self._route.repeatable and self._attempts.are_left and self._answer.can_continue
 
-    def _can_go_on(self, now: float) -> bool:
-        """Whether there is what another run needs: a try, budget, and somebody to run it."""
-        return self._can_repeat() and self._dispatch.can_go_on(now)
+    def _can_retry(self, now: float) -> bool:
+        """Return whether another attempt is possible: the route's tries, the retry budget and a backend allow it."""
+        return self._may_repeat_run() and self._dispatch.can_retry(now)
 
-    def _again_or_end(self, now: float, leg: Leg) -> None:
-        """A run that may have begun has come to nothing."""
-        self._dispatch.without.add(leg.seen.backend.id)
+    def _retry_or_give_up(self, now: float, leg: Leg) -> None:
+        """Process the failure of an attempt that may have begun to run."""
+        self._dispatch.without.add(leg.view.backend.id)
         self._answer.drop_rest()
         if self._legs:
             return
-        if self._can_repeat():
-            self._replan(now)
+        if self._may_repeat_run():
+            self._send_next(now)
         else:
             self._give_up(now)
 
@@ -330,42 +331,43 @@
             return
         for leg in self._legs:
             if leg.silent_at is not None and now >= leg.silent_at:
-                self._silent(now, leg)
+                self._on_silence(now, leg)
 
-    def _silent(self, now: float, leg: Leg) -> None:
+    def _on_silence(self, now: float, leg: Leg) -> None:
         leg.silent_at = None
         self._shared.count("silent")
-        self._shared.candidates.failed(now, leg.seen.backend.id, may_be_down=True)
-        self._dispatch.without.add(leg.seen.backend.id)
-        if leg.reads and not self._attempts.has_try_to_read():
-            return  # no other may read it, and a maker that reads it holds up its other requests: late is better
-        if leg.reads:
+        self._shared.candidates.failed(now, leg.view.backend.id, may_be_down=True)
+        self._dispatch.without.add(leg.view.backend.id)
+        if leg.is_prefill and not self._attempts.has_try_for_prefill():
+            # The prefill cannot be repeated, and a decode backend that did it would delay its streams: late is better
+            return
+        if leg.is_prefill:
             self._abort(now, leg)
-            self._replan(now)
-        elif not self._can_go_on(now):
-            return  # its silence alone gives no reason to end it
+            self._send_next(now)
+        elif not self._can_retry(now):
+            return  # silence alone is no reason to end it
         elif leg.answering:
             self._abort(now, leg)
-            self._again_or_end(now, leg)
+            self._retry_or_give_up(now, leg)
         else:
-            self._replan(now)  # a second copy beside the first; whoever answers first is passed on
+            self._send_next(now)  # a second copy beside the first; the first one to answer is passed on
 
-    # Ends.
+    # Ends of the request.
 
     def _give_up(self, now: float) -> None:
-        """Nothing more can be tried."""
-        if not self._legs:  # else a copy is out still
+        """End the request: no further attempt is possible."""
+        if not self._legs:  # otherwise a copy is still in flight
             self._finish_with(now, self._answer.give_up())
 
     def _finish_with(self, now: float, end: Break | Reply) -> None:
         self._shared.count("broken_off" if isinstance(end, Break) else f"replied_{end.error.status}")
         self._actions.append(end)
-        self._over(now)
+        self._close(now)
 
-    def _over(self, now: float) -> None:
+    def _close(self, now: float) -> None:
         for leg in self._legs:
             self._abort(now, leg)
         handle, self._dispatch.handle = self._dispatch.handle, None
         if handle is not None:
             self._actions.append(Free(handle.backend, handle.name))
-        self._change(State.OVER)
+        self._enter_state(State.OVER)
--- a/tests/test_call_faults.py
+++ b/tests/test_call_faults.py
@@ -1,7 +1,7 @@
-"""Silence, resets, ends and stray bytes at every byte of a request and its answer, on real loopback sockets.
+"""Silence, resets, closes and stray bytes at every byte of a request and its answer, on real loopback sockets.
 
-Whatever happens to a call, its client gets its own whole answer, an answer that says no more than is known, or an end
-that does not look like an answer; what can't be repeated runs once; and no byte of one call is shown to another.
+Whatever happens to a call, its client gets its own complete answer, an answer that states no more than is known, or an
+end that does not look like an answer. What cannot be repeated runs once. No byte of one call reaches another.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 
 TRIALS_AT_ONCE = 48
 SILENT_MS = 150  # deadline of a request whose backend falls silent
-PATIENT_DIAL_S = 10.0  # the backends are there: how long a dial may take is not what these tests ask
+LONG_CONNECT_TIMEOUT_S = 10.0  # the backends are up, and these tests do not test the time limit of connecting
 SHORT_SILENCE_S = 0.03
 LONG_SILENCE_S = 0.12  # longer than this process stalls on a busy machine
-NO_SILENCE_S = 60.0  # where no backend falls silent, a stall of this process must not pass for one
-PROMISES = {408, 421, 429, 503}  # to clients: it has not run and never will
+NO_SILENCE_S = 60.0  # where no backend falls silent, a stall of this process must not count as one
+NOT_RUN_STATUSES = {408, 421, 429, 503}  # to clients: it has not run and never will
 EVENTS = 2
-END = b"\r\n\r\nhi"  # of every request
+END = b"\r\n\r\nhi"  # the end of every request
 
 
 def document(header_read_ms: float = 3_000) -> bytes:
-    """Two routes to one service: one that may run once, and one that may be resumed."""
+    """Two routes to one service: one whose requests may run once, and one whose streams may be resumed."""
     common = {"hostname": "h.example", "variant": "streaming", "timeout_ms": 5_000, "goal_ms": 0, "target": "svc"}
     return msgspec.json.encode(
         {
@@ -53,7 +53,7 @@
 
 
 def request(attempt: str, route: str = "once", fault: str = "", deadline_ms: int = 4_000) -> bytes:
-    """A request of a client. ``fault`` tells the backend what to do at the request's first arrival."""
+    """A client's request. ``fault`` tells the backend what to do when the request first arrives."""
     lines = [
         f"POST /{route}/x HTTP/1.1",
         "Host: h.example",
@@ -71,12 +71,12 @@
 
 
 def body_of(attempt: str, after: int = 0) -> bytes:
-    """The body of the answer, behind the event that a resumed run begins after."""
+    """The body of the answer; of a resumed attempt, from the event that it begins after."""
     return b"".join(event(attempt, number) for number in range(after + 1, EVENTS + 1))
 
 
 def answer(attempt: str, status: str = "200 OK", body: bytes | None = None, chunked: bool = True) -> bytes:
-    """A backend's whole answer. Every status but 503 bears its seal; 503 promises that nothing ran."""
+    """A backend's complete answer. Every status but 503 carries its seal; 503 states that nothing ran."""
     body = body_of(attempt) if body is None else body
     mark = "X-Not-Run: 1" if status.startswith("503") else "X-Server-Seal: s"
     frame = "Transfer-Encoding: chunked" if chunked else f"Content-Length: {len(body)}"
@@ -85,13 +85,13 @@
 
 
 def stray_answer(kind: str, attempt: str) -> bytes:
-    """The answer too many of a kind of fault: ``behind``, or ``late-`` and its status."""
+    """The surplus answer of a kind of fault: ``behind``, or ``late-`` and its status."""
     return answer(attempt) if kind == "behind" else answer(attempt, f"{kind[5:8]} OK", chunked=False)
 
 
 @dataclass
 class Record:
-    """What backends saw, and how often each case was truly reached."""
+    """What backends received, and how often each case was really reached."""
 
     arrivals: Counter[str] = field(default_factory=Counter)
     ran: Counter[str] = field(default_factory=Counter)
@@ -108,7 +108,7 @@
         self._is_over = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """The connection is established."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
@@ -136,7 +136,7 @@
         self._fail(kind, int(offset), attempt, whole)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over; what was to be written later is not."""
+        """The connection is closed; later writes are dropped."""
         self._is_over = True
 
     def _write_rest(self, rest: bytes) -> None:
@@ -168,19 +168,19 @@
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """End a connection by a reset."""
+    """Reset a connection."""
     with contextlib.suppress(OSError):
         end_by_reset(transport.get_extra_info("socket"))
     transport.abort()
 
 
 def end_by_reset(sock: socket.socket) -> None:
-    """Make the close of a socket a reset."""
+    """Make closing a socket reset its connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 class Answer:
-    """What a client read for one request."""
+    """What a client received for one request."""
 
     def __init__(self) -> None:
         self.status, self.body = 0, b""
@@ -189,11 +189,11 @@
         self._parser = httptools.HttpResponseParser(self)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field."""
+        """One header field."""
         self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        """The head."""
+        """The head is complete."""
         self.status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
@@ -202,14 +202,14 @@
 
     def on_message_begin(self) -> None:
         """An answer begins."""
-        assert not self.is_whole, "a second answer where one request waits"
+        assert not self.is_whole, "a second answer to one request"
 
     def on_message_complete(self) -> None:
-        """It is whole."""
+        """The answer is complete."""
         self.is_whole = True
 
     async def read(self, reader: asyncio.StreamReader) -> Answer:
-        """Read until it is whole, or the connection is over."""
+        """Read until the answer is complete or the connection is closed."""
         with contextlib.suppress(ConnectionError):
             while not self.is_whole and (data := await reader.read(65536)):
                 self._parser.feed_data(data)
@@ -217,58 +217,58 @@
 
 
 def judge(attempt: str, found: Answer, record: Record, tries: int) -> str:
-    """What a client learnt: whole, unclear or refused. Fails where that is not true."""
+    """Classify what a client learnt: whole, unclear or refused. Fails if that is not true."""
     assert record.arrivals[attempt] <= tries, f"{attempt}: sent {record.arrivals[attempt]} times"
     if found.status == 200:
         assert found.headers[b"x-server-seal"] == b"s" and found.headers[b"x-attempt-id"] == attempt.encode()
         expected = body_of(attempt)
         assert expected.startswith(found.body), f"{attempt}: {found.body!r}"
-        assert found.body == expected or not found.is_whole, f"{attempt}: looks whole"
+        assert found.body == expected or not found.is_whole, f"{attempt}: the answer looks complete"
         return "whole" if found.is_whole else "unclear"
-    if found.status in PROMISES:
-        assert not record.ran[attempt], f"{attempt}: {found.status} for what has run"
+    if found.status in NOT_RUN_STATUSES:
+        assert not record.ran[attempt], f"{attempt}: status {found.status}, but the request has run"
         return "refused"
     assert found.status in (0, 500, 502, 504), f"{attempt}: {found.status}"
     return "unclear"
 
 
 Address = tuple[str, int]
-Story = Callable[[Proxy, Address, Record], Awaitable[None]]
+Scenario = Callable[[Proxy, Address, Record], Awaitable[None]]
 
 
-def play(
+def run_scenario(
     monkeypatch: pytest.MonkeyPatch,
-    story: Story,
+    scenario: Scenario,
     backends: int = 2,
     header_read_ms: float = 3_000,
     silence_s: float = SHORT_SILENCE_S,
 ) -> Record:
-    """A proxy before scripted backends, which retries at once, after ``silence_s`` of silence, and without a bound on
-    its budget."""
-    monkeypatch.setattr(backend_connections, "REST_S", 0.0)
-    monkeypatch.setattr(backend_connections, "DIAL_S", PATIENT_DIAL_S)
-    monkeypatch.setattr(dispatch, "SILENT_MAKE_S", silence_s)
-    monkeypatch.setattr(exchange, "SILENT_STREAM_S", silence_s)
+    """Run a proxy in front of scripted backends. It retries at once, after ``silence_s`` of silence, and without a
+    limit of its budget."""
+    monkeypatch.setattr(backend_connections, "REUSE_DELAY_S", 0.0)
+    monkeypatch.setattr(backend_connections, "CONNECT_TIMEOUT_S", LONG_CONNECT_TIMEOUT_S)
+    monkeypatch.setattr(dispatch, "SECOND_COPY_DELAY_S", silence_s)
+    monkeypatch.setattr(exchange, "STREAM_SILENCE_TIMEOUT_S", silence_s)
     record = Record()
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        made = Proxy(RetryRule(0.2, 1e9, 10.0, True), Random(1), loop.time())
-        assert made.configure(document(header_read_ms))
+        proxy = Proxy(RetryRule(0.2, 1e9, 10.0, True), Random(1), loop.time())
+        assert proxy.configure(document(header_read_ms))
         servers = [
             await loop.create_server(lambda: ScriptedBackend(record), "127.0.0.1", 0, backlog=512)
             for _ in range(backends)
         ]
         for number, server in enumerate(servers):
             address = "{}:{}".format(*server.sockets[0].getsockname())
-            made.learn([Backend(f"d{number}", "svc", address, "z", "decode", 4, "ready", 1)])
-        front = await loop.create_server(made.front, "127.0.0.1", 0, backlog=512)
+            proxy.learn([Backend(f"d{number}", "svc", address, "z", "decode", 4, "ready", 1)])
+        front = await loop.create_server(proxy.front, "127.0.0.1", 0, backlog=512)
         try:
             async with asyncio.timeout(60.0):
-                await story(made, front.sockets[0].getsockname(), record)
-                while made.open:
+                await scenario(proxy, front.sockets[0].getsockname(), record)
+                while proxy.open:
                     await asyncio.sleep(0.01)
-            assert not any(seen.calls for seen in made.shared.candidates.views.values()), "a call that nobody ended"
+            assert not any(view.calls for view in proxy.shared.candidates.views.values()), "a call was left open"
         finally:
             front.close()
             for server in servers:
@@ -279,8 +279,8 @@
     return record
 
 
-async def each(trials: Iterable[Awaitable[None]]) -> None:
-    """Run trials, a bounded number of them at once."""
+async def run_all(trials: Iterable[Awaitable[None]]) -> None:
+    """Run trials, a limited number of them at once."""
     gate = asyncio.Semaphore(TRIALS_AT_ONCE)
 
     async def one(trial: Awaitable[None]) -> None:
@@ -291,7 +291,7 @@
 
 
 async def ask(address: Address, *requests: bytes) -> list[Answer]:
-    """The answers to some requests on one connection, as far as it lasts."""
+    """The answers to some requests on one connection, until it closes."""
     reader, writer = await asyncio.open_connection(*address)
     found = []
     for one in requests:
@@ -311,7 +311,7 @@
     size = len(answer(f"{kind}-{route}-000"))
     offsets = range(size + (kind == "split"))
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(offset: int) -> None:
             attempt = f"{kind}-{route}-{offset:03}"
             deadline_ms = SILENT_MS if kind == "silence" and route == "once" else 4_000
@@ -323,28 +323,28 @@
             for found in more:
                 judge(then, found, record, 1 if route == "once" else 2)
 
-        await each(trial(offset) for offset in offsets)
+        await run_all(trial(offset) for offset in offsets)
 
-    record = play(monkeypatch, story, silence_s=LONG_SILENCE_S if kind == "silence" else NO_SILENCE_S)
+    record = run_scenario(monkeypatch, scenario, silence_s=LONG_SILENCE_S if kind == "silence" else NO_SILENCE_S)
     assert record.reached[kind] == len(offsets)
     assert not ends["refused"]
     if kind == "split":
         assert ends["whole"] == size + 1
     elif route == "once":
-        assert ends["unclear"] == size, "an answer cut off can't be whole"
+        assert ends["unclear"] == size, "a truncated answer cannot be complete"
     elif kind == "silence":
-        assert ends["whole"] > 0.9 * size, "a stream that may be resumed goes on elsewhere"
+        assert ends["whole"] > 0.9 * size, "a resumable stream continues at another backend"
     else:
-        assert ends["whole"] == size, "a stream that may be resumed goes on elsewhere"
+        assert ends["whole"] == size, "a resumable stream continues at another backend"
 
 
 @pytest.mark.parametrize("kind", ["behind", "late-200", "late-503", "late-500", "late-200-before-500"])
 def test_bytes_of_one_answer_never_reach_the_next(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """One answer too many, whole or cut off at any byte, behind an answer or ahead of the next one."""
+    """One surplus answer, whole or cut off at any byte, behind an answer or ahead of the next one."""
     ends: Counter[str] = Counter()
     size = len(stray_answer(kind, "0000-a")) + 1
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         for offset in range(1, size):
             first, second = f"{offset:04}-a", f"{offset:04}-b"
             (found,) = await ask(address, request(first, fault=f"{kind}:{offset}"))
@@ -356,23 +356,21 @@
                 ends["failed" if found.status == 500 else "unclear"] += 1
             else:
                 ends[judge(second, found, record, 1)] += 1
-        assert kind != "behind" or made.counters["dialled"] == size, "no such connection is used again"
+        assert kind != "behind" or proxy.counters["dialled"] == size, "the connection must not be reused"
 
-    record = play(monkeypatch, story, backends=1)
+    record = run_scenario(monkeypatch, scenario, backends=1)
     assert record.reached[kind] == size - 1 and not ends["refused"]
     if kind == "behind":
         assert ends["whole"] == size - 1
     else:
-        assert record.reached["stray"] > 0.9 * (size - 1), "the kept connection was taken again"
-        assert ends["failed" if kind == "late-200-before-500" else "whole"], "a whole answer too many is dropped"
-        assert ends["unclear"], "one that is cut off makes the next unclear"
+        assert record.reached["stray"] > 0.9 * (size - 1), "the kept connection must be reused"
+        assert ends["failed" if kind == "late-200-before-500" else "whole"], "a complete surplus answer is dropped"
+        assert ends["unclear"], "a truncated surplus answer makes the next one unclear"
 
 
 class PartialReader:
-    """A backend on plain sockets that reads so many bytes of a request and then resets, ends or falls silent.
-
-    ``answers_first``: it answers one request whole on each connection before, so that the connection is kept.
-    """
+    """A backend on plain sockets that reads so many bytes of a request and then resets, closes or falls silent.
+    ``answers_first``: it first answers one request completely on each connection, so that the connection is kept."""
 
     def __init__(self, kind: str, answers_first: bool, record: Record) -> None:
         self._kind, self._answers_first, self._record = kind, answers_first, record
@@ -390,7 +388,7 @@
             task.add_done_callback(self._tasks.discard)
 
     def stop(self) -> None:
-        """End what is silent."""
+        """Close the silent connections."""
         for task in self._tasks:
             task.cancel()
 
@@ -417,14 +415,14 @@
 
 
 @contextlib.asynccontextmanager
-async def only_backend(made: Proxy, reader: PartialReader) -> AsyncIterator[None]:
-    """Let this backend take the place of those that the proxy knows."""
+async def only_backend(proxy: Proxy, reader: PartialReader) -> AsyncIterator[None]:
+    """Replace the backends that the proxy knows by this one."""
     with socket.create_server(("127.0.0.1", 0), backlog=512) as listener:
         listener.setblocking(False)
         address = "{}:{}".format(*listener.getsockname())
-        known = made.shared.candidates.known()
-        made.learn([msgspec.structs.replace(record, phase="gone", call_seq=9) for record in known])
-        made.learn([msgspec.structs.replace(known[0], id="partial", address=address)])
+        known = proxy.shared.candidates.known()
+        proxy.learn([msgspec.structs.replace(record, phase="gone", call_seq=9) for record in known])
+        proxy.learn([msgspec.structs.replace(known[0], id="partial", address=address)])
         accepting = asyncio.create_task(reader.accept(listener))
         yield
         accepting.cancel()
@@ -436,54 +434,54 @@
 
 @pytest.mark.parametrize("kind", ["reset", "end", "silence"])
 def test_a_backend_that_goes_at_any_byte_of_a_request(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """The request may run once only: whatever of it the backend read, nothing is sent again."""
+    """The request may run only once: whatever part of it the backend read, it is not sent again."""
     ends: Counter[str] = Counter()
     deadline_ms = SILENT_MS if kind == "silence" else 4_000
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(number: int) -> None:
             attempt = f"{number:04}-a"
             (found,) = await ask(address, request(attempt, deadline_ms=deadline_ms))
             ends[judge(attempt, found, record, 1)] += 1
 
-        async with only_backend(made, PartialReader(kind, False, record)):
-            await each(trial(number) for number in range(REQUEST_BYTES))
-        assert made.counters["makes"] == REQUEST_BYTES
+        async with only_backend(proxy, PartialReader(kind, False, record)):
+            await run_all(trial(number) for number in range(REQUEST_BYTES))
+        assert proxy.counters["makes"] == REQUEST_BYTES
 
-    record = play(monkeypatch, story, backends=1)
+    record = run_scenario(monkeypatch, scenario, backends=1)
     assert record.reached[kind] == REQUEST_BYTES and ends == {"unclear": REQUEST_BYTES}
     assert 0 < record.reached["whole request read"] < REQUEST_BYTES / 2
 
 
 @pytest.mark.parametrize("kind", ["reset", "end", "silence"])
 def test_a_kept_connection_that_goes_at_any_byte_of_a_request(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """A reset of a connection that the backend may have forgotten is no evidence that the request didn't run."""
+    """A reset of a connection that the backend may have closed already is no proof that the request did not run."""
     ends: Counter[str] = Counter()
     deadline_ms = 20 if kind == "silence" else 4_000
-    trials = 40 if kind == "silence" else REQUEST_BYTES  # one after the other: each takes its own kept connection
+    trials = 40 if kind == "silence" else REQUEST_BYTES  # one after the other, as each takes its own kept connection
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
-        async with only_backend(made, PartialReader(kind, True, record)):
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
+        async with only_backend(proxy, PartialReader(kind, True, record)):
             for number in range(trials):
                 (warm,) = await ask(address, request(f"{number:04}-w"))
                 assert warm.is_whole
                 attempt = f"{number:04}-a"
                 (found,) = await ask(address, request(attempt, deadline_ms=deadline_ms))
                 ends[judge(attempt, found, record, 1)] += 1
-        assert made.counters["dialled"] == trials, "each went over a kept connection"
-        assert made.counters["makes"] == 2 * trials
+        assert proxy.counters["dialled"] == trials, "each call uses a kept connection"
+        assert proxy.counters["makes"] == 2 * trials
 
-    record = play(monkeypatch, story, backends=1)
+    record = run_scenario(monkeypatch, scenario, backends=1)
     assert record.reached[kind] == trials and ends == {"unclear": trials}
 
 
 @pytest.mark.parametrize("kind", ["reset", "end", "silence"])
 def test_a_client_that_goes_at_any_byte_of_its_request(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """What is not in as a whole runs nowhere, and a client that stays silent is told that it never will."""
+    """An incomplete request runs nowhere, and a client that stays silent is told that it never will."""
     size = len(request("0000-a"))
     ends: Counter[int] = Counter()
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(offset: int) -> None:
             attempt = f"{offset:04}-a"
             reader, writer = await asyncio.open_connection(*address)
@@ -498,27 +496,27 @@
             writer.close()
             assert not record.arrivals[attempt]
 
-        await each(trial(offset) for offset in range(1, size))
+        await run_all(trial(offset) for offset in range(1, size))
         (found,) = await ask(address, request("last"))
         assert judge("last", found, record, 1) == "whole"
-        while made.front.count:
+        while proxy.front.count:
             await asyncio.sleep(0.01)
         assert record.arrivals == {"last": 1}
 
-    play(monkeypatch, story, header_read_ms=100)
+    run_scenario(monkeypatch, scenario, header_read_ms=100)
     if kind == "silence":
         assert ends == {408: size - 1}
 
 
 @pytest.mark.parametrize("kind", ["reset", "end"])
 def test_a_client_that_goes_at_any_byte_of_its_answer(monkeypatch: pytest.MonkeyPatch, kind: str) -> None:
-    """The backend's connection is ended or kept whole: other clients get what is theirs."""
+    """The backend's connection is closed or kept intact, so that other clients get their own answers."""
     whole = len(answer("0000-a"))
     size = whole + 60
     ends: Counter[str] = Counter()
     left: Counter[str] = Counter()
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         async def trial(offset: int) -> None:
             attempt, other = f"{offset:04}-a", f"{offset:04}-b"
             reader, writer = await asyncio.open_connection(*address)
@@ -532,9 +530,9 @@
             (found,) = await ask(address, request(other))
             ends[judge(other, found, record, 1)] += 1
 
-        await each(trial(offset) for offset in range(size))
+        await run_all(trial(offset) for offset in range(size))
 
-    play(monkeypatch, story)
+    run_scenario(monkeypatch, scenario)
     assert ends == {"whole": size} and left["within"]
 
 
@@ -579,7 +577,7 @@
 
     monkeypatch.setattr(ScriptedBackend, "_fail", fail)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         (found, *_) = await ask(address, request("one", fault="odd:0"))
         assert found.status == status if status is not None else not found.is_whole
         assert judge("one", found, record, 1) == ("whole" if status == 200 else "unclear")
@@ -587,11 +585,11 @@
         (found,) = await ask(address, request("two"))
         assert judge("two", found, record, 1) == "whole"
 
-    assert play(monkeypatch, story, backends=1).reached["odd"]
+    assert run_scenario(monkeypatch, scenario, backends=1).reached["odd"]
 
 
-def test_an_answer_ahead_of_its_request_is_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A backend that speaks first: no bytes of ours have left, so the next backend gets the request."""
+def test_bytes_ahead_of_a_request_are_not_its_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A backend that sends first: no bytes of the request have been sent, so it goes to the next backend."""
 
     def connection_made(self: ScriptedBackend, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -601,15 +599,17 @@
 
     monkeypatch.setattr(ScriptedBackend, "connection_made", connection_made)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         (found,) = await ask(address, request("one"))
         assert judge("one", found, record, 1) in ("whole", "unclear")
 
-    assert play(monkeypatch, story).reached["early"]
+    assert run_scenario(monkeypatch, scenario).reached["early"]
 
 
-def test_a_call_without_an_id_leaves_nothing_behind_that_passes_for_an_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: a handle is freed without an id, so a second answer to it was taken for the next call's."""
+def test_a_surplus_answer_to_a_call_without_an_id_is_not_accepted_for_the_next_call(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A handle is freed without an attempt id, so a second answer to that call was taken for the next call's."""
     seen: list[bytes] = []
 
     def data_received(self: ScriptedBackend, data: bytes) -> None:
@@ -623,37 +623,37 @@
     received = ScriptedBackend.data_received
     monkeypatch.setattr(ScriptedBackend, "data_received", data_received)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         (found,) = await ask(address, request("one"))
         assert judge("one", found, record, 1) == "whole"
-        (known,) = made.shared.candidates.known()
-        made.pool.free(known, "h1")
-        while (kept := made.pool.take(known)) is None or not seen:
+        (known,) = proxy.shared.candidates.known()
+        proxy.pool.free(known, "h1")
+        while (kept := proxy.pool.take(known)) is None or not seen:
             await asyncio.sleep(0.001)
-        made.pool.give_back(kept)
+        proxy.pool.give_back(kept)
         (found,) = await ask(address, request("two"))
         assert record.reached["stray"] == 1 and found.status == 502
 
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
 
 
-def test_a_freeing_that_is_not_confirmed_does_not_hold_its_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: the connection stayed busy for ever, and counted against the backend's bound."""
-    monkeypatch.setattr(backend_connections, "FREE_S", 0.01)
+def test_freeing_a_handle_without_confirmation_releases_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection stayed busy for ever and counted against the backend's limit."""
+    monkeypatch.setattr(backend_connections, "FREE_TIMEOUT_S", 0.01)
     monkeypatch.setattr(ScriptedBackend, "_request", lambda *_: None)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
-        (known,) = made.shared.candidates.known()
-        made.pool.give_back(await made.pool.dial(known))
-        made.pool.free(known, "h1")
-        while made.pool._all:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
+        (known,) = proxy.shared.candidates.known()
+        proxy.pool.give_back(await proxy.pool.dial(known))
+        proxy.pool.free(known, "h1")
+        while proxy.pool._all:
             await asyncio.sleep(0.001)
 
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
 
 
-def test_an_early_answer_ends_a_connection_whose_request_is_still_on_its_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: the connection was kept, with the rest of the body ahead of the next request."""
+def test_an_early_answer_closes_a_connection_whose_request_is_still_being_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection was kept, with the rest of the body ahead of the next request."""
 
     def data_received(self: ScriptedBackend, data: bytes) -> None:
         self.transport.pause_reading()
@@ -661,20 +661,20 @@
 
     monkeypatch.setattr(ScriptedBackend, "data_received", data_received)
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         big = request("big").replace(b"Content-Length: 2", b"Content-Length: 4000000")[:-2] + b"x" * 4_000_000
         (found,) = await ask(address, big)
         assert found.status == 200 and found.is_whole
-        (known,) = made.shared.candidates.known()
-        assert made.pool.take(known) is None and not made.pool._all
+        (known,) = proxy.shared.candidates.known()
+        assert proxy.pool.take(known) is None and not proxy.pool._all
 
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
 
 
-def test_a_head_gets_the_fields_of_its_answer_and_no_body(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by a review: a HEAD waited for a body that never comes, up to its deadline."""
+def test_a_head_request_gets_header_fields_and_no_body(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A HEAD waited until its deadline for a body that never arrives."""
 
-    async def story(made: Proxy, address: Address, record: Record) -> None:
+    async def scenario(proxy: Proxy, address: Address, record: Record) -> None:
         reader, writer = await asyncio.open_connection(*address)
         head = request("one").replace(b"POST", b"HEAD")
         for attempt in (b"one", b"two"):
@@ -687,4 +687,4 @@
         self.transport.write(answer(fields["x-attempt-id"], chunked=False).partition(b"\r\n\r\n")[0] + b"\r\n\r\n")
 
     monkeypatch.setattr(ScriptedBackend, "_request", fail)
-    play(monkeypatch, story, backends=1)
+    run_scenario(monkeypatch, scenario, backends=1)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -1,4 +1,5 @@
-"""The clients' side under an injected clock: the limits in force, idle connections, and bytes that come early."""
+"""Connections of clients under an injected clock: the limits in force, idle connections, and bytes that arrive
+early."""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 import pytest
 
 from cranebank.dataplane.client_request import ClientRequest
-from cranebank.dataplane.front import SWEEP_S, ClientConnection, Front, Handler
+from cranebank.dataplane.front import SWEEP_INTERVAL_S, ClientConnection, Front, Handler
 from cranebank.dataplane.routes import ClientLimits
 
 LIMITS = ClientLimits(header_bytes=400, body_bytes=100, header_read_ms=3_000, idle_ms=15_000)
@@ -19,7 +20,7 @@
 
 
 class ManualLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock moves only where a test says so."""
+    """A loop whose clock moves only when a test advances it."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -30,16 +31,16 @@
         return self.now
 
     async def advance(self, seconds: float) -> None:
-        """Let time pass, with every timer of the sweep run at its turn."""
+        """Advance the clock, running every sweep at its time."""
         end = self.now + seconds
         while self.now < end:
-            self.now = min(end, self.now + SWEEP_S)
+            self.now = min(end, self.now + SWEEP_INTERVAL_S)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
 
 
 class FakeTransport:
-    """Keeps what is written; its socket is one end of a pair, so that unread bytes can be put there."""
+    """Records what is written. Its socket is one end of a pair, so that unread bytes can be placed there."""
 
     def __init__(self) -> None:
         self.socket, self.peer = socket.socketpair()
@@ -48,57 +49,57 @@
         self.closed = self.paused = False
 
     def get_extra_info(self, _: str) -> Any:
-        """The socket, with the option that only TCP knows left out."""
+        """The socket, without the option that only TCP has."""
         return self
 
     def setsockopt(self, *_: object) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def fileno(self) -> int:
-        """Of the socket."""
+        """The descriptor of the socket."""
         return self.socket.fileno()
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that have not left."""
+        """Bytes that have not been sent."""
         return self.buffered
 
     def write(self, data: bytes) -> None:
-        """Keep it."""
+        """Record the data."""
         self.written += data
 
     def write_eof(self) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def is_closing(self) -> bool:
-        """Whether it was ended."""
+        """Whether the transport was closed."""
         return self.closed
 
     def close(self) -> None:
-        """End it."""
+        """Close the transport."""
         self.closed = True
 
     abort = close
 
     def pause_reading(self) -> None:
-        """Take no more."""
+        """Pause reading."""
         self.paused = True
 
     def resume_reading(self) -> None:
-        """Take more."""
+        """Resume reading."""
         self.paused = False
 
 
 @dataclass
 class Recorder(Handler):
-    """Answers nothing by itself."""
+    """A handler that records requests and answers none."""
 
     requests: list[ClientRequest] = field(default_factory=list)
 
     def begin(self, client: ClientConnection, request: ClientRequest) -> None:
-        """Keep it."""
+        """Record the request."""
         self.requests.append(request)
 
 
@@ -113,36 +114,36 @@
         self.client.connection_made(cast(asyncio.BaseTransport, self.transport))
 
     def answer(self, headers: dict[str, str] | None = None, body: bytes = b"ok") -> None:
-        """Answer the open request whole."""
+        """Answer the open request completely."""
         head = self.client.head(200, {"content-length": "2", **(headers or {})})
         self.client.write(head + self.client.frame(body) + self.client.tail())
         self.client.finish()
 
     def ask(self) -> None:
-        """A whole request, answered at once."""
+        """Send a complete request and answer it at once."""
         self.client.data_received(REQUEST)
         self.answer()
 
     @property
     def status(self) -> bytes:
-        """Of the last answer."""
+        """The status of the last answer."""
         return self.transport.written.rpartition(b"HTTP/1.1 ")[2][:3]
 
 
 @pytest.fixture
 def loop() -> Iterator[ManualLoop]:
-    made = ManualLoop()
-    yield made
-    made.close()
+    manual_loop = ManualLoop()
+    yield manual_loop
+    manual_loop.close()
 
 
-def play(loop: ManualLoop, story: Callable[[Scene], Awaitable[None]]) -> None:
-    """Run a story on the injected clock."""
+def run_scenario(loop: ManualLoop, scenario: Callable[[Scene], Awaitable[None]]) -> None:
+    """Run a test on the injected clock."""
 
     async def run() -> None:
         scene = Scene(loop)
         try:
-            await story(scene)
+            await scenario(scene)
         finally:
             scene.transport.socket.close()
             scene.transport.peer.close()
@@ -151,10 +152,10 @@
 
 
 def test_idle_time_counts_from_the_last_byte_of_the_answer(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await scene.loop.advance(10)
         scene.client.data_received(REQUEST)
-        await scene.loop.advance(40)  # an open request is no idle connection
+        await scene.loop.advance(40)  # a connection with an open request is not idle
         scene.answer()
         for _ in range(3):
             await scene.loop.advance(0.8 * 15)
@@ -166,13 +167,13 @@
         await scene.loop.advance(0.75)
         assert scene.transport.closed
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
-def test_idle_time_does_not_run_while_the_answer_waits_to_leave(loop: ManualLoop) -> None:
-    """Found by a review: a client that read slowly lost its connection when it had just got its answer."""
+def test_idle_time_does_not_count_while_the_answer_is_being_sent(loop: ManualLoop) -> None:
+    """A client that read slowly lost its connection just after it had received its answer."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.transport.buffered = 1
         await scene.loop.advance(30)
@@ -183,14 +184,14 @@
         await scene.loop.advance(1)
         assert scene.transport.closed
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 @pytest.mark.parametrize(("idle_ms", "closed_after"), [(5_000, 5.25), (60_000, 60.25)])
 def test_a_configurations_limits_apply_to_open_connections(
     loop: ManualLoop, idle_ms: float, closed_after: float
 ) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.limits = ClientLimits(idle_ms=idle_ms)
         await scene.loop.advance(closed_after - 0.5)
@@ -198,33 +199,33 @@
         await scene.loop.advance(0.75)
         assert scene.transport.closed
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_lower_bounds_on_bytes_apply_to_open_connections(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.limits = ClientLimits(header_bytes=400, body_bytes=1)
         scene.client.data_received(REQUEST)
         assert scene.status == b"413" and len(scene.handler.requests) == 1
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
-def test_no_time_to_keep_the_connection_is_told(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+def test_a_backends_keep_alive_field_is_not_passed_on(loop: ManualLoop) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.client.data_received(REQUEST)
         scene.answer({"keep-alive": "timeout=1", "connection": "keep-alive"})
         assert b"keep-alive" not in scene.transport.written.lower()
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 @pytest.mark.parametrize("dismissed", [False, True])
 def test_an_idle_connection_with_unread_bytes_is_not_closed(loop: ManualLoop, dismissed: bool) -> None:
-    """Found by a review: a process that thawed closed connections on which requests had arrived meanwhile."""
+    """A resumed process closed connections on which requests had arrived meanwhile."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.ask()
         scene.transport.peer.send(REQUEST[:1])
         if dismissed:
@@ -239,11 +240,11 @@
         scene.client.data_received(REQUEST[1:])
         assert len(scene.handler.requests) == 2
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
-def test_a_request_that_is_not_in_in_time_is_told_so_at_any_byte(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+def test_a_slow_request_gets_408_at_any_byte(loop: ManualLoop) -> None:
+    async def scenario(scene: Scene) -> None:
         for cut in range(1, len(REQUEST)):
             scene = Scene(scene.loop)
             scene.client.data_received(REQUEST[:cut])
@@ -252,9 +253,9 @@
             await scene.loop.advance(1)
             assert scene.status == b"408" and b"connection: close" in scene.transport.written, cut
             scene.client.data_received(REQUEST[cut:])
-            assert not scene.handler.requests, "what was refused never runs"
+            assert not scene.handler.requests, "a refused request never runs"
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 @pytest.mark.parametrize(
@@ -273,20 +274,20 @@
         ),
     ],
 )
-def test_bounds_on_bytes_hold_before_a_request_is_whole(loop: ManualLoop, parts: list[bytes], status: bytes) -> None:
-    """Found by a review: a field without end was held without bound, since the parser tells of whole ones only."""
+def test_byte_limits_apply_before_a_request_is_complete(loop: ManualLoop, parts: list[bytes], status: bytes) -> None:
+    """A field without end was buffered without limit, as the parser reports only complete fields."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         for part in parts:
             scene.client.data_received(part)
         assert scene.status == status and not scene.handler.requests
         assert b"connection: close" in scene.transport.written
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
-def test_a_request_of_exactly_the_allowed_size_is_taken(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+def test_a_request_of_exactly_the_allowed_size_is_accepted(loop: ManualLoop) -> None:
+    async def scenario(scene: Scene) -> None:
         head = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\nX-Fill: "
         head += b"x" * (LIMITS.header_bytes - len(head) - 4) + b"\r\n\r\n"
         for request in (head + b"b" * 100, *[bytes([byte]) for byte in head + b"b" * 100]):
@@ -295,14 +296,14 @@
                 scene.answer()
         assert len(scene.handler.requests) == 2
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_bytes_of_the_next_request_stay_in_order_behind_an_answer(loop: ManualLoop) -> None:
-    """Found by a review: what came between an answer and the loop's next turn was read before what came earlier, and
-    the connection could be dismissed in between."""
+    """Bytes that arrived between an answer and the loop's next iteration were parsed before earlier ones, and the
+    connection could be closed in between."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         for cut in range(1, len(REQUEST)):
             scene.client.data_received(REQUEST)
             scene.client.data_received(REQUEST[:cut])
@@ -315,26 +316,26 @@
         assert len(scene.handler.requests) == 2 * (len(REQUEST) - 1)
         assert all(request.body == b"hi" for request in scene.handler.requests)
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
-def test_fields_behind_a_chunked_body_are_no_fields_of_the_request(loop: ManualLoop) -> None:
-    """Found by a review: a trailer could change the deadline or the id of its request."""
+def test_trailer_fields_are_not_fields_of_the_request(loop: ManualLoop) -> None:
+    """A trailer field could change the deadline or the id of its request."""
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.client.data_received(
             b"POST /x HTTP/1.1\r\nHost: h\r\nX-Deadline-Left: 900\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\nX-Deadline-Left: 1\r\nX-Attempt-Id: other\r\n\r\n"
         )
         (request,) = scene.handler.requests
-        assert request.body == b"hi" and request.named["x-deadline-left"] == "900"
-        assert "x-attempt-id" not in request.named and len(request.headers) == 2
+        assert request.body == b"hi" and request.fields["x-deadline-left"] == "900"
+        assert "x-attempt-id" not in request.fields and len(request.headers) == 2
 
-    play(loop, story)
+    run_scenario(loop, scenario)
 
 
 def test_the_answer_to_a_head_has_no_body(loop: ManualLoop) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         scene.client.data_received(b"HEAD /x HTTP/1.1\r\nHost: h\r\n\r\n")
         scene.answer({"content-length": "900"}, b"")
         assert scene.transport.written.endswith(b"\r\n\r\n") and not scene.transport.closed
@@ -342,4 +343,4 @@
         scene.answer()
         assert scene.transport.written.endswith(b"\r\n\r\nok")
 
-    play(loop, story)
+    run_scenario(loop, scenario)
--- a/tests/test_cold_backends.py
+++ b/tests/test_cold_backends.py
@@ -1,4 +1,4 @@
-"""Requests to backends that are cold, summed over all proxies."""
+"""Requests to cold backends, summed over all proxies."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 import pytest
 from msgspec import structs
 from test_proxy import DOCUMENT as WIRE_DOCUMENT
-from test_proxy import REQUEST, play
+from test_proxy import REQUEST, run_scenario
 
 from cranebank.dataplane import prompt as prompts
 from cranebank.dataplane import proxy as plane
-from cranebank.dataplane.candidates import AWAY_S, DOUBT_S
+from cranebank.dataplane.candidates import BACKOFF_S, COLD_DOUBT_S
 from cranebank.dataplane.cold_backends import COLD_MARGIN_S
 from cranebank.dataplane.exchange import Exchange
 from cranebank.dataplane.exchange_events import Begin, Call
@@ -41,12 +41,12 @@
 
 
 def backend(name: str, cold_left_ms: int = 0, call_seq: int = 1) -> Backend:
-    """A backend that makes tokens."""
+    """A decode backend."""
     return Backend(name, "svc", f"10.0.0.{name}:1", "z", "decode", 12, "ready", call_seq, cold_left_ms)
 
 
 def proxy_of(seed: int, backends: int = 10) -> Proxy:
-    """A proxy with so many backends, all warm."""
+    """A proxy that knows so many backends, all warm."""
     proxy = Proxy(RetryRule(0.2, 100, 10.0, True), Random(seed), asyncio.get_running_loop().time())
     assert proxy.configure(DOCUMENT)
     proxy.learn([backend(str(number)) for number in range(backends)])
@@ -54,7 +54,7 @@
 
 
 def calls_of(proxy: Proxy) -> list[Call]:
-    """Where a request of this moment goes."""
+    """The backend that a request would be sent to now."""
     assert proxy.table is not None
     now, route = asyncio.get_running_loop().time(), proxy.table.match("h", "/")
     assert route is not None
@@ -63,30 +63,30 @@
 
 
 def test_a_backend_that_turns_cold_under_its_id_is_not_flooded_by_many_proxies() -> None:
-    """All that is sent here is sent within one second."""
+    """All requests of this test are sent within one second."""
 
-    async def story() -> int:
+    async def scenario() -> int:
         proxies = [proxy_of(seed) for seed in range(PROXIES)]
         for proxy in proxies:
             proxy.learn([backend("0", 3000, 2)])
         calls = [call for proxy in proxies for _ in range(REQUESTS_PER_PROXY) for call in calls_of(proxy)]
         return sum(call.backend.id == "0" for call in calls)
 
-    assert asyncio.run(story()) <= BOUND
+    assert asyncio.run(scenario()) <= BOUND
 
 
-def in_loop(story: Callable[[], Coroutine[None, None, None]]) -> Callable[[], None]:
-    """A test that runs in an event loop, whose clock a proxy reads."""
+def in_loop(scenario: Callable[[], Coroutine[None, None, None]]) -> Callable[[], None]:
+    """Run a test in an event loop, whose clock a proxy reads."""
 
-    @wraps(story)
+    @wraps(scenario)
     def test() -> None:
-        asyncio.run(story())
+        asyncio.run(scenario())
 
     return test
 
 
 def permit(proxy: Proxy, backend_id: str, permits: int = 1, lease_s: float = 3.0) -> None:
-    """A controller leases permits."""
+    """Permits that a controller leases."""
     proxy.permit(WarmUpPermits(backend_id, permits, asyncio.get_running_loop().time() + lease_s))
 
 
@@ -98,17 +98,17 @@
 
 
 def ids(proxy: Proxy, after_s: float = 0.0, without: frozenset[str] = frozenset()) -> list[str]:
-    """Who is listed for a call, some time from now."""
+    """The candidates for a call, some time from now."""
     now = asyncio.get_running_loop().time() + after_s
-    return [seen.backend.id for seen in proxy.shared.candidates.ready(now, "svc", "decode", without)]
+    return [view.backend.id for view in proxy.shared.candidates.ready(now, "svc", "decode", without)]
 
 
 @in_loop
 async def test_where_all_backends_are_cold_only_permits_are_spent_and_the_rest_is_refused() -> None:
-    """One call for each permit until it is free again; the empty list breaks no invariant."""
+    """One call for each permit until it is free again; the empty list violates no invariant."""
     before = dict(violations())
     proxy = cold_proxy()
-    assert calls_of(proxy) == [] and not proxy.shared.choices.of("svc", None).has_backend(0.0, frozenset())
+    assert calls_of(proxy) == [] and not proxy.shared.choices.of("svc", None).has_candidate(0.0, frozenset())
     permit(proxy, "0", 2)
     assert [len(calls_of(proxy)) for _ in range(4)] == [1, 1, 0, 0]
     assert ids(proxy, PERMIT_REUSE_INTERVAL_S - 0.05) == [] and ids(proxy, PERMIT_REUSE_INTERVAL_S) == ["0"]
@@ -133,7 +133,7 @@
 
 @in_loop
 async def test_a_call_that_was_held_up_before_its_writing_is_withdrawn() -> None:
-    """Else it could be written within one second of the permit's next call."""
+    """Otherwise it could be written within one second of the permit's next call."""
     proxy = cold_proxy()
     permit(proxy, "0")
     (call,) = calls_of(proxy)
@@ -162,27 +162,27 @@
 
 
 @in_loop
-async def test_who_was_not_reached_comes_behind_the_others_until_its_heartbeat_can_have_told() -> None:
-    """And is used where it is the only one."""
+async def test_an_unreachable_backend_is_avoided_until_its_heartbeat_may_have_reported_it_cold() -> None:
+    """It is still used if there is no other backend."""
     proxy = proxy_of(1, 2)
     now = asyncio.get_running_loop().time()
     proxy.shared.candidates.failed(now, "0", may_be_down=True)
-    until = AWAY_S[0] + DOUBT_S
-    assert ids(proxy, AWAY_S[0] + 0.1) == ["1"] and ids(proxy, AWAY_S[0] + 0.1, frozenset({"1"})) == ["0"]
+    until = BACKOFF_S[0] + COLD_DOUBT_S
+    assert ids(proxy, BACKOFF_S[0] + 0.1) == ["1"] and ids(proxy, BACKOFF_S[0] + 0.1, frozenset({"1"})) == ["0"]
     assert sorted(ids(proxy, until + 0.1)) == ["0", "1"]
 
 
 @in_loop
-async def test_the_backends_of_a_zone_that_is_taken_back_are_cold() -> None:
+async def test_backends_of_a_restored_zone_count_as_cold() -> None:
     proxy = proxy_of(1, 2)
     proxy.learn([structs.replace(backend("1", 0, 2), zone="other")])
-    proxy.shared.candidates.returned(asyncio.get_running_loop().time(), {"z"})
+    proxy.shared.candidates.restore_zones(asyncio.get_running_loop().time(), {"z"})
     assert ids(proxy) == ["1"]
 
 
 @in_loop
-async def test_what_a_proxy_tells_of_a_cold_backend_is_what_is_left() -> None:
-    """A figure of long ago would make a restarted controller think it cold."""
+async def test_a_proxy_reports_the_remaining_cold_time_of_a_backend() -> None:
+    """An old figure would make a restarted controller take the backend for cold."""
     proxy = cold_proxy()
     now = asyncio.get_running_loop().time()
     (early,), (late,) = (proxy.shared.candidates.known(now + later) for later in (1.0, 5.0))
@@ -191,7 +191,7 @@
 
 @in_loop
 async def test_without_a_limit_a_cold_backend_is_used_like_any_other() -> None:
-    """And no clock is told, so that no permits come."""
+    """No clock is reported either, so that no permits are leased."""
     proxy = proxy_of(1, 2)
     assert proxy.clock_ms() > 0
     assert proxy.configure(DOCUMENT.replace(b'"revision": 1', b'"revision": 2').replace(b"warmup_per_s", b"other"))
@@ -201,7 +201,7 @@
 
 
 async def status(address: tuple[str, int]) -> bytes:
-    """Of the answer to a request; a moment later its connection to the backend is idle."""
+    """The status of the answer to a request; its connection to the backend is idle shortly afterwards."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(REQUEST)
     line = await reader.readline()
@@ -211,23 +211,23 @@
 
 
 @pytest.mark.parametrize("is_connected", [False, True])
-def test_a_process_that_stood_still_in_the_middle_of_a_turn_withdraws_its_call(
+def test_a_process_that_was_suspended_within_an_iteration_withdraws_its_call(
     monkeypatch: pytest.MonkeyPatch, is_connected: bool
 ) -> None:
-    """The loop's clock stands during a turn. Over a new connection, and over one that is up."""
+    """The loop's clock stands still during an iteration. Tested over a new connection and over a kept one."""
 
-    async def story(made: Proxy, address: tuple[str, int]) -> None:
+    async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         if is_connected:
             assert await status(address) == b"200"
-        assert made.configure(WIRE_DOCUMENT.replace(b'"revision":3', b'"revision":4').replace(*LIMITED))
-        (record,) = made.shared.candidates.known()
-        made.learn([structs.replace(record, cold_left_ms=3000, call_seq=2)])
-        permit(made, "d0", 1)
+        assert proxy.configure(WIRE_DOCUMENT.replace(b'"revision":3', b'"revision":4').replace(*LIMITED))
+        (record,) = proxy.shared.candidates.known()
+        proxy.learn([structs.replace(record, cold_left_ms=3000, call_seq=2)])
+        permit(proxy, "d0", 1)
         monkeypatch.setattr(plane, "monotonic", lambda: time.monotonic() + PERMIT_SEND_TIMEOUT_S)
         assert await status(address) == b"503"
-        assert made.counters["legs_unsent"] == 1
+        assert proxy.counters["legs_unsent"] == 1
         monkeypatch.setattr(plane, "monotonic", time.monotonic)
-        permit(made, "d0", 1)
+        permit(proxy, "d0", 1)
         assert await status(address) == b"200"
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_exchange_parts.py
+++ b/tests/test_exchange_parts.py
@@ -1,10 +1,10 @@
-"""The parts of an exchange, each alone: counting of tries, kinds of answers, legs' figures, the client's answer."""
+"""The parts of an exchange, each alone: counts of attempts, kinds of answers, loads of legs, the client's answer."""
 
 from __future__ import annotations
 
 import pytest
 
-from cranebank.dataplane.attempts import UNSENT, Attempts
+from cranebank.dataplane.attempts import MAX_UNSENT, Attempts
 from cranebank.dataplane.backend_answers import AnswerKind, handle_in, kind_of
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.client_answer import ClientAnswer
@@ -31,63 +31,63 @@
         (500, {"x-server-seal": "s"}, AnswerKind.FAILED),
     ],
 )
-def test_what_an_answer_says(status: int, headers: dict[str, str], kind: AnswerKind) -> None:
+def test_an_answer_is_classified_by_its_head(status: int, headers: dict[str, str], kind: AnswerKind) -> None:
     assert kind_of(status, headers) is kind
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b"[]", b"\xff", b'{"prompt_handle":3}', b'{"prompt_handle":'])
-def test_an_odd_answer_of_a_reading_holds_no_handle(body: bytes) -> None:
+def test_an_odd_answer_to_a_prefill_yields_no_handle(body: bytes) -> None:
     assert handle_in(body) == "" and handle_in(b'{"prompt_handle":"h","tokens":3}') == "h"
 
 
-def test_what_never_left_counts_nowhere_and_is_bounded() -> None:
+def test_unsent_calls_are_not_counted_and_limited() -> None:
     attempts = Attempts(1)
-    for number in range(UNSENT):
-        assert not attempts.never_left and not attempts.are_used_up, number
-        attempts.make()
+    for number in range(MAX_UNSENT):
+        assert not attempts.has_too_many_unsent and not attempts.are_used_up, number
+        attempts.count_decode()
         assert attempts.are_used_up
-        attempts.unsent(reads=False, is_counted=True)
-    assert attempts.never_left and not attempts.arrivals
+        attempts.unsent(is_prefill=False, is_counted=True)
+    assert attempts.has_too_many_unsent and not attempts.arrivals
 
 
 @pytest.mark.parametrize(("tries", "may"), [(1, False), (2, True)])
-def test_a_further_reading_needs_a_try_and_leaves_one(tries: int, may: bool) -> None:
+def test_a_further_prefill_needs_a_try_and_leaves_one(tries: int, may: bool) -> None:
     attempts = Attempts(tries)
-    assert not attempts.read() and attempts.may_read() is may
+    assert not attempts.count_prefill() and attempts.may_prefill() is may
     if may:
-        assert attempts.read() and not attempts.may_read() and not attempts.are_used_up
+        assert attempts.count_prefill() and not attempts.may_prefill() and not attempts.are_used_up
 
 
-def test_a_rejected_reading_takes_a_try_and_the_next_is_the_first_again() -> None:
+def test_a_rejected_prefill_takes_a_try_and_the_next_counts_as_the_first() -> None:
     attempts = Attempts(2)
-    is_counted = attempts.read()
-    attempts.reading_rejected(is_counted)
-    assert attempts.count == attempts.arrivals == 1 and attempts.may_read() and not attempts.read()
+    is_counted = attempts.count_prefill()
+    attempts.prefill_rejected(is_counted)
+    assert attempts.count == attempts.arrivals == 1 and attempts.may_prefill() and not attempts.count_prefill()
 
 
-def test_figures_of_a_backend_come_back_to_nothing() -> None:
-    legs, seen = OpenLegs(), BackendView(BACKEND)
-    first, second = legs.open(1.0, seen, 100, True, 2.0), legs.open(1.5, seen, 30, False, None)
-    assert (seen.calls, seen.tokens, legs.runs, len(legs)) == (2, 130, 1, 2)
+def test_the_load_of_a_backend_returns_to_zero() -> None:
+    legs, view = OpenLegs(), BackendView(BACKEND)
+    first, second = legs.open(1.0, view, 100, True, 2.0), legs.open(1.5, view, 30, False, None)
+    assert (view.calls, view.tokens, legs.runs, len(legs)) == (2, 130, 1, 2)
     assert legs.next_silence(9.0) == 3.0 and legs.next_silence(2.0) == 2.0
-    assert legs.read(2.0, second) == 30 and seen.tokens == 100
+    assert legs.mark_prompt_read(2.0, second) == 30 and view.tokens == 100
     for leg in legs:
         legs.close(2.0, leg)
-    assert (seen.calls, seen.tokens, len(legs)) == (0, 0, 0) and legs.get(first.number) is None
-    assert legs.open(3.0, seen, 0, False, None).number > second.number
+    assert (view.calls, view.tokens, len(legs)) == (0, 0, 0) and legs.get(first.number) is None
+    assert legs.open(3.0, view, 0, False, None).number > second.number
 
 
 def leg() -> Leg:
     """A leg that has been answered with a success."""
-    made = OpenLegs().open(0.0, BackendView(BACKEND), 0, False, None)
-    made.status, made.headers = 200, {"x-server-seal": "s"}
-    return made
+    answered_leg = OpenLegs().open(0.0, BackendView(BACKEND), 0, False, None)
+    answered_leg.status, answered_leg.headers = 200, {"x-server-seal": "s"}
+    return answered_leg
 
 
 def test_an_answer_begins_once_and_ends_whole() -> None:
-    answer, made = ClientAnswer(True, "3"), leg()
-    assert answer.last_event_id == "3" and answer.pass_on(made, b"id: 4\n") == [] and not answer.is_begun
-    assert answer.pass_on(made, b"\nid: 5") == [Head(200, made.headers), Data(b"id: 4\n\n")]
+    answer, answered_leg = ClientAnswer(True, "3"), leg()
+    assert answer.last_event_id == "3" and answer.pass_on(answered_leg, b"id: 4\n") == [] and not answer.is_begun
+    assert answer.pass_on(answered_leg, b"\nid: 5") == [Head(200, answered_leg.headers), Data(b"id: 4\n\n")]
     assert answer.last_event_id == "4" and answer.can_continue
     answer.drop_rest()
     assert answer.finish(leg()) == [Finish()]
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Backends whose heartbeats ceased: which of them a proxy still sends to, by what it has seen itself."""
+"""Backends whose heartbeats ceased: which of them a proxy still sends to, by the evidence of its own calls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cranebank.dataplane import candidates as candidates_module
 from cranebank.dataplane.backend_view import BackendView
 from cranebank.dataplane.candidates import Candidates
-from cranebank.dataplane.suspects import ANSWERED_S, SUSPECT_S, Suspects
+from cranebank.dataplane.suspects import ALIVE_AFTER_ANSWER_S, MAX_SUSPECT_AGE_S, Suspects
 from cranebank.invariants import violations
 from cranebank.transport.messages import Backend
 
@@ -25,7 +25,7 @@
 
 
 def known(ready: int, lost: int = 0) -> Candidates:
-    """The first ones are ready, the others were lost at LOST_AT."""
+    """The first backends are ready; the others were lost at LOST_AT."""
     candidates = Candidates()
     candidates.merge([backend(number) for number in range(ready + lost)], 0.0)
     candidates.merge([backend(number, "lost") for number in range(ready, ready + lost)], LOST_AT)
@@ -33,8 +33,8 @@
 
 
 def listed(candidates: Candidates, now: float, without: frozenset[str] = frozenset()) -> set[str]:
-    """Ids of those that may be chosen."""
-    found = {seen.backend.id for seen in candidates.ready(now, "svc", "decode", without)}
+    """The ids of the candidates."""
+    found = {view.backend.id for view in candidates.ready(now, "svc", "decode", without)}
     assert not violations()
     return found
 
@@ -49,7 +49,7 @@
     candidates.answered(LOST_AT - 0.5, "b2")
     candidates.merge([backend(2, "lost")], LOST_AT)
     assert listed(candidates, LOST_AT) == {"b0", "b1", "b2"}
-    assert listed(candidates, LOST_AT - 0.5 + ANSWERED_S + 0.01) == {"b0", "b1"}
+    assert listed(candidates, LOST_AT - 0.5 + ALIVE_AFTER_ANSWER_S + 0.01) == {"b0", "b1"}
     candidates.answered(LOST_AT + 5.0, "b2")
     assert listed(candidates, LOST_AT + 5.0) == {"b0", "b1", "b2"}
     candidates.failed(LOST_AT + 5.1, "b2")
@@ -71,7 +71,7 @@
     assert listed(candidates, LOST_AT + 0.1) == {"b2"}
 
 
-def test_where_all_are_lost_and_failed_each_is_tried_when_its_back_off_is_over() -> None:
+def test_where_all_are_lost_and_failed_each_is_tried_when_its_backoff_is_over() -> None:
     candidates = known(0, lost=2)
     candidates.failed(LOST_AT, "b0")
     candidates.failed(LOST_AT + 0.2, "b1")
@@ -99,8 +99,8 @@
     assert listed(candidates, LOST_AT + 1.0) == {"b7"}
     candidates.merge([backend(7, "gone", address="10.0.0.1:1")], LOST_AT + 2.0)
     assert listed(candidates, LOST_AT + 2.0) == {"b0"}
-    assert listed(candidates, LOST_AT + SUSPECT_S) == {"b0"}
-    assert listed(candidates, LOST_AT + SUSPECT_S + 0.1) == set()
+    assert listed(candidates, LOST_AT + MAX_SUSPECT_AGE_S) == {"b0"}
+    assert listed(candidates, LOST_AT + MAX_SUSPECT_AGE_S + 0.1) == set()
 
 
 def test_one_that_is_lost_after_its_address_has_passed_on_is_no_suspect() -> None:
@@ -112,8 +112,8 @@
     assert listed(candidates, LOST_AT) == {"b0"}
 
 
-def test_the_same_list_is_given_for_as_long_as_it_holds() -> None:
-    """The choice remembers homes by it."""
+def test_the_same_list_object_is_returned_while_its_content_is_the_same() -> None:
+    """The choice remembers homes by the identity of the list."""
     candidates = known(1, lost=3)
     first = candidates.ready(LOST_AT, "svc", "decode")
     assert candidates.ready(LOST_AT + 1.0, "svc", "decode") is first
@@ -121,19 +121,19 @@
     assert candidates.ready(LOST_AT + 2.0, "svc", "decode") is not first
 
 
-def test_a_few_suspects_among_many_ready_ones_cost_no_look_at_each() -> None:
-    """A fleet of thousands has lost somebody within the last minute nearly always."""
+def test_a_few_suspects_do_not_cause_a_scan_of_many_ready_backends() -> None:
+    """A fleet of thousands nearly always has lost a backend within the last minute."""
     looks = 0
 
     class Counted(BackendView):
         @property
-        def away_until(self) -> float:
+        def backoff_until(self) -> float:
             nonlocal looks
             looks += 1
             return 0.0
 
-        @away_until.setter
-        def away_until(self, value: float) -> None:
+        @backoff_until.setter
+        def backoff_until(self, value: float) -> None:
             pass
 
     suspects, lost = Suspects(), BackendView(backend(9999, "lost"))
@@ -145,7 +145,7 @@
 
 
 @given(st.integers(0, 10**6))
-def test_whatever_is_told_and_seen_nobody_who_may_be_tried_is_left_out_and_no_end_is_taken_back(seed: int) -> None:
+def test_random_events_leave_out_no_usable_backend_and_revive_no_ended_one(seed: int) -> None:
     random = Random(seed)
     candidates, now = Candidates(), 0.0
     ended: set[str] = set()
@@ -169,27 +169,27 @@
 
 
 def test_suspects_that_answer_are_not_given_up_after_a_minute() -> None:
-    """They are cut off from the controllers for longer than that, and serve all the while."""
+    """They are cut off from the controllers for longer than that, yet keep serving."""
     candidates = known(0, lost=2)
-    candidates.answered(LOST_AT + SUSPECT_S, "b0")
-    assert listed(candidates, LOST_AT + SUSPECT_S + 0.5) == {"b0"}
-    assert listed(candidates, LOST_AT + 2 * SUSPECT_S - 0.5) == {"b0"}
-    assert listed(candidates, LOST_AT + 2 * SUSPECT_S + 0.5) == set()
+    candidates.answered(LOST_AT + MAX_SUSPECT_AGE_S, "b0")
+    assert listed(candidates, LOST_AT + MAX_SUSPECT_AGE_S + 0.5) == {"b0"}
+    assert listed(candidates, LOST_AT + 2 * MAX_SUSPECT_AGE_S - 0.5) == {"b0"}
+    assert listed(candidates, LOST_AT + 2 * MAX_SUSPECT_AGE_S + 0.5) == set()
 
 
-def test_a_service_without_backends_costs_no_look_at_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each refused request looks several times; 1.3 ms a look at 5,700 backends."""
+def test_a_service_without_backends_causes_no_scan_of_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each refused request looks at the candidates several times; a scan of 5,700 backends takes 1.3 ms."""
     candidates = Candidates()
     candidates.merge([backend(number) for number in range(1000)])
     looks = 0
-    place_of = candidates_module._place
+    place_of = candidates_module._stage_key
 
     def counted(record: Backend) -> tuple[str, str]:
         nonlocal looks
         looks += 1
         return place_of(record)
 
-    monkeypatch.setattr(candidates_module, "_place", counted)
+    monkeypatch.setattr(candidates_module, "_stage_key", counted)
     for number in range(10):
         assert candidates.ready(LOST_AT + number / 1000, "other", "decode") == []
     assert looks < 2000
