--- a/benchmarks/plane.py
+++ b/benchmarks/plane.py
@@ -205,7 +205,7 @@
         for number in range(count):
             made._own[f"backend-{number}"] = 0.0
         encode(Hello("c", "controller", "", "", 1))
-        msgspec.msgpack.encode(made.pop_heard(0.5))
+        msgspec.msgpack.encode(made.pop_heartbeats(0.5))
 
     return {
         "backends": count,
@@ -213,7 +213,7 @@
         "heartbeat_us": micros(lambda: made.heartbeat(0.5, "backend-0", bodies[0]), 2000),
         "expire_us": micros(lambda: made.expire(4.8), 10),
         "take_heard_us": micros(tell, 3),
-        "heard_us": micros(lambda: made.heard(0.5, heard), 3),
+        "heard_us": micros(lambda: made.merge_remote_heartbeats(0.5, heard), 3),
         "heard_bytes": len(msgspec.msgpack.encode(heard)),
         "hello_bytes": len(
             encode(
--- a/cranebank/control/delivery.py
+++ b/cranebank/control/delivery.py
@@ -152,7 +152,7 @@
         """Send a message to every linked proxy, without acknowledgement."""
         self._out += [(link, message) for link, peer in self.peers.items() if peer.slot >= 0]
 
-    def tell(self, link: Hashable, message: Message) -> None:
+    def send_to_proxy(self, link: Hashable, message: Message) -> None:
         """Send a message to one proxy, after earlier pushes and without acknowledgement."""
         peer = self.peers.get(link)
         if peer is not None and peer.slot >= 0:
--- a/cranebank/control/registry.py
+++ b/cranebank/control/registry.py
@@ -92,7 +92,7 @@
         self._lost_after = 3.5 * beat_s + 1
         self._quiet_until = now + 3 * beat_s + 1  # no record expires before
         self._startup_until = self._quiet_until
-        self._in_touch = True
+        self._has_contact = True
         self.records: dict[str, Backend] = {}
         self._heard: dict[str, float] = {}  # time of the newest heartbeat at any controller
         # call_seq of the newest heartbeat at another controller, whose content is unknown here
@@ -186,7 +186,7 @@
             del self._strays[backend_id]
             self._changed[backend_id] = newest
 
-    def heard(self, now: float, heartbeats: Iterable[tuple[str, int, int]]) -> tuple[str, ...]:
+    def merge_remote_heartbeats(self, now: float, heartbeats: Iterable[tuple[str, int, int]]) -> tuple[str, ...]:
         """Process heartbeats that another controller received: id, call_seq, age in ms.
 
         Returns the ids whose records that controller should send: those unknown here, or lost here although they send
@@ -210,7 +210,7 @@
         """Return the records of those backends that are known."""
         return tuple(record for backend_id in ids if (record := self.records.get(backend_id)) is not None)
 
-    def pop_heard(self, now: float) -> tuple[tuple[str, int, int], ...]:
+    def pop_heartbeats(self, now: float) -> tuple[tuple[str, int, int], ...]:
         """Return the heartbeats received here since the last call, to report to the other controllers."""
         heartbeats = tuple(
             (backend_id, self.records[backend_id].call_seq, max(0, int((now - at) * 1000)))
@@ -220,17 +220,17 @@
         self._own.clear()
         return heartbeats
 
-    def expire(self, now: float, in_touch: bool = True) -> list[Backend]:
+    def expire(self, now: float, has_contact: bool = True) -> list[Backend]:
         """Mark backends without recent heartbeats as lost, and return their records.
 
-        Nothing expires while this controller has no contact with most of the others (``in_touch`` is false), since they
-        may receive the heartbeats.
+        Nothing expires while this controller has no contact with most of the others (``has_contact`` is false), since
+        they may receive the heartbeats.
         """
-        if in_touch and not self._in_touch:
+        if has_contact and not self._has_contact:
             self._quiet_until = max(self._quiet_until, now + REJOIN_GRACE_S)
-        self._in_touch = in_touch
+        self._has_contact = has_contact
         found: list[Backend] = []
-        if in_touch and now >= self._quiet_until:
+        if has_contact and now >= self._quiet_until:
             for backend_id, at in list(self._heard.items()):
                 if now - at > self._lost_after and self._lose(now, backend_id):
                     found.append(self.records[backend_id])
@@ -247,9 +247,9 @@
 
         That is so once most controllers have been heard for long enough since this one started or last lost contact.
         """
-        return self._in_touch and now >= self._quiet_until
+        return self._has_contact and now >= self._quiet_until
 
-    def zone_returned(self, now: float, zone: str) -> None:
+    def mark_zone_cold(self, now: float, zone: str) -> None:
         """Mark the backends of a zone as cold after its evacuation: they may have turned cold shortly before."""
         for record in self.records.values():
             limit = self.limits.get(record.target)
@@ -267,7 +267,7 @@
             and (limit := self.limits.get(record.target)) is not None
         ]
 
-    def as_of(self, now: float, records: Iterable[Backend]) -> tuple[Backend, ...]:
+    def with_cold_left(self, now: float, records: Iterable[Backend]) -> tuple[Backend, ...]:
         """Return the records with the remaining cold time as of now, which is stored apart from the records."""
         if not self._cold_until:
             return tuple(records)
@@ -281,7 +281,7 @@
         self._changed.clear()
         return changed
 
-    def has_ended(self, records: Iterable[Backend]) -> bool:
+    def has_all_endings(self, records: Iterable[Backend]) -> bool:
         """Return whether each of these backends that is draining or gone is so here, too."""
         return all(
             (known := self.records.get(record.id)) is not None and known.phase in ENDING_PHASES
--- a/cranebank/control/stage_balancer.py
+++ b/cranebank/control/stage_balancer.py
@@ -109,7 +109,7 @@
         """Return the intents that the record must name while this controller is the primary; None: keep the present."""
         return self._intents.wanted(now, self.orders)
 
-    def held(self, now: float) -> dict[str, float]:
+    def switching_backends(self, now: float) -> dict[str, float]:
         """Return the backends that are changing stage and run no new requests, with the remaining time at most."""
         ends = {order.backend.id: order.began_at + order.overdue_s for order in self.orders}
         return {name: until - now for name, until in ends.items() if until > now}
--- a/cranebank/programs/controller.py
+++ b/cranebank/programs/controller.py
@@ -314,7 +314,7 @@
         self._delivery.update_evacuations(status.evacuation_number, status.evacuated)
         send_deliveries(self._delivery)
         for zone in sorted({*previous.zones} - {*status.evacuated}):
-            self._registry_service.zone_returned(zone)
+            self._registry_service.mark_zone_cold(zone)
 
     def leadership_changed(self, is_primary: bool) -> None:
         """Record that this controller has become primary, or is no longer primary."""
--- a/cranebank/programs/registry_service.py
+++ b/cranebank/programs/registry_service.py
@@ -81,7 +81,7 @@
         if not at_once and now - self._published_at < PUSH_BATCH_S:
             return
         self._read_limits()
-        changed = self.registry.as_of(now, self.registry.changes())
+        changed = self.registry.with_cold_left(now, self.registry.changes())
         if not changed:
             return
         for record in changed:
@@ -117,7 +117,7 @@
     def merge(self, link: Link, sync: RegistrySync) -> None:
         """Apply another controller's records and push changes; acknowledge drains and leaves once they are stored."""
         self._apply_sync(link.peer, sync)
-        if sync.number and self.registry.has_ended(sync.backends):
+        if sync.number and self.registry.has_all_endings(sync.backends):
             self._local_state.start_task(self._write_and_acknowledge(link, sync.number))
 
     async def _write_and_acknowledge(self, link: Link, number: int) -> None:
@@ -136,9 +136,9 @@
     def _apply_sync(self, source: str, sync: RegistrySync) -> None:
         now = self._now()
         self.registry.merge(now, sync.backends)
-        requested_ids = self.registry.heard(now, sync.heard)
+        requested_ids = self.registry.merge_remote_heartbeats(now, sync.heard)
         self.publish()
-        answers = self.registry.as_of(now, self.registry.records_of(sync.requested_ids))
+        answers = self.registry.with_cold_left(now, self.registry.records_of(sync.requested_ids))
         if requested_ids or answers:
             self._send_to(source, RegistrySync(answers, requested_ids=requested_ids))
 
@@ -159,17 +159,17 @@
             now, records, all(self._is_in_contact(now, ip) for ip in self._member_ips())
         )
         self.publish()
-        return (*self.registry.as_of(now, self.registry.all_records()), *unconfirmed)
+        return (*self.registry.with_cold_left(now, self.registry.all_records()), *unconfirmed)
 
     def full_sync(self) -> RegistrySync:
         """Return all records, as sent at the start of a connection to a controller."""
-        records = self.registry.as_of(self._now(), self.registry.all_records())
+        records = self.registry.with_cold_left(self._now(), self.registry.all_records())
         return RegistrySync(records, (), self._replication.number)
 
-    def zone_returned(self, zone: str) -> None:
+    def mark_zone_cold(self, zone: str) -> None:
         """Treat a zone's backends as cold after its evacuation was finished, and issue permits for them."""
         self._read_limits()
-        self.registry.zone_returned(self._now(), zone)
+        self.registry.mark_zone_cold(self._now(), zone)
         self.publish()
 
     def report_clock(self, link: Hashable, clock: float) -> None:
@@ -199,7 +199,7 @@
             controllers = {self._ip, *self._seed_ips} | self._consensus.known_ips() | self._links.accepted_ips
             leases = self._permits.hand_out(now, cold, controllers)
             for link, permits in leases:
-                self._delivery.tell(link, permits)
+                self._delivery.send_to_proxy(link, permits)
             if leases:
                 backends = sorted({permits.backend for _, permits in leases})
                 total = sum(permits.permits for _, permits in leases)
@@ -255,7 +255,7 @@
         if self._is_connected(now):
             self._last_connected_at = now
         self.registry.expire(
-            now, in_touch=self._has_majority_contact(now) and now - self._last_tick_at < SUSPENSION_THRESHOLD_S
+            now, has_contact=self._has_majority_contact(now) and now - self._last_tick_at < SUSPENSION_THRESHOLD_S
         )
         self._last_tick_at = now
         self._read_limits()
@@ -264,7 +264,7 @@
         if now - self._synced_at >= SYNC_INTERVAL_S:
             self._synced_at = now
             self.publish()  # a heartbeat's change goes out before its number: after it, it would be dropped as stale
-            sync = RegistrySync((), self.registry.pop_heard(now))
+            sync = RegistrySync((), self.registry.pop_heartbeats(now))
             if sync.heard:
                 self._links.broadcast(sync)
             self._relay_to_unreached(sync)  # even without heartbeats: it shows that this controller is running
--- a/cranebank/programs/stage_balancer_driver.py
+++ b/cranebank/programs/stage_balancer_driver.py
@@ -190,7 +190,7 @@
 
     def _update_hold_offs(self) -> None:
         """Have proxies send nothing to a backend from the decision to order it until its new stage is known."""
-        held = self.balancer.held(self._now())
+        held = self.balancer.switching_backends(self._now())
         for name in held.keys() - self._held:
             self._hold_off(HoldOff(name, held[name]))
         for name in self._held - held.keys():
--- a/tests/mutants_liveness.py
+++ b/tests/mutants_liveness.py
@@ -209,7 +209,7 @@
         Point.LIVENESS,
         "records that are asked for are not sent",
         "programs/registry_service.py",
-        "answers = self.registry.as_of(now, self.registry.records_of(sync.requested_ids))",
+        "answers = self.registry.with_cold_left(now, self.registry.records_of(sync.requested_ids))",
         "answers = ()",
         "test_lost_but_heard.py",
     ),
--- a/tests/test_flat_over_changes.py
+++ b/tests/test_flat_over_changes.py
@@ -356,7 +356,7 @@
             registry.leave(number, f"i-{number}")
         registry.expire(number)
         registry.changes()
-        registry.pop_heard(number)
+        registry.pop_heartbeats(number)
 
     early, late = growth(step)
     assert late <= early * (1 + MEMORY_TOLERANCE)
--- a/tests/test_lost_but_heard.py
+++ b/tests/test_lost_but_heard.py
@@ -41,14 +41,14 @@
         """Expire records, then send changes of all controllers to the proxy and to controllers on the same side."""
         self.now += TICK_S
         for name, registry in self.registries.items():
-            registry.expire(self.now, in_touch=not self.is_cut or name != "A")
-            heard = registry.pop_heard(self.now)
+            registry.expire(self.now, has_contact=not self.is_cut or name != "A")
+            heard = registry.pop_heartbeats(self.now)
             news = registry.changes()
             self.candidates.merge(news, self.now)
             for other_name, other in self.registries.items():
                 if other_name != name and not (self.is_cut and "A" in (name, other_name)):
                     other.merge(self.now, news)
-                    other.heard(self.now, heard)
+                    other.merge_remote_heartbeats(self.now, heard)
 
 
 def test_a_partition_leaves_no_service_without_backends() -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -80,9 +80,9 @@
     reported = here.changes()
     assert [(record.id, record.phase) for record in reported] == [("i", "gone")]
     known = there.heartbeat(1, "i", beat(5))
-    assert not there.has_ended(reported)
+    assert not there.has_all_endings(reported)
     there.merge(2, reported)
-    assert there.has_ended(reported)
+    assert there.has_all_endings(reported)
     assert there.records["i"] == msgspec.structs.replace(known, phase="gone")
     here.merge(3, [known])
     assert phases(here) == {"i": "gone"}
@@ -156,7 +156,7 @@
     registry = Registry(0, 0.01)
     registry.heartbeat(0, "i", beat(1))
     assert registry.expire(1.02) == []
-    assert registry.expire(50, in_touch=False) == []
+    assert registry.expire(50, has_contact=False) == []
     assert registry.expire(51) == []
     assert registry.expire(50.9 + REJOIN_GRACE_S) == []
     assert [record.id for record in registry.expire(51 + REJOIN_GRACE_S)] == ["i"]
@@ -168,16 +168,16 @@
     here.heartbeat(10, "i", beat(1))
     there.merge(110, here.changes())
     there.heartbeat(115, "i", beat(2))
-    reported = there.pop_heard(115.4)
+    reported = there.pop_heartbeats(115.4)
     assert reported == (("i", 2, 400),)
-    assert there.pop_heard(116) == ()
-    here.heard(15.4, reported)
+    assert there.pop_heartbeats(116) == ()
+    here.merge_remote_heartbeats(15.4, reported)
     here.changes()
     here.merge(15.4, [msgspec.structs.replace(here.records["i"], phase="lost")])  # from one without that heartbeat
     assert [(record.phase, record.call_seq) for record in here.changes()] == [("ready", 2)]
     assert here.expire(15 + LOST_S) == []
     assert [record.call_seq for record in here.expire(15.01 + LOST_S)] == [2]
-    here.heard(30, (("i", 1, 0), ("unknown", 1, 0)))
+    here.merge_remote_heartbeats(30, (("i", 1, 0), ("unknown", 1, 0)))
     assert phases(here) == {"i": "lost"}
 
 
@@ -188,7 +188,7 @@
     there.merge(10, here.changes())
     here.heartbeat(11, "i", beat(2, stage="decode"))
     assert len(here.changes()) == 1  # lost
-    there.heard(11, here.pop_heard(11))
+    there.merge_remote_heartbeats(11, here.pop_heartbeats(11))
     there.merge(12, here.all_records())  # connected again
     assert there.records["i"] == here.records["i"]
 
@@ -216,15 +216,15 @@
     there.heartbeat(15, "i", beat(2))
     there.heartbeat(15, "j", beat(1, address="10.0.0.8:80"))
     assert [record.phase for record in here.expire(10.1 + LOST_S)] == ["lost"]
-    assert here.heard(15.5, [("i", 1, 100)]) == ()
-    requested_ids = here.heard(16.5, there.pop_heard(16.5))
+    assert here.merge_remote_heartbeats(15.5, [("i", 1, 100)]) == ()
+    requested_ids = here.merge_remote_heartbeats(16.5, there.pop_heartbeats(16.5))
     assert requested_ids == ("i", "j")
     assert here.wrong_losses == 1  # the heartbeat is older than the loss, so the loss was wrong
     here.merge(16.7, there.records_of((*requested_ids, "unknown")))
     assert phases(here) == phases(there) == {"i": "ready", "j": "ready"}
     here.expire(16.7 + LOST_S + 1)
     there.heartbeat(30, "i", beat(3))
-    assert here.heard(30, there.pop_heard(30)) == ("i",)
+    assert here.merge_remote_heartbeats(30, there.pop_heartbeats(30)) == ("i",)
     assert here.wrong_losses == 1  # the heartbeat is newer than the loss, so the loss was right
 
 
@@ -279,12 +279,12 @@
         return registry
 
     by_news, by_heartbeat, by_record = registry_with_stray(), registry_with_stray(), registry_with_stray()
-    by_news.heard(START_QUIET_S + 3, [(ready.id, 9, 0)])
+    by_news.merge_remote_heartbeats(START_QUIET_S + 3, [(ready.id, 9, 0)])
     by_heartbeat.heartbeat(START_QUIET_S + 3, ready.id, beat(9, address=ready.address))
     by_record.merge(START_QUIET_S + 3, [msgspec.structs.replace(ready, call_seq=9)])
     for registry in (by_news, by_heartbeat, by_record):
         assert [(record.id, record.phase, record.call_seq) for record in registry.changes()] == [(ready.id, "ready", 9)]
-        registry.heard(START_QUIET_S + 4, [(ready.id, 10, 0)])
+        registry.merge_remote_heartbeats(START_QUIET_S + 4, [(ready.id, 10, 0)])
         assert registry.changes() == ()
 
 
@@ -338,11 +338,11 @@
         registry = registries[index]
         match random.randrange(8):
             case 0:
-                registry.expire(now, in_touch=random.random() < 0.7)
+                registry.expire(now, has_contact=random.random() < 0.7)
             case 1:
                 other = random.choice(registries)
                 other.merge(now, registry.changes())
-                other.heard(now, registry.pop_heard(now))
+                other.merge_remote_heartbeats(now, registry.pop_heartbeats(now))
             case 2 if random.random() < 0.3:
                 phase_of[name] = "draining"
             case 3 if random.random() < 0.2:
@@ -397,11 +397,11 @@
     registry.heartbeat(1, "i", beat(1))
     registry.changes()
     registry.heartbeat(2, "i", beat(2, cold_left_ms=3000))
-    (reported,) = registry.as_of(2.5, registry.changes())
+    (reported,) = registry.with_cold_left(2.5, registry.changes())
     assert reported.cold_left_ms == 2500
     registry.heartbeat(3.2, "i", beat(3, cold_left_ms=1850))
     assert registry.changes() == ()
-    assert [record.cold_left_ms for record in registry.as_of(9, registry.all_records())] == [0]
+    assert [record.cold_left_ms for record in registry.with_cold_left(9, registry.all_records())] == [0]
     registry.heartbeat(10, "i", beat(4, cold_left_ms=3000))
     assert [found.until for found in registry.cold(10)] == [13.0] and len(registry.changes()) == 1
 
@@ -414,7 +414,7 @@
         registry.heartbeat(1, "i", beat(1))
         registry.changes()
     here.heartbeat(2, "i", beat(1, cold_left_ms=3000))
-    there.merge(4, here.as_of(4, here.all_records()))
+    there.merge(4, here.with_cold_left(4, here.all_records()))
     assert [found.until for found in there.cold(4)] == [5.0]
 
 
@@ -423,9 +423,9 @@
     registry.heartbeat(1, "i", beat(1))
     registry.changes()
     registry.heartbeat(2, "i", beat(2, cold_left_ms=3000))
-    registry.zone_returned(2, "z")
+    registry.mark_zone_cold(2, "z")
     assert registry.changes() == () and registry.cold(2) == []
-    assert registry.as_of(2, registry.all_records()) == registry.all_records()
+    assert registry.with_cold_left(2, registry.all_records()) == registry.all_records()
 
 
 def test_a_restored_record_counts_as_warm() -> None:
@@ -443,5 +443,7 @@
     registry.heartbeat(1, "i", beat(1))
     registry.heartbeat(1, "j", beat(1, address="10.0.0.8:80", zone="other"))
     registry.changes()
-    registry.zone_returned(5, "z")
-    assert [(record.id, record.cold_left_ms) for record in registry.as_of(5, registry.changes())] == [("i", 3000)]
+    registry.mark_zone_cold(5, "z")
+    assert [(record.id, record.cold_left_ms) for record in registry.with_cold_left(5, registry.changes())] == [
+        ("i", 3000)
+    ]
--- a/tests/test_registry_service.py
+++ b/tests/test_registry_service.py
@@ -95,7 +95,7 @@
     here.publish()
     for sync in links.sent:
         there.registry.merge(clock, sync.backends)
-        there.registry.heard(clock, sync.heard)
+        there.registry.merge_remote_heartbeats(clock, sync.heard)
     assert there.registry.records["i"] == here.registry.records["i"]
 
 
@@ -110,7 +110,7 @@
     service.report_clock(proxy, 7.0)
     service.registry.heartbeat(clock, "i", beat(1))
     service.publish()
-    service.zone_returned("z")
+    service.mark_zone_cold("z")
     push, permits = proxy.sent[-2:]
     assert isinstance(push, Push) and push.backends[0].cold_left_ms == 3000
     assert permits == WarmUpPermits("i", 10, 7.0 + 3.0 + CLOCK_MAX_AGE_S)
--- a/tests/test_stage_balancer.py
+++ b/tests/test_stage_balancer.py
@@ -209,7 +209,7 @@
     (report,) = bench.pass_time(REPORT_DELAY_S + OBSERVATION_INTERVAL_S)
     assert isinstance(report, AskReport)
     assert bench.deliver(Reported(report.number, "prefill", True, 1)) == []
-    assert set(bench.balancer.held(bench.now)) == {"i-1"}
+    assert set(bench.balancer.switching_backends(bench.now)) == {"i-1"}
     assert bench.pass_time(2 * TAKEOVER_WAIT_S) == []
     bench.put(backend("i-1", "decode", call_seq=9))
     assert bench.pass_time(1.0) == []
@@ -623,7 +623,7 @@
     (connect,) = bench.pass_time(CONFIRM_LOAD_S + OBSERVATION_INTERVAL_S)
     assert isinstance(connect, Connect)
     assert connect.backend.id == "i-2"
-    assert bench.balancer.held(bench.now) == {
+    assert bench.balancer.switching_backends(bench.now) == {
         "i-2": pytest.approx(SWITCH_S + DRAIN_TIMEOUT_S, abs=2 * OBSERVATION_INTERVAL_S)
     }
     (transmit,) = bench.deliver(Connected(connect.number, PRIMARY))
@@ -632,7 +632,7 @@
     bench.deliver(Answered(transmit.number, 202))
     bench.put(backend("i-2", "prefill", call_seq=9))
     assert bench.pass_time(3 * CONFIRM_LOAD_S) == []
-    assert bench.balancer.held(bench.now) == {}
+    assert bench.balancer.switching_backends(bench.now) == {}
     bench.check()
 
 
--- a/tests/test_stage_balancer_driver.py
+++ b/tests/test_stage_balancer_driver.py
@@ -60,7 +60,7 @@
         self.events.append(event)
         return [Transmit(event.number, Order("decode", "n", 1, expected=1))] if isinstance(event, Connected) else []
 
-    def held(self, now: float) -> dict[str, float]:
+    def switching_backends(self, now: float) -> dict[str, float]:
         return {}
 
 
