--- a/cranebank/__main__.py
+++ b/cranebank/__main__.py
@@ -16,6 +16,6 @@
         # A proxy uses no TLS, and asyncio and aiohttp work without the ssl module. With it, aiohttp loads all
         # certificates of the machine at import: 1.6 MB of a small memory and a tenth of the start-up time.
         sys.modules["ssl"] = None  # type: ignore[assignment]
-        from cranebank.daemon import Started, serve
+        from cranebank.daemon import StartOptions, serve
 
-        sys.exit(serve(Started(os.environ)))
+        sys.exit(serve(StartOptions(os.environ)))
--- a/cranebank/cli/main.py
+++ b/cranebank/cli/main.py
@@ -37,9 +37,9 @@
 
     Example: GW_CONFIG=config.json cranebank serve --set log.level=debug --set log.sample=100
     """
-    from cranebank.daemon import Started, serve  # noqa: PLC0415  (not needed by other commands)
+    from cranebank.daemon import StartOptions, serve  # noqa: PLC0415  (not needed by other commands)
 
-    sys.exit(serve(Started(os.environ, file, flags)))
+    sys.exit(serve(StartOptions(os.environ, file, flags)))
 
 
 @cli.command()
--- a/cranebank/config/load.py
+++ b/cranebank/config/load.py
@@ -14,7 +14,7 @@
 from cranebank.config.own import RELOADABLE, LayeredSettings, merge_layers
 from cranebank.config.platform import PlatformSettings, to_decision_settings
 from cranebank.decisions import interface as api
-from cranebank.discovery.listing import Listing, ListReader
+from cranebank.discovery.listing import HostList, ListReader
 
 
 class MachineLimits(msgspec.Struct, frozen=True, kw_only=True):
@@ -50,7 +50,7 @@
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
     reader: ListReader
-    known: Listing | None
+    known: HostList | None
     layers: LayeredSettings
 
     def needs_restart(self, other: Config) -> list[str]:
--- a/cranebank/config/own.py
+++ b/cranebank/config/own.py
@@ -17,7 +17,7 @@
 
 from cranebank.config.checks import ConfigError, convert_checked
 from cranebank.core.log_settings import LogSettings
-from cranebank.routing.subset import FEWEST
+from cranebank.routing.subset import MIN_HOSTS
 
 PREFIX, FILE = "CRANEBANK_", "CRANEBANK_FILE"
 FILE_BYTES = 4 << 20
@@ -56,8 +56,8 @@
     cover: Annotated[int, Meta(ge=1, le=1000)] = 8
 
     def __post_init__(self) -> None:
-        if 0 < self.size < FEWEST:
-            raise ValueError(f"expected size to be 0 (off) or at least {FEWEST}, got {self.size}")
+        if 0 < self.size < MIN_HOSTS:
+            raise ValueError(f"expected size to be 0 (off) or at least {MIN_HOSTS}, got {self.size}")
 
 
 class OwnSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/cranebank/daemon.py
+++ b/cranebank/daemon.py
@@ -37,7 +37,7 @@
 KILL_MARGIN_S, MAX_KILL_DEADLINE_S = 0.7, 3.0
 KEEP_SERVING_SHARE = 0.6  # share of that time for which connections are kept; two fifths remain for the last answers
 CLOSE_NOTICE_S = 0.5  # before idle connections close, answers announce it for this long, so that few are left to close
-CROSSING_S = 0.05  # a client retries a request that crossed the close of its connection within this time
+RETRY_GRACE_S = 0.05  # a client retries a request that crossed the close of its connection within this time
 ACCEPTS_PER_TURN, BACKLOG = 16, 512  # accepted in one loop iteration; queued by the kernel
 
 
@@ -98,7 +98,7 @@
             clock,
             self.counters,
             log,
-            lambda: self._table.heard.is_set() and self._frontend.answer_by is None,
+            lambda: self._table.list_received.is_set() and self._frontend.answer_by is None,
         )
         self._connections = self._frontend.connections
         self._listener: asyncio.Server
@@ -107,7 +107,7 @@
         self._counter_log.every(config.layers.own.log.tally_s)
 
     @property
-    def places_taken(self) -> int:
+    def client_connection_count(self) -> int:
         """The number of open client connections."""
         return self._connections.count
 
@@ -173,7 +173,7 @@
         linger = self._linger if linger is None else linger
         max_deadline = max(kind.deadline for kind in self._config.settings.classes) / 1000.0
         kill_after = min(max_deadline, MAX_KILL_DEADLINE_S) + KILL_MARGIN_S
-        self._frontend.answer_by = self._clock.now() + round((kill_after - CROSSING_S) * 1e6)
+        self._frontend.answer_by = self._clock.now() + round((kill_after - RETRY_GRACE_S) * 1e6)
         self._frontend.closing = not keep
         await asyncio.sleep(linger)
         if keep:
@@ -181,10 +181,10 @@
             await asyncio.sleep(KEEP_SERVING_SHARE * kill_after - linger - CLOSE_NOTICE_S)
             self._frontend.closing = True
             await asyncio.sleep(CLOSE_NOTICE_S)
-            self._connections.dismiss()
+            self._connections.close_idle()
         else:
-            self._connections.dismiss()
-            await asyncio.sleep(CROSSING_S)
+            self._connections.close_idle()
+            await asyncio.sleep(RETRY_GRACE_S)
             await self._close_listener()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._connections.wait_until_empty(), max_deadline)
@@ -197,7 +197,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Started:
+class StartOptions:
     """How the program was started; a reload reads the same sources again."""
 
     environ: Mapping[str, str]
@@ -206,13 +206,13 @@
     make: Callable[[api.Settings, int], Decisions] = Balancer
 
 
-def _reload(proxy: Proxy, current: Config, started: Started, log: Log) -> None:
+def _reload(proxy: Proxy, current: Config, options: StartOptions, log: Log) -> None:
     """Reload the configuration: apply what a running proxy can change and log what needs a restart; if it is invalid,
     keep the current one."""
     try:
         # GW_DISCOVERY dates from the start of the process: it must not override the address in the file.
-        environ = {name: value for name, value in started.environ.items() if name != "GW_DISCOVERY"}
-        config = load(environ, started.file, started.flags)
+        environ = {name: value for name, value in options.environ.items() if name != "GW_DISCOVERY"}
+        config = load(environ, options.file, options.flags)
     except ConfigError as error:
         log.error("reload_refused", error=str(error), said="kept the old settings")
         return
@@ -221,7 +221,7 @@
     log.info("reloaded", discovery=config.discovery, **({"needs_restart": ",".join(unapplied)} if unapplied else {}))
 
 
-async def _run(config: Config, started: Started, early_reloads: list[int]) -> None:
+async def _run(config: Config, options: StartOptions, early_reloads: list[int]) -> None:
     # Enforces the descriptor limit: beyond it, accepting pauses and dials fail, both of which are handled.
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     max_descriptors = config.sockets if hard == resource.RLIM_INFINITY else min(config.sockets, hard)
@@ -229,12 +229,12 @@
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     log = Log(config.name, config.layers.own.log)
     logging.basicConfig(handlers=[Handler(log)], level=logging.WARNING)
-    proxy = Proxy(config, log, started.make)
+    proxy = Proxy(config, log, options.make)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, _reload, proxy, config, started, log)
+    loop.add_signal_handler(signal.SIGHUP, _reload, proxy, config, options, log)
     if early_reloads:  # SIGHUP came during the start: the configuration may be outdated
-        loop.call_soon(_reload, proxy, config, started, log)
+        loop.call_soon(_reload, proxy, config, options, log)
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(proxy.counters.text(), file=sys.stderr, flush=True))
     host, port = await proxy.start()
     print(f"{config.name}: listening on {host}:{port}", file=sys.stderr, flush=True)
@@ -243,13 +243,13 @@
     print(proxy.counters.text(), file=sys.stderr, flush=True)
 
 
-def serve(started: Started) -> int:
+def serve(options: StartOptions) -> int:
     """Run one proxy until SIGTERM or SIGINT; return the exit code: 0, or 2 if it can't start."""
     early_reloads: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))  # until the proxy can reload
     try:
-        config = load(started.environ, started.file, started.flags)
-        asyncio.run(_run(config, started, early_reloads))
+        config = load(options.environ, options.file, options.flags)
+        asyncio.run(_run(config, options, early_reloads))
     except (ConfigError, OSError) as error:
         print(f"cranebank: {error}", file=sys.stderr)
         return 2
--- a/cranebank/dataplane/budget.py
+++ b/cranebank/dataplane/budget.py
@@ -27,7 +27,7 @@
         self._requests.append(now)
         self._trim(now)
 
-    def may(self, now: float, proxies: int) -> bool:
+    def allows(self, now: float, proxies: int) -> bool:
         """Return whether a further call may be made."""
         self._trim(now)
         slack = 0.0 if now < self._fresh_until else self._slack / max(1, proxies)
--- a/cranebank/dataplane/dispatch.py
+++ b/cranebank/dataplane/dispatch.py
@@ -121,7 +121,7 @@
         return self._choice.choose(now, self._prompt, self._route.goal_ms, without)
 
     def _has_budget(self, now: float) -> bool:
-        return self.budget.may(now, self._shared.choices.draws.proxies)
+        return self.budget.allows(now, self._shared.choices.draws.proxies)
 
     def _usable_decode_backend(self, now: float) -> BackendView | None:
         """Return the planned decode backend, or another one if it may not be called any more or has failed recently."""
--- a/cranebank/dataplane/front.py
+++ b/cranebank/dataplane/front.py
@@ -217,7 +217,7 @@
         else:
             self.transport.close()
 
-    def dismiss(self) -> None:
+    def close_idle(self) -> None:
         """Close the connection if no request is open or arriving."""
         if self.open or self._is_reading or self._is_ending or self._pipelined or self.transport is None:
             return
@@ -263,10 +263,10 @@
         """Remove a closed connection."""
         self._clients.discard(client)
 
-    def dismiss(self) -> None:
+    def close_idle(self) -> None:
         """Close the idle connections."""
         for client in list(self._clients):
-            client.dismiss()
+            client.close_idle()
 
     def _sweep(self) -> None:
         now, limits = asyncio.get_running_loop().time(), self.limits()
--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -345,7 +345,7 @@
             share = PREFILL_CACHE_SHARE if record.stage == "prefill" else CACHE_SHARE
             self.shared.cache.record_prefix(backend, part, tokens, service.engine.cache_tokens, share)
 
-    def reading_begun(self, told: PrefillBegun) -> None:
+    def prefill_begun(self, told: PrefillBegun) -> None:
         """Record that another proxy has sent a prefill to a backend."""
         view = self.shared.candidates.views.get(told.backend)
         if view is None or view.backend.stage != "prefill" or not 0 < told.tokens <= MAX_PROMPT_TOKENS:
--- a/cranebank/discovery/listing.py
+++ b/cranebank/discovery/listing.py
@@ -23,7 +23,7 @@
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class Stream:
+class MessageSplitter:
     """Splits the stream of a watch into JSON messages: one on a line, or indented over several lines."""
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
             return ValueError(f"{error}: {text[:80]!r}")
 
 
-class Listing(msgspec.Struct, frozen=True):
+class HostList(msgspec.Struct, frozen=True):
     """One message of discovery: the full list or the changed entries; ``skipped`` counts malformed entries."""
 
     version: int
@@ -79,7 +79,7 @@
         self._kinds = {name: index for index, name in enumerate(kinds)}
         self._zones = {name: index for index, name in enumerate(zones)}
 
-    def read(self, message: Any) -> Listing:
+    def read(self, message: Any) -> HostList:
         """Convert one message; skips malformed entries, raises ValueError for a malformed message."""
         if not isinstance(message, dict) or not isinstance(message.get("servers"), list):
             raise ValueError("expected an object with a list 'servers'")
@@ -92,7 +92,7 @@
                 hosts.append(self._host(entry))
             except (ValueError, TypeError, KeyError, AttributeError):
                 skipped += 1
-        return Listing(version, bool(message.get("full", False)), tuple(hosts), skipped)
+        return HostList(version, bool(message.get("full", False)), tuple(hosts), skipped)
 
     def _host(self, entry: dict[str, Any]) -> Host:
         state, server, address = _STATES[entry["state"]], entry["id"], entry.get("addr", "")
--- a/cranebank/discovery/routing_table.py
+++ b/cranebank/discovery/routing_table.py
@@ -15,7 +15,7 @@
 from cranebank.core.mailbox import Mailbox
 from cranebank.core.rules import RoutingUpdate
 from cranebank.decisions import interface as api
-from cranebank.discovery.listing import Listing, ListReader, Stream
+from cranebank.discovery.listing import HostList, ListReader, MessageSplitter
 
 CALL_TIMEOUT_S = 4.0  # discovery drops calls after 3 s in its queue
 # Discovery sends an empty line every 2 s. Changes take effect 6 s after they are made, also those that a silent watch
@@ -46,11 +46,11 @@
         notify_engine: Callable[[RoutingUpdate], None],
         counters: Counters,
         log: Log,
-        asked: bool,
+        module_asks: bool,
     ) -> None:
         self._address, self._reader, self._notify_engine = address, reader, notify_engine
         self._counters, self._log = counters, log
-        self._module_asks = asked  # if false, this actor starts the first watch, and the module only renews it
+        self._module_asks = module_asks  # if false, this actor starts the first watch, and the module only renews it
         self._version: int | None = None
         self._task: asyncio.Task[None] | None = None
         self._is_enabled = False
@@ -62,9 +62,9 @@
             timeout=aiohttp.ClientTimeout(total=None),
             connector=aiohttp.TCPConnector(limit=4),
         )
-        self.heard = asyncio.Event()  # set once discovery or the list known at the start has given the hosts
+        self.list_received = asyncio.Event()  # set once discovery or the list known at the start has given the hosts
 
-    def start(self, known: Listing | None) -> None:
+    def start(self, known: HostList | None) -> None:
         """Start with the last known list, which may be outdated, or with an empty one."""
         if known is not None:
             self._update(known, api.ListKind.REMEMBERED)
@@ -125,11 +125,11 @@
                     if response.status != 200:
                         self._log.warning("watch_refused", status=response.status, at_address=self._address)
                         return
-                    stream = Stream()
+                    splitter = MessageSplitter()
                     async for chunk in response.content.iter_any():
                         self._last_received_at = time.monotonic()
                         limit.reschedule(asyncio.get_running_loop().time() + WATCH_TIMEOUT_S)
-                        for message in stream.feed(chunk):
+                        for message in splitter.feed(chunk):
                             self._read_message(message)
             self._log.warning("watch_ended", at_address=self._address)
         except TimeoutError:
@@ -148,11 +148,11 @@
             return
         self._update(listing, api.ListKind.ALL if listing.full else api.ListKind.CHANGES)
 
-    def _update(self, listing: Listing, kind: api.ListKind) -> None:
+    def _update(self, listing: HostList, kind: api.ListKind) -> None:
         if listing.skipped:
             self._counters.add("list_entries_skipped", listing.skipped)
             self._log.warning("list_entries_skipped", count=listing.skipped)
         self._version = listing.version
         self._notify_engine(RoutingUpdate(kind, listing.hosts))
         if listing.hosts or kind is not api.ListKind.REMEMBERED:
-            self.heard.set()
+            self.list_received.set()
--- a/cranebank/http/client_connections.py
+++ b/cranebank/http/client_connections.py
@@ -207,7 +207,7 @@
             return True
         return False
 
-    def dismiss(self) -> None:
+    def close_idle(self) -> None:
         """Close idle connections, except where an unread request has arrived; those with an unsent answer close after
         it is sent."""
         for handler in list(self._idle):
--- a/cranebank/lab/reference.py
+++ b/cranebank/lab/reference.py
@@ -143,6 +143,6 @@
 
 
 if __name__ == "__main__":
-    from cranebank.daemon import Started, serve
+    from cranebank.daemon import StartOptions, serve
 
-    sys.exit(serve(Started(os.environ, make=POLICIES[sys.argv[1]])))
+    sys.exit(serve(StartOptions(os.environ, make=POLICIES[sys.argv[1]])))
--- a/cranebank/membership/neighbours.py
+++ b/cranebank/membership/neighbours.py
@@ -93,7 +93,7 @@
     def record_cached_prefix(self, prefix: CachedPrefix) -> None:
         """Record that a backend has read, and caches, a shared part of a neighbour's prompt."""
 
-    def reading_begun(self, prefill: PrefillBegun) -> None:
+    def prefill_begun(self, prefill: PrefillBegun) -> None:
         """Record that another proxy has asked a backend to read a prompt."""
 
     def prefill_reporters(self, proxies: int) -> None:
@@ -160,7 +160,7 @@
         """Queue changed phases of records that were received and are not merged yet."""
         self.outbox.changes(records, self._plane.records())
 
-    def reading_begun(self, prefill: PrefillBegun) -> None:
+    def prefill_begun(self, prefill: PrefillBegun) -> None:
         """Report a started prefill to the named proxies and the neighbours at once: backends' queues change quickly."""
         now = asyncio.get_running_loop().time()
         if self._prefill_report_rate.at(now) >= MAX_PREFILL_REPORTS_PER_S:
@@ -258,7 +258,7 @@
                 if changed_backends:
                     self._learn(changed_backends)
             case PrefillBegun():
-                self._plane.reading_begun(message)
+                self._plane.prefill_begun(message)
             case _:
                 self._count("damaged")
                 return
--- a/cranebank/programs/edge.py
+++ b/cranebank/programs/edge.py
@@ -89,9 +89,9 @@
         """Record that a neighbour had a backend process a shared prompt prefix."""
         self._proxy.record_cached_prefix(note.backend, note.part, note.tokens)
 
-    def reading_begun(self, begun: PrefillBegun) -> None:
+    def prefill_begun(self, begun: PrefillBegun) -> None:
         """Record that another proxy has asked a backend to process a prompt."""
-        self._proxy.reading_begun(begun)
+        self._proxy.prefill_begun(begun)
 
     def prefill_reporters(self, proxies: int) -> None:
         """Set the number of other proxies that announce the prompts that they send to prefill."""
@@ -155,7 +155,7 @@
             )
             self._plane.neighbours, self.proxy.shared.on_prefix_cached = neighbours, neighbours.read
             if settings.cranebank_policy.told_readings:
-                self.proxy.shared.on_prefill_begun = neighbours.reading_begun
+                self.proxy.shared.on_prefill_begun = neighbours.prefill_begun
         self.stopping = False
 
     def _has_lost_contact(self) -> bool:
@@ -197,10 +197,10 @@
         self.proxy.front.closing = True
         await asyncio.sleep(min(UNREADY_SERVING_S, settings.bounds.grace_s / 3))
         front.close()
-        self.proxy.front.dismiss()
+        self.proxy.front.close_idle()
         while self.proxy.front.count and loop.time() < until:
             await asyncio.sleep(0.05)
-            self.proxy.front.dismiss()
+            self.proxy.front.close_idle()
         housekeeping.cancel()
         ready.close()
         if exporter is not None:
--- a/cranebank/programs/settings.py
+++ b/cranebank/programs/settings.py
@@ -18,7 +18,7 @@
 
 from cranebank.dataplane.policy import Policy
 
-VARIABLE = "CRANEBANK_NODE_FILE"
+SETTINGS_FILE_VARIABLE = "CRANEBANK_NODE_FILE"
 METRICS_VARIABLE = "CRANEBANK_METRICS"
 DEFAULT_PATH = "/etc/cranebank/boot.yaml"
 
@@ -184,7 +184,7 @@
     If ``role`` is given, the addresses that this role binds are required. ``metrics_port``, unless 0, overrides the
     file's. Raises SettingsError.
     """
-    path = path or os.environ.get(VARIABLE, DEFAULT_PATH)
+    path = path or os.environ.get(SETTINGS_FILE_VARIABLE, DEFAULT_PATH)
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/cranebank/routing/subset.py
+++ b/cranebank/routing/subset.py
@@ -17,7 +17,7 @@
 from math import ceil
 
 OTHER_ZONE_DIVISOR = 4  # where the own zone is preferred, a copy uses this many times fewer hosts of each other
-FEWEST = 4  # hosts that a copy uses at least: two for its draws, and two more in case these drain
+MIN_HOSTS = 4  # hosts that a copy uses at least: two for its draws, and two more in case these drain
 
 
 def ring_position(host: str, arc: int = 0) -> float:
@@ -99,7 +99,7 @@
         """Return how many hosts of a zone to use: in proportion to its hosts, or mostly of the own zone."""
         wanted, zones = self._wanted, len(self._rings)
         covered = ceil(wanted.cover * len(self._zones) / self._copies)
-        size = max(wanted.size, FEWEST, covered)
+        size = max(wanted.size, MIN_HOSTS, covered)
         if self._prefers_zone and self._zone in self._rings:
             # The copies are spread over the zones too: a zone's hosts are covered by its own copies.
             own = max(size, covered * zones)
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -124,11 +124,11 @@
     async def scenario(s: ProxyHarness) -> None:
         assert "Connection" not in (await s.ask())[2]
         flood = [await connected(s) for _ in range(40)]
-        await until(lambda: s.proxy.places_taken >= 40)
+        await until(lambda: s.proxy.client_connection_count >= 40)
         assert (await s.ask())[2]["Connection"] == "close"
         for _, writer in flood:
             writer.close()
-        await until(lambda: s.proxy.places_taken <= 1)
+        await until(lambda: s.proxy.client_connection_count <= 1)
         assert "Connection" not in (await s.ask())[2]
 
     play(tmp_path, scenario, UpstreamHost(), sockets=96)
--- a/tests/test_client_limits.py
+++ b/tests/test_client_limits.py
@@ -229,12 +229,12 @@
         scene.ask()
         scene.transport.peer.send(REQUEST[:1])
         if dismissed:
-            scene.front.dismiss()
+            scene.front.close_idle()
         else:
             await scene.loop.advance(60)
         assert not scene.transport.closed
         scene.client.data_received(scene.transport.socket.recv(1))
-        scene.front.dismiss()
+        scene.front.close_idle()
         await scene.loop.advance(2)
         assert not scene.transport.closed
         scene.client.data_received(REQUEST[1:])
@@ -308,7 +308,7 @@
             scene.client.data_received(REQUEST)
             scene.client.data_received(REQUEST[:cut])
             scene.answer()
-            scene.front.dismiss()
+            scene.front.close_idle()
             scene.client.data_received(REQUEST[cut:])
             await asyncio.sleep(0)
             assert scene.client.open and not scene.transport.closed, cut
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -25,7 +25,7 @@
 )
 from test_registry import beat
 
-from cranebank.programs.settings import VARIABLE
+from cranebank.programs.settings import SETTINGS_FILE_VARIABLE
 from cranebank.transport.messages import ConfigPush, LinkHeartbeat, Message
 
 IPS = ("127.0.13.1", "127.0.13.2", "127.0.13.3")
@@ -59,7 +59,7 @@
         }
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
         self._processes[ip] = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cranebank.programs", "control", env={**os.environ, VARIABLE: str(path)}
+            sys.executable, "-m", "cranebank.programs", "control", env={**os.environ, SETTINGS_FILE_VARIABLE: str(path)}
         )
         while not await self._listens(ip):
             await asyncio.sleep(0.02)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -267,7 +267,7 @@
         for client in clients:
             client.disconnect(how)
         held.released.set()
-        await until(lambda: s.proxy.places_taken == 0)
+        await until(lambda: s.proxy.client_connection_count == 0)
         await drain_hosts(s, host)
 
     play(tmp_path, scenario, host)
@@ -293,7 +293,7 @@
         for client in clients:
             client.disconnect(how)
         await send_list_changes(3, "SERVING")
-        await until(lambda: s.proxy.places_taken == 0)
+        await until(lambda: s.proxy.client_connection_count == 0)
         await drain_hosts(s, host)
 
     play(tmp_path, scenario, host)
@@ -407,7 +407,7 @@
         await until(lambda: s.proxy.counters["answers_served"] == 2)
         received = asyncio.ensure_future(asyncio.to_thread(quick.read_to_end))
         await until(lambda: sum(size > 0 for size in unsent_bytes(s)) == 1)
-        s.proxy._connections.dismiss()
+        s.proxy._connections.close_idle()
         assert (await received).endswith(body)  # the connection was idle and is closed
         assert (await asyncio.to_thread(slow.read_to_end)).endswith(body)
 
@@ -524,7 +524,7 @@
         answers = ("answers_served", "answers_declined", "answers_failed")
         await until(lambda: sum(s.proxy.counters[name] for name in answers) == 1)
         await until(lambda: all(host.ended == host.connections for host in hosts) or s.proxy._pool.open > 0)
-        s.proxy._connections.dismiss()
+        s.proxy._connections.close_idle()
         received = await asyncio.to_thread(client.read_to_end)
         assert received.count(b"HTTP/1.1 ") == 1
         assert sum(s.proxy.counters[name] for name in answers) == 1
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -436,7 +436,7 @@
     (prefill,) = calls(harness.begin("17020,17", "s:13300,o:3720"))
     (again,) = calls(harness.do(LegFailed(prefill.leg, SendEvidence.NEVER_CONNECTED)))
     assert again.backend.stage == "prefill" and again.backend.id != prefill.backend.id
-    assert not harness.budget.may(harness.now, 1)
+    assert not harness.budget.allows(harness.now, 1)
 
 
 def test_out_of_time_during_a_prefill_is_a_refusal() -> None:
--- a/tests/test_fleet_links.py
+++ b/tests/test_fleet_links.py
@@ -294,9 +294,9 @@
     later = asyncio.get_running_loop().time() + 2 * settings.bounds.retry_window_s
     try:
         draws = made.proxy.shared.choices.draws
-        assert not made.proxy.shared.budget("svc").may(later, draws.proxies)
+        assert not made.proxy.shared.budget("svc").allows(later, draws.proxies)
         made.links.link_message(Link(Controllers(), True), Welcome("c", (), 4))
-        assert draws.proxies == 4 and made.proxy.shared.budget("svc").may(later, draws.proxies)
+        assert draws.proxies == 4 and made.proxy.shared.budget("svc").allows(later, draws.proxies)
     finally:
         made.links.stop()
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -34,7 +34,7 @@
         assert await status(kept[0]) == 200
         await kept[0].readexactly(2)
         half[1].write(f"{HEAD}X-Req".encode())
-        await until(lambda: s.proxy.places_taken == 2)
+        await until(lambda: s.proxy.client_connection_count == 2)
         kept[1].write(f"{HEAD}X-Request-Id: 2\r\n\r\n".encode())  # sent, but not read yet
         stopping = asyncio.ensure_future(s.proxy.stop(linger=2.0))
         await asyncio.sleep(0)
@@ -70,7 +70,7 @@
 def test_idle_connections_end_a_moment_before_the_listener(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A client whose request crosses the end of its connection retries once and must still find the listener. Bytes
     received before the end are processed."""
-    monkeypatch.setattr("cranebank.daemon.CROSSING_S", 1.0)
+    monkeypatch.setattr("cranebank.daemon.RETRY_GRACE_S", 1.0)
 
     async def story(s: ProxyHarness) -> None:
         ends = [await connect(s) for _ in range(2)]
@@ -79,7 +79,7 @@
             assert await status(reader) == 200
             await reader.readexactly(2)
         ends[1][1].write(f"{HEAD}X-Request-Id: 3\r\n\r\n".encode())  # sent, but not read yet
-        s.proxy._connections.dismiss()
+        s.proxy._connections.close_idle()
         assert await ends[0][0].read() == b""
         assert await status(ends[1][0]) == 200
         await ends[1][0].readexactly(2)
@@ -104,7 +104,7 @@
     async def story(s: ProxyHarness) -> None:
         reader, writer = await connect(s)
         writer.write(sent.encode())
-        await until(lambda: s.proxy.places_taken == 1)
+        await until(lambda: s.proxy.client_connection_count == 1)
         stopping = asyncio.ensure_future(s.proxy.stop(linger=0.0))
         await until(lambda: not s.proxy._listener.is_serving())
         writer.write(f"{HEAD}X-Request-Id: 1\r\n\r\n".encode().removeprefix(sent.encode()))
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -75,7 +75,7 @@
         self.cached_prefixes.append(note)
         self.changed.set()
 
-    def reading_begun(self, prefill: PrefillBegun) -> None:
+    def prefill_begun(self, prefill: PrefillBegun) -> None:
         self.prefills.append(prefill)
         self.changed.set()
 
@@ -168,11 +168,11 @@
     async def scenario(a: FakeDataPlane, b: FakeDataPlane, first: Neighbours, second: Neighbours) -> None:
         await a.until(lambda: a.reporters == 1)
         assert b.reporters == 0
-        first.reading_begun(PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25))
+        first.prefill_begun(PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25))
         await b.until(lambda: bool(b.prefills))
         assert b.prefills == [PrefillBegun("i-1", 17_020, "5c1e07a2", 13_300, 1.25)] and not a.prefills
         for _ in range(200):
-            first.reading_begun(PrefillBegun("i-1", 1))
+            first.prefill_begun(PrefillBegun("i-1", 1))
         assert 200 - MAX_PREFILL_REPORTS_PER_S - 5 <= first.counters["readings_untold"] <= 200
 
     play(scenario)
--- a/tests/test_network_cuts.py
+++ b/tests/test_network_cuts.py
@@ -16,7 +16,7 @@
 from cranebank.fleetlab.launcher import VARIABLE as NETWORK_VARIABLE
 from cranebank.fleetlab.launcher import GuardedLoop, guarded_sockets
 from cranebank.fleetlab.network import LabNetwork, NetworkView, Path, both_ways, one_way
-from cranebank.programs.settings import VARIABLE as SETTINGS_VARIABLE
+from cranebank.programs.settings import SETTINGS_FILE_VARIABLE as SETTINGS_VARIABLE
 
 OWN, PEER = "127.0.14.1", "127.0.14.2"
 TO_PEER, FROM_PEER = (Path(OWN, PEER),), (Path(PEER, OWN),)
--- a/tests/test_network_failures.py
+++ b/tests/test_network_failures.py
@@ -19,7 +19,7 @@
 from cranebank.core.log import Log
 from cranebank.core.rules import RoutingUpdate
 from cranebank.decisions.interface import Action, Event, ListKind, Request
-from cranebank.discovery.listing import ListReader, Stream
+from cranebank.discovery.listing import ListReader, MessageSplitter
 from cranebank.discovery.routing_table import CALL_TIMEOUT_S, RoutingTable
 from cranebank.http.upstream import read_load
 
@@ -287,14 +287,14 @@
 
     async def story(listener: socket.socket) -> None:
         host, port = listener.getsockname()
-        table = RoutingTable(f"{host}:{port}", ListReader(()), news.append, counters, Log("test"), asked=True)
+        table = RoutingTable(f"{host}:{port}", ListReader(()), news.append, counters, Log("test"), module_asks=True)
         table.watch(True)
         await asyncio.sleep(0.5)
         assert counters["watches_opened"] == 1
         assert not news
         async with await asyncio.start_server(tell, sock=listener):
             async with asyncio.timeout(CALL_TIMEOUT_S - 0.5):
-                await table.heard.wait()
+                await table.list_received.wait()
             assert news[0].kind is ListKind.ALL
             assert counters["watches_opened"] == 1
             await table.close()
@@ -336,19 +336,19 @@
     lines = [json.dumps(message, indent=indent) for message in messages]
     half = json.dumps(messages[0], indent=indent)[:-9]
     text = f"\n{lines[0]}\r\n\n{half}\n{lines[1]}\n}}\n{lines[2]}\n".encode()
-    stream, found = Stream(), list[Any]()
+    splitter, found = MessageSplitter(), list[Any]()
     for at in range(0, len(text), step):
-        found += stream.feed(text[at : at + step])
+        found += splitter.feed(text[at : at + step])
     assert [message for message in found if not isinstance(message, ValueError)] == messages
     assert len(found) == 5  # with two errors: half an object, and an end without a beginning
 
 
 def test_a_message_without_an_end_is_given_up() -> None:
     for line in (b"x" * 99_999, b'{\n "a": [' + b"\n 1," * 9_999):
-        stream = Stream()
+        splitter = MessageSplitter()
         with pytest.raises(ValueError, match="without end"):
             for _ in range(200):
-                list(stream.feed(line))
+                list(splitter.feed(line))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cranebank.programs.__main__ import main
-from cranebank.programs.settings import VARIABLE, Bounds, Limits, SettingsError, Tolerance, load, parse
+from cranebank.programs.settings import SETTINGS_FILE_VARIABLE, Bounds, Limits, SettingsError, Tolerance, load, parse
 
 WHOLE = """
 node_name: "edge-a-1"
@@ -54,7 +54,7 @@
 
 def test_the_file_is_the_one_that_the_environment_names(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "boot.yaml"
-    monkeypatch.setenv(VARIABLE, str(path))
+    monkeypatch.setenv(SETTINGS_FILE_VARIABLE, str(path))
     with pytest.raises(SettingsError, match="expected a readable file"):
         load()
     path.write_text(WHOLE, encoding="utf-8")
@@ -147,7 +147,7 @@
     path = tmp_path / "boot.yaml"
     (other,) = {"front", "ready_addr"} - {missing}
     path.write_text(MINIMAL + f'binds: {{{other}: "10.0.0.1:80"}}\n', encoding="utf-8")
-    monkeypatch.setenv(VARIABLE, str(path))
+    monkeypatch.setenv(SETTINGS_FILE_VARIABLE, str(path))
     assert main(["edge"]) == 2
     assert capsys.readouterr().err == f"{path}: binds.{missing}: expected IP:PORT, which the role edge needs\n"
 
--- a/tests/test_pair.py
+++ b/tests/test_pair.py
@@ -299,7 +299,7 @@
             if asks:
                 part.count_request(at)
                 asked.append(at)
-            while part.may(at, proxies):
+            while part.allows(at, proxies):
                 part.spend(at)
                 spent.append(at)
     for end in spent:
@@ -309,7 +309,7 @@
 
 def test_a_restarted_proxy_spends_no_slack_in_its_first_window() -> None:
     budget = Budget(0.2, 58.0, 10.0, fresh_until=110.0)
-    assert not budget.may(100.0, 1) and budget.may(110.0, 1)
+    assert not budget.allows(100.0, 1) and budget.allows(110.0, 1)
 
 
 def test_parts_count_as_cached_only_behind_all_earlier_ones_and_within_bounds() -> None:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -218,7 +218,7 @@
         reader, writer = await asyncio.open_connection(*address)
         while not proxy.front.count:
             await asyncio.sleep(0.01)
-        proxy.front.dismiss()
+        proxy.front.close_idle()
         writer.write(REQUEST)
         with contextlib.suppress(ConnectionError):
             assert not await reader.read()
@@ -249,12 +249,12 @@
 
     async def scenario(proxy: Proxy, address: tuple[str, int]) -> None:
         budget, now = proxy.shared.budget("svc"), asyncio.get_running_loop().time()
-        assert budget.may(now, 1)
-        while budget.may(now, 1):
+        assert budget.allows(now, 1)
+        while budget.allows(now, 1):
             budget.spend(now)
         known = msgspec.json.decode(DOCUMENT)
         assert proxy.configure(msgspec.json.encode({**known, "revision": 4, "routes": [], "services": []}))
         assert proxy.configure(msgspec.json.encode({**known, "revision": 5}))
-        assert not proxy.shared.budget("svc").may(now, 1)
+        assert not proxy.shared.budget("svc").allows(now, 1)
 
     run_scenario(scenario)
