--- a/tests/peers.py
+++ b/tests/peers.py
@@ -236,12 +236,14 @@
         await proxy.stop(linger=0.0)
 
 
-def play(tmp_path: Path, story: Callable[[ProxyHarness], Awaitable[None]], *hosts: UpstreamHost, **limits: Any) -> None:
+def play(
+    tmp_path: Path, scenario: Callable[[ProxyHarness], Awaitable[None]], *hosts: UpstreamHost, **limits: Any
+) -> None:
     """Run a test story with a proxy of its own."""
 
     async def whole() -> None:
         async with running(tmp_path, *hosts, **limits) as started:
-            await story(started)
+            await scenario(started)
 
     asyncio.run(whole())
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -28,13 +28,13 @@
 def test_what_comes_behind_an_answer_never_answers_the_next_request(tmp_path: Path, spare: bytes, late: bool) -> None:
     host = UpstreamHost(lambda n: answer(200, b"%d" % n), spare=spare, spare_after=0.03 if late else 0.0)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         for n in range(1, 4):
             assert (await s.ask("pay"))[:2] == (200, b"%d" % n)
             await asyncio.sleep(0.08)  # the spare bytes arrive; no assertion depends on when
         assert s.proxy.counters["legs_ok"] == s.proxy.counters["legs_sent"] == 3
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert host.connections == 3
 
 
@@ -53,14 +53,14 @@
 def test_a_good_answer_is_passed_on_whatever_stands_around_it(tmp_path: Path, reply: bytes) -> None:
     host = UpstreamHost(lambda _: reply)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         for _ in range(2):
             status, body, _ = await s.ask("pay")
             assert (status, body) == (200, b"ok" * (len(body) // 2))
             assert len(body) in (2, 400_000)
             await asyncio.sleep(0.05)
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert host.connections == 1
 
 
@@ -109,13 +109,13 @@
 ) -> None:
     host = UpstreamHost(lambda n: reply if n == 1 else answer(200, b"good"))
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask("pay"))[0] == 502  # failed, not refused, as the request may have run
         assert s.proxy.counters["legs_reset"] == s.proxy.counters["legs_sent"] == 1
         await host.closed.wait()
         assert (await s.ask("pay"))[:2] == (200, b"good")
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
 
 
 NO_LENGTH = HEAD + b"Connection: close\r\n\r\n"
@@ -128,12 +128,12 @@
 ) -> None:
     host = UpstreamHost(lambda _: NO_LENGTH + body, resets=resets)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         for number in range(2):
             assert (await s.ask("pay"))[:2] == ((502, b"") if resets else (200, body))
             assert s.proxy.counters["legs_reset" if resets else "legs_ok"] == number + 1
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert host.connections == 2
 
 
@@ -150,39 +150,39 @@
 def test_an_answer_that_tells_its_end_is_not_whole_before(tmp_path: Path, reply: bytes) -> None:
     host = UpstreamHost(lambda _: reply)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask("pay"))[0] == 502
         assert s.proxy.counters["legs_reset"] == 1
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
 
 
 def test_an_answer_without_a_length_that_is_not_ended_is_not_whole_when_time_is_up(tmp_path: Path) -> None:
     host = UpstreamHost(lambda _: HEAD + b"\r\nok")
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         while not host.requests:
             assert (await s.ask("pay", {"X-Deadline-Ms": "200"}))[0] in (502, 503)
         assert s.proxy.counters["legs_timeout"] == 1
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
 
 
 def test_hosts_share_one_limit_of_connections_and_the_longest_idle_makes_room(tmp_path: Path) -> None:
     hosts = [UpstreamHost() for _ in range(20)]
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         for n in range(80):
             assert (await s.ask("look", {"X-Request-Id": f"r{n}"}))[0] == 200
         await until(lambda: sum(host.connections > host.ended for host in hosts) <= 48 - 32)
 
-    play(tmp_path, story, *hosts, sockets=48)
+    play(tmp_path, scenario, *hosts, sockets=48)
 
 
 def test_a_new_host_at_an_address_that_was_anothers_gets_connections_of_its_own(tmp_path: Path) -> None:
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask())[0] == 200
         for version, name, state in ((2, "s0", "DELETED"), (3, "s9", "SERVING")):
             s.discovery.lines.put_nowait(
@@ -192,5 +192,5 @@
             await until(lambda: host.ended == 1)
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert host.connections == 2
--- a/tests/test_control_cut_off.py
+++ b/tests/test_control_cut_off.py
@@ -134,9 +134,9 @@
 
 
 def cut_off(folder: Path, survivor_leads: bool) -> Callable[[tuple[int, int]], Awaitable[None]]:
-    """Return a story in which two of three controllers are suspended; ``survivor_leads``: the third is the primary."""
+    """Return a scenario that suspends two of three controllers; ``survivor_leads``: the third is the primary."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with three(folder, ports) as controllers:
             answer, primary = await controllers.follow("POST", REPLACE, body(document(revision=7)), 0)
             assert answer[0] == 200
@@ -162,7 +162,7 @@
                     await asyncio.sleep(0.05)
             assert (await controllers.follow("GET", READ))[0][::2] == (200, body(document(revision=7)))
 
-    return story
+    return scenario
 
 
 async def endings_are_unconfirmed(controllers: Controllers, ip: str) -> None:
@@ -192,7 +192,7 @@
     """Guards against a new primary that knows only the newest call: 412 ended an operator's repeated call. Hundreds of
     changes lie in between; then all controllers are killed and restarted from their disks."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with three(tmp_path, ports) as controllers:
             sent = {revision: body(document(revision=revision)) for revision in range(2, LAST_REVISION + 1)}
             primary = IPS[0]
@@ -209,7 +209,7 @@
             await asyncio.gather(*(controllers.start(ip, is_first_start=False) for ip in IPS))
             await are_known(controllers, sent, IPS)
 
-    play(story, 60.0)
+    play(scenario, 60.0)
 
 
 async def are_known(controllers: Controllers, sent: dict[int, bytes], ips: tuple[str, ...]) -> None:
--- a/tests/test_control_program.py
+++ b/tests/test_control_program.py
@@ -211,12 +211,12 @@
         writer.close()
 
 
-def play(story: Callable[[tuple[int, int]], Awaitable[None]], limit_s: float = LIMIT_S) -> None:
-    """Run a story with two free ports."""
+def play(scenario: Callable[[tuple[int, int]], Awaitable[None]], limit_s: float = LIMIT_S) -> None:
+    """Run a scenario with two free ports."""
 
     async def limited() -> None:
         async with asyncio.timeout(limit_s):
-            await story((free_port(), free_port()))
+            await scenario((free_port(), free_port()))
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:  # as the programs do
         runner.run(limited())
@@ -244,7 +244,7 @@
         ("POST", "/api/Servers.Leave/i-1", b"", None),
     )
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         answers = []
         async with controller(tmp_path, ports):
             for method, path, sent, base in steps:
@@ -258,14 +258,14 @@
             assert await client.call("GET", READ) == (status, _, answer)
         assert answers == snapshot
 
-    play(story)
+    play(scenario)
 
 
 def test_a_race_has_one_winner(tmp_path: Path) -> None:
     """Of two simultaneous changes on the same base one is accepted; the other is refused, possibly only on its
     retry."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as one, caller(ports) as two:
             sent = [body(document(revision=7, note=note)) for note in "ab"]
             answers = await asyncio.gather(one.call("POST", REPLACE, sent[0], 0), two.call("POST", REPLACE, sent[1], 0))
@@ -277,13 +277,13 @@
             _, _, answer = await one.call("GET", READ)
             assert answer == sent[statuses.index(200)]
 
-    play(story)
+    play(scenario)
 
 
 def test_who_has_just_taken_over_refuses_no_valid_change(tmp_path: Path) -> None:
     """Guards against comparing the base with a missing configuration: an operator gave up a valid change on 412."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             assert (await client.call("POST", REPLACE, body(document(revision=7)), 0))[0] == 200
             consensus = made._consensus
@@ -295,13 +295,13 @@
             consensus.current = settled
             assert (await client.call("POST", REPLACE, body(document(revision=9)), 7))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_large_configurations(tmp_path: Path) -> None:
     """Megabytes and chunked bodies are accepted; a body above the limit is refused."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as client, caller(ports) as other:
             large = body(document(revision=7, note="x" * (4 << 20)))
             client.writer.write(
@@ -318,13 +318,13 @@
             assert (await other.answer())[0] == 413
             assert await other.reader.read() == b""
 
-    play(story)
+    play(scenario)
 
 
 def test_hostile_heads(tmp_path: Path) -> None:
     """Heads that are too long or not HTTP are refused, and the connection is closed."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports):
             for sent, status in (
                 (b"GET /" + b"a" * 20000, 431),
@@ -341,13 +341,13 @@
                     assert (await client.answer())[0] == status
                     assert await client.reader.read() == b""
 
-    play(story)
+    play(scenario)
 
 
 def test_kept_connections(tmp_path: Path) -> None:
     """Calls on one connection are answered in order, however the bytes are split; the last call may ask to close."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as client:
             for number in range(3):
                 assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat(number)))[::2] == (200, b"{}")
@@ -363,13 +363,13 @@
             assert (await client.answer())[0] == 200
             assert await client.reader.read() == b""
 
-    play(story)
+    play(scenario)
 
 
 def test_a_drain_is_acknowledged_when_proxies_know(tmp_path: Path) -> None:
     """The answers to the first draining heartbeat and to a leave wait for the linked proxies."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), proxy(ports) as edge, caller(ports) as client:
             assert (await edge.next(Push)).backends == ()
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat(1)))[0] == 200
@@ -385,13 +385,13 @@
                 edge.send(PushAck(push.number))
                 assert (await answering)[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_backends_that_come_together_make_one_push_and_a_drain_goes_at_once(tmp_path: Path) -> None:
     """A single new backend is pushed at once; those right after it wait for the tick, or for a drain."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, proxy(ports) as edge:
 
             def hear(name: str, call_seq: int = 1, phase: str = "ready") -> None:
@@ -414,7 +414,7 @@
             assert await pushed() == [("i4", "ready")]
             assert await pushed() == [("i5", "ready"), ("i1", "draining")]
 
-    play(story)
+    play(scenario)
 
 
 def test_a_push_encoded_once_for_many_links_is_the_same_on_the_wire() -> None:
@@ -430,7 +430,7 @@
     """A drain, a leave and a leave of an unknown backend get 503 within the caller's timeout, although the proxies
     know."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
             assert isinstance(consensus, SingleNodeConsensus)
@@ -447,14 +447,14 @@
             for path, sent in ENDINGS:  # repeated: nothing changes any more, but now it is confirmed
                 assert (await client.call("POST", path, sent))[0] == 200
 
-    play(story)
+    play(scenario)
 
 
 def test_an_ending_waits_for_the_acknowledgement_of_a_majority(tmp_path: Path) -> None:
     """Not counted: an acknowledgement of an earlier number, of a controller that is no member, or from before the link
     broke."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
             assert isinstance(consensus, SingleNodeConsensus)
@@ -477,13 +477,13 @@
                 await asyncio.sleep(0.01)
             assert (await client.call("POST", *ENDINGS[0]))[0] == 503
 
-    play(story)
+    play(scenario)
 
 
 def test_a_controller_acknowledges_what_it_has_taken_and_pushed(tmp_path: Path) -> None:
     """Only a message with a number is acknowledged, after the push to the proxies."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, proxy(ports) as edge, peer_controller(ports, TWO) as peer:
             draining = Backend("i-1", "s", "10.0.0.9:80", "z", "", 1, "draining", 3)
             peer.send(RegistrySync((msgspec.structs.replace(draining, id="i-0"),)))
@@ -494,13 +494,13 @@
             while "i-1" not in pushed:
                 pushed += [record.id for record in (await edge.next(Push)).backends]
 
-    play(story)
+    play(scenario)
 
 
 def test_a_controller_that_is_behind_publishes_nothing(tmp_path: Path) -> None:
     """It is in contact, but has an older revision than it knows to exist; its heartbeats show that."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             assert (await client.call("POST", REPLACE, body(document(revision=7)), 0))[0] == 200
             consensus = made._consensus
@@ -514,14 +514,14 @@
                 assert (await edge.next(ConfigPush)).revision == 7
                 assert await edge.next(LinkHeartbeat) == LinkHeartbeat(7, is_current=True, epoch=1)
 
-    play(story)
+    play(scenario)
 
 
 def test_callers_are_sent_on_only_to_a_primary_that_was_heard_lately(tmp_path: Path) -> None:
     """A primary's link stays up for a while after its death: neither a silent primary nor one without contact is
     named."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports, leader=TWO) as made, caller(ports) as client:
             consensus = made._consensus
             assert isinstance(consensus, SingleNodeConsensus)
@@ -543,13 +543,13 @@
                     )
                     assert (status, headers["retry-after"]) == (503, "0.2")
 
-    play(story)
+    play(scenario)
 
 
 def test_what_may_be_a_call_sent_again_is_not_refused(tmp_path: Path) -> None:
     """For a call older than the table of calls the answer is unclear, not 412; a call in the table is confirmed."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
             assert isinstance(consensus, SingleNodeConsensus)
@@ -565,7 +565,7 @@
             assert (status, headers["retry-after"]) == (503, "0.2")
             assert (await client.call("POST", REPLACE, sent[4], 3))[0] == 412
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("sent", [body(document(revision=9, routes=[route(target="none")])), body({"revision": 1})])
@@ -574,7 +574,7 @@
 ) -> None:
     """An invalid call, or one with another base, gets 503 if the lease ends while it is checked."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         monkeypatch.setattr(operator_api, "SLOW_BYTES", 0)
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             consensus = made._consensus
@@ -593,13 +593,13 @@
                 consensus.leader_ip = ONE
                 assert (await client.call("POST", REPLACE, sent, base))[0] == 503
 
-    play(story)
+    play(scenario)
 
 
 def test_a_member_that_ends_stays_until_it_has_handed_over(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """It stays no longer than its grace period allows; the consensus core says when it may end."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             may_shut_down = [False]
             monkeypatch.setattr(made._consensus, "may_shut_down", lambda _now: may_shut_down[0])
@@ -617,13 +617,13 @@
             < controller_settings(ONE, ports).bounds.grace_s
         )
 
-    play(story)
+    play(scenario)
 
 
 def test_configurations_reach_proxies(tmp_path: Path) -> None:
     """A 200 waits for the linked proxies; a proxy that connects later or is behind is sent the newest configuration."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         sent = body(document(revision=7))
         async with controller(tmp_path, ports), proxy(ports) as edge, caller(ports) as client:
             answering = asyncio.create_task(client.call("POST", REPLACE, sent, 0))
@@ -638,7 +638,7 @@
         async with controller(tmp_path, ports), proxy(ports, revision=5) as edge:
             assert await edge.next(ConfigPush) == ConfigPush(7, sent)
 
-    play(story)
+    play(scenario)
 
 
 def test_what_the_disk_kept_is_not_handed_out_before_there_is_contact_with_a_majority(tmp_path: Path) -> None:
@@ -647,7 +647,7 @@
     It used to publish that configuration at once, so that the fleet could start without a primary.
     """
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         sent = body(document(revision=7))
         async with controller(tmp_path, ports), caller(ports) as client:
             assert (await client.call("POST", REPLACE, sent, 0))[0] == 200
@@ -668,13 +668,13 @@
         finally:
             await made.stop()
 
-    play(story)
+    play(scenario)
 
 
 def test_backends_are_known_again_before_they_beat(tmp_path: Path) -> None:
     """After a power loss proxies get the backends without waiting for their heartbeats."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports), caller(ports) as client:
             assert (await client.call("POST", "/api/Servers.Heartbeat/i-1", beat()))[0] == 200
         store, _ = open_store(tmp_path, "custody")
@@ -695,24 +695,24 @@
         finally:
             await again.stop()
 
-    play(story)
+    play(scenario)
 
 
 def test_what_a_controller_lost_is_rebuilt(tmp_path: Path) -> None:
     """A proxy's Hello tells a newly started controller which backends exist."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         known = (Backend("i-1", "s", "10.0.0.9:80", "z", "", 1, "ready", 3),)
         async with controller(tmp_path, ports), proxy(ports, records=known) as edge:
             assert (await edge.next(Push)).backends == known
 
-    play(story)
+    play(scenario)
 
 
 def test_two_controllers(tmp_path: Path) -> None:
     """A controller that isn't primary redirects operators and accepts heartbeats for all; so does one that retires."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with (
             controller(tmp_path / "1", ports),
             controller(tmp_path / "2", ports, TWO, ONE),
@@ -732,7 +732,7 @@
 
     for name in "12":
         (tmp_path / name).mkdir()
-    play(story)
+    play(scenario)
 
 
 def test_three_controllers_with_the_consensus_replica(tmp_path: Path) -> None:
@@ -749,7 +749,7 @@
             elif answer[0] != 503:
                 return answer, ip
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         planes: dict[str, Controller] = {}
         for ip in ips:
             settings = msgspec.structs.replace(
@@ -775,7 +775,7 @@
         # Two of three can't take over each other's copies, so both stay for their whole grace period.
         await asyncio.gather(*(plane.stop() for plane in planes.values()))
 
-    play(story, 20.0)
+    play(scenario, 20.0)
 
 
 @pytest.mark.parametrize(
@@ -789,19 +789,19 @@
 def test_the_group_is_as_large_as_the_tolerance_asks(tolerance: Tolerance, size: GroupSize) -> None:
     """If zones or regions may be lost, the group's size does not depend on a number of machines."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         settings = msgspec.structs.replace(controller_settings(ONE, ports), tolerance=tolerance)
         made = await make_controller(settings, lambda: settings)
         assert isinstance(made._consensus, ConsensusReplica)
         assert made._consensus._group_size == size
 
-    play(story)
+    play(scenario)
 
 
 def test_a_committed_configuration_reaches_other_controllers(tmp_path: Path) -> None:
     """A controller that isn't primary receives it on its link and sends it to proxies that are behind."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         sent = body(document(revision=7))
         async with (
             controller(tmp_path / "1", ports),
@@ -814,13 +814,13 @@
 
     for name in "12":
         (tmp_path / name).mkdir()
-    play(story)
+    play(scenario)
 
 
 def test_a_retiring_controller_finishes_its_calls(tmp_path: Path) -> None:
     """A call in progress is answered before the API closes."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as plane, proxy(ports) as edge, caller(ports) as client:
             answering = asyncio.create_task(client.call("POST", "/api/Servers.Heartbeat/i-1", beat(1, "draining")))
             assert (await edge.next(Push)).backends == ()
@@ -831,7 +831,7 @@
             assert status == 200
             await stopping
 
-    play(story)
+    play(scenario)
 
 
 def test_the_command_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
@@ -877,7 +877,7 @@
     """Guards against false losses: after a suspension all heartbeats looked old, and all backends were reported as
     lost."""
 
-    async def story(ports: tuple[int, int]) -> None:
+    async def scenario(ports: tuple[int, int]) -> None:
         async with controller(tmp_path, ports) as made:
             made._registry_service.registry = Registry(made.now() - 5.0, 0.05)
             made.registry.heartbeat(made.now(), "i-1", beat(1))
@@ -886,7 +886,7 @@
             await asyncio.sleep(2 * REGISTRY_INTERVAL_S)
             assert made.registry.records["i-1"].phase == "ready"
 
-    play(story)
+    play(scenario)
 
 
 def test_what_falls_due_on_a_tick_goes_out_with_it(tmp_path: Path) -> None:
--- a/tests/test_durable_endings.py
+++ b/tests/test_durable_endings.py
@@ -104,7 +104,7 @@
 
 
 def test_the_end_that_another_controller_tells_is_acknowledged_once_it_is_on_this_disk() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         disk, link = SlowDisk(), RecordingLink()
         service = service_on(disk, link)
         service.merge(cast(Link, link), RegistrySync((DRAINING,), (), 7))
@@ -115,11 +115,11 @@
         assert acknowledged(link) == [7]
         assert decode_registry_records(disk.values) == (DRAINING,)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_the_end_that_the_disk_refuses_is_not_acknowledged() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         disk, link = SlowDisk(), RecordingLink()
         disk.refuses = True
         disk.is_free.set()
@@ -127,12 +127,12 @@
         await turns()
         assert acknowledged(link) == []
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("is_durable", [True, False])
 def test_this_controller_counts_for_the_majority_once_the_end_is_on_its_own_disk(is_durable: bool) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         disk, link = SlowDisk(), RecordingLink()
         service = service_on(disk, link)
         service.registry.merge(service._now(), (DRAINING,))
@@ -144,7 +144,7 @@
         assert await service.confirm_ending("i", 0.1) == is_durable
         assert not is_durable or ENDINGS_KEY in disk.values
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_an_end_outlasts_what_was_known_before_it() -> None:
--- a/tests/test_edge_settings.py
+++ b/tests/test_edge_settings.py
@@ -23,7 +23,7 @@
 
 
 def test_seeds_that_were_exchanged_are_dialled_and_a_bad_file_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         made = Edge(SETTINGS, with_neighbours=False)
         made.links.name(SETTINGS.seed_ips)
 
@@ -40,11 +40,11 @@
         made.links.stop()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(story())
+        runner.run(scenario())
 
 
 def test_with_all_seeds_dead_it_is_not_ready_and_forgets_none_of_them() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         made = Edge(SETTINGS, with_neighbours=False)
         made.links.name(SETTINGS.seed_ips)
         made.links.prune()
@@ -53,13 +53,13 @@
         made.links.stop()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(story())
+        runner.run(scenario())
 
 
 def test_a_proxy_that_reaches_no_controller_reads_its_file_again_without_a_signal(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         made = Edge(SETTINGS, with_neighbours=False)
         made.links.name(SETTINGS.seed_ips)
         other = msgspec.structs.replace(SETTINGS, seed_addrs=("127.0.31.4:9",))
@@ -73,4 +73,4 @@
         made.links.stop()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(story())
+        runner.run(scenario())
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -28,7 +28,7 @@
 
 
 def test_requests_half_read_on_kept_connections_and_on_new_ones_are_answered_while_it_stops(tmp_path: Path) -> None:
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         half, kept = await connect(s), await connect(s)
         kept[1].write(f"{HEAD}X-Request-Id: 1\r\n\r\n".encode())
         assert await status(kept[0]) == 200
@@ -48,14 +48,14 @@
         for _, writer in (kept, half, new):
             writer.close()
 
-    play(tmp_path, story, UpstreamHost())
+    play(tmp_path, scenario, UpstreamHost())
 
 
 def test_whoever_is_let_in_as_the_listener_closes_is_heard(tmp_path: Path) -> None:
     """The connection is accepted in one turn of the loop; the listener ends before its protocol is created in the
     next."""
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         host, _, port = s.url.removeprefix("http://").rpartition(":")
         client = socket.create_connection((host, int(port)))  # accepted by the kernel only
         client.sendall(b"GET /-/counters HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -64,7 +64,7 @@
         assert client.recv(64).startswith(b"HTTP/1.1 200")
         client.close()
 
-    play(tmp_path, story, UpstreamHost())
+    play(tmp_path, scenario, UpstreamHost())
 
 
 def test_idle_connections_end_a_moment_before_the_listener(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -72,7 +72,7 @@
     received before the end are processed."""
     monkeypatch.setattr("cranebank.daemon.RETRY_GRACE_S", 1.0)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         ends = [await connect(s) for _ in range(2)]
         for number, (reader, writer) in enumerate(ends):
             writer.write(f"{HEAD}X-Request-Id: {number}\r\n\r\n".encode())
@@ -92,7 +92,7 @@
         for _, writer in ends:
             writer.close()
 
-    play(tmp_path, story, UpstreamHost())
+    play(tmp_path, scenario, UpstreamHost())
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
 def test_a_request_whose_last_byte_comes_after_the_listener_has_closed_is_answered(tmp_path: Path, sent: str) -> None:
     """Its connection was accepted before, so everything sent on it is processed."""
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         reader, writer = await connect(s)
         writer.write(sent.encode())
         await until(lambda: s.proxy.client_connection_count == 1)
@@ -112,13 +112,13 @@
         await stopping
         writer.close()
 
-    play(tmp_path, story, UpstreamHost())
+    play(tmp_path, scenario, UpstreamHost())
 
 
 def test_a_drain_told_by_the_new_discovery_is_kept_though_the_old_watch_was_open(tmp_path: Path) -> None:
     drained, other, new = UpstreamHost(), UpstreamHost(), Discovery()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         await until(lambda: len(s.discovery.watches) == 1)
         async with listening(new.talk) as address:
             path = tmp_path / "config.json"
@@ -135,7 +135,7 @@
             assert (len(drained.requests), len(other.requests)) == (before, 8)
             new.lines.put_nowait(b"")
 
-    play(tmp_path, story, drained, other)
+    play(tmp_path, scenario, drained, other)
 
 
 @pytest.mark.parametrize("full", [True, False], ids=["a whole list", "changes"])
@@ -143,7 +143,7 @@
     """A delayed list reports at once that s0 drains, s1 has returned, and s2 has the address that s0 had."""
     hosts = UpstreamHost(), UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         back = entry("s1", s.address, started_ms=1)  # no longer at its own address
         for number in range(6):
             assert (await s.ask(changes={"X-Request-Id": str(number)}))[0] == 200
@@ -160,4 +160,4 @@
         assert (len(hosts[0].requests), len(hosts[1].requests)) == (before[0] + 6, before[1])
         assert hosts[0].connections > opened  # connections opened to the draining host are not used
 
-    play(tmp_path, story, *hosts)
+    play(tmp_path, scenario, *hosts)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -72,10 +72,10 @@
     hosts = [UpstreamHost(lambda n: answer(500) if n == 1 else answer(200, b"ok"))] * 2
     own = ("log.level=debug", "log.format=json")
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, *hosts, MaxAttempts=3, own=own)
+    play(tmp_path, scenario, *hosts, MaxAttempts=3, own=own)
     logged = [t for t in lines(capsys) if t.get("request") == "9b1f03aa"]
     assert [t["event"] for t in logged] == ["taken", "leg_sent", "leg_ended", "leg_sent", "leg_ended", "answered"]
     assert [t["outcome"] for t in logged if t["event"] == "leg_ended"] == ["error", "ok"]
@@ -93,11 +93,11 @@
 def test_sampling_keeps_debug_affordable(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], own: tuple[str, ...], followed: int
 ) -> None:
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         for _ in range(12):
             assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, UpstreamHost(), own=("log.level=debug", "log.format=json", *own))
+    play(tmp_path, scenario, UpstreamHost(), own=("log.level=debug", "log.format=json", *own))
     assert sum(t["event"] == "taken" for t in lines(capsys)) == followed
 
 
--- a/tests/test_lost_hosts.py
+++ b/tests/test_lost_hosts.py
@@ -160,7 +160,7 @@
     """A host with full connection tables refuses new connections and keeps the old ones; a crash resets those too."""
     host = UpstreamHost(lambda _: first)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask())[0] == 200
         original_take = ConnectionPool.take
 
@@ -172,7 +172,7 @@
         assert s.proxy.counters["legs_connect_failed"] == 1
         assert s.proxy.counters["connects_unproven"] == unproven
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
 
 
 def test_a_host_that_ends_a_connection_before_the_request_is_not_lost(
@@ -181,7 +181,7 @@
     """For example an idle time-out of the host, between the check of the connection and its use."""
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         original_take = ConnectionPool.take
 
         async def ended(links: ConnectionPool, server: str, address: str) -> Any:
@@ -193,4 +193,4 @@
         assert (await s.ask())[0] in (502, 503)
         assert s.proxy.counters["legs_connect_failed"] == s.proxy.counters["connects_unproven"] == 1
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -24,10 +24,10 @@
 TEXT = "node_name: n\nip: 127.0.0.1\nzone: z\nport_range: [7300, 7315]\nseed_addrs: ['127.0.0.1:8262']\n"
 
 
-def run(story: Any) -> None:
-    """Run a story on the programs' event loop."""
+def run(scenario: Any) -> None:
+    """Run a scenario on the programs' event loop."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(story, 10))
+        runner.run(asyncio.wait_for(scenario, 10))
 
 
 async def scrape(ip: str, port: int) -> str:
@@ -78,7 +78,7 @@
 
 
 def test_a_controller_tells(tmp_path: Path, snapshot: SnapshotAssertion) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         ports = free_port(), free_port()
         async with controller(tmp_path, ports) as made, proxy(ports), caller(ports) as client:
             assert (await client.call("POST", REPLACE, body(document(revision=7)), 0))[0] == 200
@@ -91,11 +91,11 @@
             # These two depend on when the test's proxy acknowledges.
             assert re.sub(r"(lag|proxies_behind) \d+", r"\1 N", found) == snapshot
 
-    run(story())
+    run(scenario())
 
 
 def test_a_proxy_tells(snapshot: SnapshotAssertion) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         port = free_port()
         edge = Edge(NodeSettings("n", "127.0.0.1", "z", (port - 1, port), ("127.0.0.1:1",)), with_neighbours=False)
         edge.proxy.counters.update(requests=9, served=5, replied_503=3, replied_504=1, reads=4, makes=7, repeats=2)
@@ -104,12 +104,12 @@
         assert await scrape("127.0.0.1", port) == snapshot
         exporter.stop()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("taken", [True, False])
 def test_a_port_that_cannot_be_had_ends_nothing(taken: bool) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         server = await asyncio.start_server(lambda _reader, writer: writer.close(), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         exporter = metrics.Exporter(list)
@@ -117,7 +117,7 @@
         exporter.stop()
         server.close()
 
-    run(story())
+    run(scenario())
 
 
 def test_a_log_line_carries_the_state_of_the_process(
@@ -128,7 +128,7 @@
     monkeypatch.setattr("sys.excepthook", None)
     ring: LogRing = install("core-1")
 
-    async def story() -> None:
+    async def scenario() -> None:
         ports = free_port(), free_port()
         async with controller(tmp_path, ports) as made, caller(ports) as client:
             ring.state = made.log_state
@@ -136,7 +136,7 @@
             logger.info("here")
 
     try:
-        run(story())
+        run(scenario())
         ring.dump()
     finally:
         logger.remove()
--- a/tests/test_network_failures.py
+++ b/tests/test_network_failures.py
@@ -28,7 +28,7 @@
     packed = gzip.compress(b"\x00\xff" * 9000)
     host = UpstreamHost(lambda _: answer(200, packed, "Content-Encoding: gzip"))
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         status, body, headers = await s.ask("order", body=b"a\r\n\x00b")
         assert (status, body, headers["Content-Encoding"]) == (200, packed, "gzip")
         await asyncio.sleep(0.05)  # a connection is reused only after a pause
@@ -40,7 +40,7 @@
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
         writer.close()
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     order, look = host.requests
     assert order.startswith(b"POST /order HTTP/1.1\r\n")
     assert order.endswith(b"\r\n\r\na\r\n\x00b")
@@ -66,12 +66,12 @@
 def test_a_malformed_request_gets_400_and_no_leg(tmp_path: Path, kind: str, changes: dict[str, str]) -> None:
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask(kind, changes))[0] == 400
         assert (await s.ask("order", body=b"x" * (64 << 10)))[0] == 200
         assert (await s.ask("order", body=b"x" * ((64 << 10) + 1)))[0] == 413
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert len(host.requests) == 1
 
 
@@ -89,14 +89,14 @@
 def test_a_client_that_talks_rubbish_gets_400_and_the_others_are_served(tmp_path: Path, said: bytes) -> None:
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         reader, writer = await asyncio.open_connection(*s.url.removeprefix("http://").split(":"))
         writer.write(said)
         assert (await reader.readline()).split()[1] == b"400"
         writer.close()
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert len(host.requests) == 1
 
 
@@ -127,7 +127,7 @@
 ) -> None:
     host = UpstreamHost(lambda _: reply)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         left, counters = {"X-Deadline-Ms": "300"} if reply is None else {}, s.proxy.counters
         status = (await s.ask(kind, left))[0]
         while reply is None and not host.requests:  # the machine stalled: time was up before the request was written
@@ -138,12 +138,12 @@
         assert counters[f"legs_{outcome}"] == counters["legs_sent"] - unwritten == 1
         assert counters["answers_overdue"] == 0
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert len(host.requests) == 1
 
 
 def test_a_host_that_is_not_there_is_a_connect_failure_and_the_next_one_serves(tmp_path: Path) -> None:
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         with socket.socket() as nobody:
             nobody.bind(("127.0.0.1", 0))
             down = f"127.0.0.1:{nobody.getsockname()[1]}"
@@ -155,20 +155,20 @@
                 assert (await s.ask("pay"))[0] == 200
         assert s.proxy.counters["legs_ok"] >= 1
 
-    play(tmp_path, story, UpstreamHost(), MaxAttempts=2)
+    play(tmp_path, scenario, UpstreamHost(), MaxAttempts=2)
 
 
 def test_a_request_on_a_dead_kept_connection_is_not_sent_once_more(tmp_path: Path) -> None:
     host = UpstreamHost(lambda n: OK if n == 1 else b"")
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask())[0] == 200
         await asyncio.sleep(0.05)
         status, _, headers = await s.ask()
         assert (status, float(headers["Retry-After"]) <= 1.0) == (503, True)
         assert s.proxy.counters["legs_reset"] == 1
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert (len(host.requests), host.connections) == (2, 1)
 
 
@@ -176,7 +176,7 @@
 def test_a_client_that_leaves_takes_its_leg_along(tmp_path: Path, may_cancel: bool) -> None:
     host = UpstreamHost(lambda _: None)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         asked = asyncio.ensure_future(s.ask())
         await until(lambda: len(host.requests) == 1)
         asked.cancel()
@@ -184,13 +184,13 @@
         await until(lambda: s.proxy.counters["legs_cancelled"] == 1)
         assert s.proxy.counters["clients_left"] == 1
 
-    play(tmp_path, story, host, Cancel=may_cancel)
+    play(tmp_path, scenario, host, Cancel=may_cancel)
 
 
 def test_a_stopping_proxy_still_serves_but_each_answer_closes_its_connection(tmp_path: Path) -> None:
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert "Connection" not in (await s.ask())[2]
         stopping = asyncio.ensure_future(s.proxy.stop(linger=3.0))
         await asyncio.sleep(0)
@@ -203,7 +203,7 @@
         with pytest.raises(aiohttp.ClientConnectorError):
             await s.ask()
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
     assert len(host.requests) == 4
 
 
@@ -223,7 +223,7 @@
     handle = Balancer.handle
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         with monkeypatch.context() as patch:
             patch.setattr(Balancer, "handle", faulty)
             assert (await s.ask("pay", {"X-Deadline-Ms": "100"}))[0] == status
@@ -231,7 +231,7 @@
         await until(lambda: forgets or s.proxy.counters["lists_remembered"] == 2)
         assert (await s.ask("pay"))[0] == 200
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
 
 
 @pytest.mark.parametrize("indent", [None, 1, 4, "\t"])
@@ -240,7 +240,7 @@
 ) -> None:
     old, new = UpstreamHost(), UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         change = {
             "version": 7,
             "full": False,
@@ -261,7 +261,7 @@
         assert s.discovery.watches[1].endswith(b"from=7")
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, old, new)
+    play(tmp_path, scenario, old, new)
     assert len(new.requests) >= 9
 
 
@@ -269,11 +269,11 @@
 def test_a_silent_watch_is_left_and_asked_for_anew(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, mode: str) -> None:
     monkeypatch.setattr("cranebank.discovery.routing_table.CALL_TIMEOUT_S", 0.2)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         await until(lambda: len(s.discovery.watches) >= 2)
         assert s.discovery.watches[0] == b"/api/targets?watch=1&from=1"
 
-    play(tmp_path, story, UpstreamHost(), mode=mode)
+    play(tmp_path, scenario, UpstreamHost(), mode=mode)
 
 
 def test_a_call_whose_syn_is_lost_reaches_discovery_with_the_next_one() -> None:
@@ -285,7 +285,7 @@
             writer.write(answer(200, b'{"version": 2, "full": true, "servers": []}\n'))
         writer.close()
 
-    async def story(listener: socket.socket) -> None:
+    async def scenario(listener: socket.socket) -> None:
         host, port = listener.getsockname()
         table = RoutingTable(f"{host}:{port}", ListReader(()), news.append, counters, Log("test"), module_asks=True)
         table.watch(True)
@@ -307,7 +307,7 @@
             one = crowd.enter_context(socket.socket())
             one.setblocking(False)
             one.connect_ex(listener.getsockname())
-        asyncio.run(story(listener))
+        asyncio.run(scenario(listener))
 
 
 @pytest.mark.parametrize("reply", [answer(503), b"", None, b"rubbish\r\n\r\n", answer(200, b"x" * 99)])
@@ -317,13 +317,13 @@
     monkeypatch.setattr("cranebank.discovery.routing_table.CALL_TIMEOUT_S", 0.2)
     monkeypatch.setattr(Discovery, "talk", UpstreamHost(lambda _: reply).talk)
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         await until(lambda: s.proxy.counters["lists_refused"] == 2)
         # A new watch is opened only after the previous one has ended, and by one party only.
         assert s.proxy.counters["watches_opened"] <= s.proxy.counters["watches_ended"] + 1 <= 4
         assert (await s.ask())[0] == 200
 
-    play(tmp_path, story, UpstreamHost())
+    play(tmp_path, scenario, UpstreamHost())
 
 
 @pytest.mark.parametrize("indent", [None, 1, 2, "\t"])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -33,7 +33,7 @@
 
 
 def test_it_serves_counts_and_finishes_what_it_took(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         host = UpstreamHost(lambda n: None if n == 2 else b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes")
         async with listening(host.talk) as address, listening(Discovery().talk) as discovery:
             process, url = await program(tmp_path, configuration(discovery, [entry("s0", address)]))
@@ -58,13 +58,13 @@
         last = json.loads(errors.decode().splitlines()[-1])
         assert (last["requests_taken"], last["legs_sent"], last["answers_declined"]) == (2, 2, 1)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_after_sigterm_kept_connections_are_served_till_the_time_to_finish_is_needed(tmp_path: Path) -> None:
     """While the zone's other proxies are only starting, nobody else serves; new connections are no longer accepted."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         host = UpstreamHost(lambda n: None if n > 1 and host.requests[-1].startswith(b"POST") else OK)
         async with listening(host.talk) as address, listening(Discovery().talk) as discovery:
             process, url = await program(tmp_path, configuration(discovery, [entry("s0", address)]))
@@ -112,11 +112,11 @@
         counted = json.loads(errors.decode().splitlines()[-1])
         assert counted["requests_taken"] == counted["answers_served"] + 1 == number + 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_on_sighup_it_moves_to_the_discovery_in_the_file_and_keeps_what_it_has(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         host, old, new = UpstreamHost(lambda _: None), Discovery(), Discovery()
         async with listening(host.talk) as address, listening(old.talk) as before, listening(new.talk) as after:
             document = configuration(before, [entry("s0", address)])
@@ -142,13 +142,13 @@
             await process.communicate()
         assert process.returncode == 0
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_sighup_that_comes_while_it_reads_its_first_configuration_counts(tmp_path: Path) -> None:
     """The configuration file is a pipe, so the signal arrives during the read; then the next file is in its place."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         host, old, new, pipe = UpstreamHost(), Discovery(), Discovery(), tmp_path / "config.json"
         os.mkfifo(pipe)
         async with listening(host.talk) as address, listening(old.talk) as before, listening(new.talk) as after:
@@ -171,7 +171,7 @@
             await process.communicate()
         assert process.returncode == 0
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_proxy_does_without_tls(tmp_path: Path) -> None:
--- a/tests/test_stage_balancer_driver.py
+++ b/tests/test_stage_balancer_driver.py
@@ -112,14 +112,14 @@
         consensus.handle(0.0, events.Evacuate(1, BACKEND.zone, True))
         return connection
 
-    async def story() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(stage_balancer_driver, "connect", connect)
         driver, balancer = driver_of(consensus)
         driver._execute(action)
         await asyncio.gather(*driver._tasks._tasks)
         assert balancer.events == [event] and connection.asked == []
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_the_balancer_sees_no_backend_of_an_evacuated_zone() -> None:
--- a/tests/test_tallies_program.py
+++ b/tests/test_tallies_program.py
@@ -73,7 +73,7 @@
 
 
 def test_acknowledged_adds_are_read_back_at_every_controller_also_after_a_restart(tmp_path: Path) -> None:
-    async def story(ports: Ports) -> None:
+    async def scenario(ports: Ports) -> None:
         async with fleet(tmp_path, ports, ALL, is_first=True):
             for number in range(6):
                 assert (await amend(ports, ALL[number % 3], "t", f"call-{number}", number))[0] == 200
@@ -85,7 +85,7 @@
             for ip in ALL:
                 await until_total(ports, ip, "t", 15)
 
-    play(story, 40.0)
+    play(scenario, 40.0)
 
 
 class HangingDisk:
@@ -124,13 +124,13 @@
 
 @pytest.mark.parametrize("refuses", [True, False])
 def test_an_add_that_is_on_no_disk_is_not_acknowledged_nor_refused(refuses: bool) -> None:
-    async def story(ports: Ports) -> None:
+    async def scenario(ports: Ports) -> None:
         async with lone(ports, HangingDisk(refuses)):
             begun = asyncio.get_running_loop().time()
             assert (await amend(ports, ONE, "t", "1", 1))[0] == 504
             assert asyncio.get_running_loop().time() - begun < CALLER_S
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
     ],
 )
 def test_bad_input_is_named_and_adds_nothing(body: bytes, key: str) -> None:
-    async def story(ports: Ports) -> None:
+    async def scenario(ports: Ports) -> None:
         async with lone(ports, NoDisk()), caller(ports) as client:
             status, _, answer = await client.call("POST", "/api/Tallies.Amend/t", body)
             assert (status, json.loads(answer)["key"]) == (400, key)
@@ -159,11 +159,11 @@
             assert (await amend(ports, ONE, "t", "1", -3))[0] == 200
             assert await total(ports, ONE, "t") == -3
 
-    play(story)
+    play(scenario)
 
 
 def test_a_controller_without_any_other_takes_adds_and_they_are_whole_after_it_meets_the_others(tmp_path: Path) -> None:
-    async def story(ports: Ports) -> None:
+    async def scenario(ports: Ports) -> None:
         async with fleet(tmp_path, ports, (ONE,), is_first=True):
             assert (await amend(ports, ONE, "t", "1", 1))[0] == 200
         async with fleet(tmp_path, ports, (TWO,), is_first=True):
@@ -173,15 +173,15 @@
             for ip in ALL:
                 await until_total(ports, ip, "t", 3)
 
-    play(story, 40.0)
+    play(scenario, 40.0)
 
 
 def test_adds_that_come_together_are_all_acknowledged(tmp_path: Path) -> None:
-    async def story(ports: Ports) -> None:
+    async def scenario(ports: Ports) -> None:
         async with fleet(tmp_path, ports, ALL, is_first=True) as made:
             await amend(ports, ONE, "t", "first", 1)
             answers = await asyncio.gather(*(amend(ports, ALL[n % 3], f"t{n % 7}", str(n), n) for n in range(200)))
             assert {status for status, _, _ in answers} == {200}
             assert sum(controller.tallies.counts.acknowledged for controller in made) == 201
 
-    play(story, 40.0)
+    play(scenario, 40.0)
