--- a/cranebank/programs/command.py
+++ b/cranebank/programs/command.py
@@ -242,7 +242,7 @@
 
 
 def backup(folder: Path, file: Path) -> int:
-    """Copy a controller's custody file and verify its checksums.
+    """Copy a controller's consensus file (named custody) and verify its checksums.
 
     The controller may be running. The copy serves for restore and for inspecting a replica's state.
 
@@ -277,7 +277,7 @@
 
     :param file: copy made by backup
     :param folder: data folder of a controller that is not running; must be empty
-    :param replace: rename a custody file that is already in the folder, and put the new one in its place
+    :param replace: rename a consensus file that is already in the folder, and put the new one in its place
     """
     from cranebank.control.consensus_file import ConsensusFileError  # noqa: PLC0415
     from cranebank.control.consensus_file import restore as put_back  # noqa: PLC0415
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -273,8 +273,8 @@
             assert await asyncio.to_thread(command.main, ["show", address]) == 0
 
     play(scenario)
-    sent_numbers = capsys.readouterr()
-    assert "unknown_zone" in sent_numbers.err and "evacuated     z" in sent_numbers.out
+    output = capsys.readouterr()
+    assert "unknown_zone" in output.err and "evacuated     z" in output.out
 
 
 def test_only_the_primary_confirms_an_evacuation(tmp_path: Path) -> None:
