--- a/cranebank/dataplane/proxy.py
+++ b/cranebank/dataplane/proxy.py
@@ -345,17 +345,17 @@
             share = PREFILL_CACHE_SHARE if record.stage == "prefill" else CACHE_SHARE
             self.shared.cache.record_prefix(backend, part, tokens, service.engine.cache_tokens, share)
 
-    def prefill_begun(self, told: PrefillBegun) -> None:
+    def prefill_begun(self, prefill: PrefillBegun) -> None:
         """Record that another proxy has sent a prefill to a backend."""
-        view = self.shared.candidates.views.get(told.backend)
-        if view is None or view.backend.stage != "prefill" or not 0 < told.tokens <= MAX_PROMPT_TOKENS:
+        view = self.shared.candidates.views.get(prefill.backend)
+        if view is None or view.backend.stage != "prefill" or not 0 < prefill.tokens <= MAX_PROMPT_TOKENS:
             return
         now = asyncio.get_running_loop().time()
-        if told.slowness > 0.0:
-            view.slowness.observe(now, told.slowness)
-        self.shared.choices.pairs.begin_prefill(now, view.backend.target, view, told.tokens)
-        if told.part:
-            self.record_cached_prefix(told.backend, told.part, told.shared)
+        if prefill.slowness > 0.0:
+            view.slowness.observe(now, prefill.slowness)
+        self.shared.choices.pairs.begin_prefill(now, view.backend.target, view, prefill.tokens)
+        if prefill.part:
+            self.record_cached_prefix(prefill.backend, prefill.part, prefill.shared)
 
     @property
     def ready(self) -> bool:
