--- a/tests/peers.py
+++ b/tests/peers.py
@@ -239,7 +239,7 @@
 def play(
     tmp_path: Path, scenario: Callable[[ProxyHarness], Awaitable[None]], *hosts: UpstreamHost, **limits: Any
 ) -> None:
-    """Run a test story with a proxy of its own."""
+    """Run a scenario with a proxy of its own."""
 
     async def whole() -> None:
         async with running(tmp_path, *hosts, **limits) as started:
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -13,28 +13,28 @@
 
 @pytest.mark.parametrize("tenant", ["", "acme"], ids=["none named", "one named all the same"])
 def test_where_there_are_no_tenants_nobody_must_name_one(tmp_path: Path, tenant: str) -> None:
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         for kind in ("look", "order", "pay"):
             assert (await s.ask(kind, {"X-Tenant": tenant}))[0] == 200
 
-    play(tmp_path, story, UpstreamHost(), told={"Realms": []})
+    play(tmp_path, scenario, UpstreamHost(), told={"Realms": []})
 
 
 def test_where_there_are_tenants_an_unknown_one_gets_400(tmp_path: Path) -> None:
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask(changes={"X-Tenant": "nobody"}))[0] == 400
 
-    play(tmp_path, story, UpstreamHost())
+    play(tmp_path, scenario, UpstreamHost())
 
 
 def test_a_class_that_is_unsafe_needs_no_key_and_passes_none_on(tmp_path: Path) -> None:
     host = UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         assert (await s.ask("pay", {"Idempotency-Key": ""}, b"order"))[0] == 200
         assert b"idempotency-key" not in host.requests[0].lower()
 
-    play(tmp_path, story, host)
+    play(tmp_path, scenario, host)
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
@@ -44,7 +44,7 @@
     """A dial may take longer than the grace: the list is looked at once more when the connection is there."""
     slow, other = UpstreamHost(), UpstreamHost()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         links, told = s.proxy._pool, asyncio.Event()
         take = links.take
 
@@ -64,18 +64,18 @@
         assert slow.requests == []
         assert s.proxy.counters["legs_moot"] == 1
 
-    play(tmp_path, story, slow, other, MaxAttempts=3)
+    play(tmp_path, scenario, slow, other, MaxAttempts=3)
 
 
 def test_all_attempts_are_used_where_nobody_listens_and_no_more(tmp_path: Path) -> None:
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         line = {"version": 2, "full": True, "servers": [entry(f"d{i}", f"127.0.0.1:{1 + i}") for i in range(12)]}
         s.discovery.lines.put_nowait(json.dumps(line).encode())
         await until(lambda: s.proxy.counters["lists_all"] == 1)
         assert (await s.ask("pay"))[0] == 503  # none ran: trying again is harmless
         assert s.proxy.counters["legs_sent"] == s.proxy.counters["legs_connect_failed"] == 6
 
-    play(tmp_path, story, UpstreamHost(), MaxAttempts=6)
+    play(tmp_path, scenario, UpstreamHost(), MaxAttempts=6)
 
 
 def test_a_swallowed_call_gets_a_second_copy_and_the_loser_is_ended(tmp_path: Path) -> None:
@@ -83,7 +83,7 @@
     hosts = UpstreamHost(lambda n: None if n in hushed else OK), UpstreamHost()
     names = itertools.count()
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         async def ask() -> int:
             return (await s.ask("look", {"X-Request-Id": f"q{next(names)}"}))[0]
 
@@ -100,4 +100,4 @@
         await hosts[0].closed.wait()
         assert s.proxy.counters["legs_second"] >= 1 <= s.proxy.counters["legs_cancelled"]
 
-    play(tmp_path, story, *hosts, MaxAttempts=3, SecondCopies=True)
+    play(tmp_path, scenario, *hosts, MaxAttempts=3, SecondCopies=True)
--- a/tests/test_system_commands.py
+++ b/tests/test_system_commands.py
@@ -337,9 +337,9 @@
         "core-1", "127.0.11.1", "z", (7300, 7315), ("127.0.11.1:8262",), data_dir=str(tmp_path / "new")
     )
 
-    async def story() -> None:
+    async def scenario() -> None:
         controller = await make_controller(settings, lambda: settings)
         status = controller.overview()
         assert (status["revision"], status["epoch"], status["is_primary"]) == (7, -1, False)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
