--- a/cranebank/lab/simulated/__init__.py
+++ b/cranebank/lab/simulated/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory in simulated time: the same scenarios, models, rules layer and judge, at sizes sockets don't reach."""
+"""The laboratory in simulated time: same scenarios, models, rules layer and judge, for fleets too large for sockets."""
--- a/cranebank/lab/simulated/world.py
+++ b/cranebank/lab/simulated/world.py
@@ -779,7 +779,7 @@
         """Judge it and sum it up."""
         encode = msgspec.json.encode
         for record in self.records:
-            self.kernel.note(encode(record))
+            self.kernel.add_to_digest(encode(record))
         verdict = judge(self.scenario, self.plan, self.records)
         result = summarise(self.scenario, self.records, verdict)
         return msgspec.structs.replace(result, digest=self.kernel.digest(), events=self.kernel.events)
--- a/tests/test_lab_simulated.py
+++ b/tests/test_lab_simulated.py
@@ -39,7 +39,7 @@
         kernel.at(at, seen.append, name)
     kernel.at(4, lambda: kernel.at(1, seen.append, "late"))
     kernel.run()
-    assert (seen, kernel.now, kernel.waiting) == (["a", "late", "b", "c"], 5, 0)
+    assert (seen, kernel.now, kernel.pending_count) == (["a", "late", "b", "c"], 5, 0)
 
 
 def test_cancelled_events_do_not_happen_and_their_place_is_given_back() -> None:
@@ -49,7 +49,7 @@
         for event in [kernel.at(10**8 + turn, seen.append, turn) for _ in range(100)]:
             event.cancel()
             event.cancel()
-        assert kernel.waiting <= 2 * 64 + 2
+        assert kernel.pending_count <= 2 * 64 + 2
     kernel.run()
     assert seen == ["kept"]
     kept.cancel()  # it has happened
