--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -56,7 +56,7 @@
     """One run, one line."""
     copies, hosts, requests, subset = (*map(int, sys.argv[1:]), 0)[:4]
     told = scenario(copies, hosts, requests, subset)
-    world = World(told, make=Timed)
+    world = World(told, make_decisions=Timed)
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     began = time.perf_counter()
     for proxy in world.proxies.values():
--- a/cranebank/lab/simulated/world.py
+++ b/cranebank/lab/simulated/world.py
@@ -1,8 +1,9 @@
-"""A scenario in simulated time: hosts, proxies, clients, discovery and the network between them, in one process.
+"""Plays a scenario in simulated time: hosts, proxies, clients, discovery and their network, in one process.
 
 The module, the rules layer (``core.rules``), the stand-in hosts, the clients, discovery's registry and the judge are
-those of the program and of the socket laboratory, unmodified. What is written here is what asyncio and TCP are there:
-connections with handshakes, caps and idle ends, delays, silence, and processes that die.
+those of the program and of the socket laboratory, unmodified. This file replaces asyncio and TCP: connections with
+handshakes, caps and idle timeouts, network delays, peers that don't answer, and processes that die.
+Durations ending in ``_US`` are microseconds.
 """
 
 from __future__ import annotations
@@ -37,31 +38,31 @@
 from cranebank.lab.streams import stream
 from cranebank.routing.subset import Subset, SubsetSpec
 
-EPOCH = 1_700_000_000_000_000  # the module's clock: microseconds at the start of a run, as Unix time has them
-BEFORE = 500_000  # proxies are up so long before the first request
-BOOT = 500_000  # a proxy that starts again is ready after so long
-MARGIN = 5_000  # a proxy answers so long before its caller gives up (http.frontend)
-LINGER = 500_000  # a proxy that is told to stop accepts for so long
-SILENCE, CALL_TIMEOUT = 2_500_000, 4_000_000  # discovery.routing_table
-SYN_AGAIN = 1_000_000  # TCP sends a lost SYN again so long after, then after twice as long (RFC 6298)
-IDLE_MARGIN = 1_000_000  # daemon: idle connections are dropped so long before the host would
-DRAWS = 4096
+RUN_START_UNIX_US = 1_700_000_000_000_000  # Unix time at the start of a run, for the module's clock
+PROXY_LEAD_US = 500_000  # proxies start this long before the first request
+PROXY_RESTART_US = 500_000  # time that a restarted proxy takes until it is ready
+ANSWER_MARGIN_US = 5_000  # a proxy answers this long before its caller's deadline (as http.frontend)
+ACCEPT_AFTER_STOP_US = 500_000  # a proxy accepts requests for this long after SIGTERM
+WATCH_TIMEOUT_US, CALL_TIMEOUT_US = 2_500_000, 4_000_000  # as discovery.routing_table
+SYN_RETRY_US = 1_000_000  # TCP resends a lost SYN after this time, then after twice as long (RFC 6298)
+IDLE_MARGIN_US = 1_000_000  # idle connections are closed this long before the host would (as the daemon)
+JITTER_DRAWS = 4096  # random numbers drawn at once
 
 
-class _Time:
-    """The module's milliseconds."""
+class _ModuleClock:
+    """Converts simulated microseconds to the module's milliseconds and back."""
 
     def module_ms(self, at: int) -> float:
-        return (at + EPOCH) / 1000.0
+        return (at + RUN_START_UNIX_US) / 1000.0
 
     def from_module_ms(self, at: float) -> int:
-        return -(-int(at * 1000.0 + 0.5) // 1) + 1 - EPOCH
+        return -(-int(at * 1000.0 + 0.5) // 1) + 1 - RUN_START_UNIX_US
 
 
 class Link:
-    """A connection between a proxy and a host; ``flight`` is what the proxy has out on it."""
+    """A connection between a proxy and a host; ``flight`` is the leg or probe that the proxy awaits on it."""
 
-    __slots__ = ("flight", "host", "idle_from", "kept", "open", "proxy", "request")
+    __slots__ = ("flight", "host", "idle_from", "open", "proxy", "request", "unread")
 
     def __init__(self, proxy: Proxy, host: Host) -> None:
         self.proxy, self.host = proxy, host
@@ -69,18 +70,18 @@
         self.flight: Flight | None = None
         self.open = True
         self.idle_from = 0
-        self.kept: Flight | None = None  # sent to a host that reads nothing
+        self.unread: Flight | None = None  # sent while the host doesn't read; read when it resumes
 
     def answer(self, status: int, body: bytes = b"", load: str = "", not_run: bool = False) -> None:
-        """A whole answer."""
+        """Send a complete answer."""
         self._send("answer", status, body, not_run)
 
     def spoil(self, cut: bool) -> None:
-        """An answer that can't be read."""
+        """Send an unreadable answer; the proxy sees a broken connection."""
         self._send("broke", 0, b"", False)
 
     def abort(self) -> None:
-        """The host ends the connection."""
+        """Close the connection from the host's side."""
         self.host.links.pop(self, None)
         self.request = None
         self._send("broke", 0, b"", False)
@@ -92,7 +93,7 @@
 
 
 class Flight:
-    """A leg or a probe on its way."""
+    """A leg, or a probe (``leg`` is None), that a proxy sends to a host."""
 
     __slots__ = ("done", "leg", "link", "sent", "server", "timer")
 
@@ -111,15 +112,15 @@
         self.world = world
 
     def gate(self, refuse: bool, silent: bool = False) -> None:
-        """Refuse new connections or accept them."""
+        """Refuse new connections, or accept them again."""
         self.refusing = refuse
 
     def take(self, link: Link, flight: Flight) -> None:
-        """A leg or a probe has come."""
+        """Receive a leg or a probe; a host that doesn't read keeps it on the link."""
         if not link.open:
             return
         if self.hushed:
-            link.kept = flight
+            link.unread = flight
         elif flight.leg is None:
             self.probe(link, True)
         else:
@@ -130,13 +131,13 @@
     def _heard_again(self) -> None:
         for link in list(self.links):
             assert isinstance(link, Link)
-            if (flight := link.kept) is not None:
-                link.kept = None
+            if (flight := link.unread) is not None:
+                link.unread = None
                 self.take(link, flight)
 
 
 class Out:
-    """A caller's request to a proxy."""
+    """A caller's outstanding request to a proxy."""
 
     __slots__ = ("ask", "done", "left", "over", "proxy", "reply", "zone")
 
@@ -146,14 +147,14 @@
         self.left = self.over = False
 
     def leave(self) -> None:
-        """Wait no longer."""
+        """Give up: the proxy learns that its caller has left."""
         self.left = True
         world = self.proxy.world
         if not self.over and (delay := world.delay(self.zone, self.proxy.plan.zone)) is not None:
             world.kernel.at(world.kernel.now + delay, self.proxy.forsaken, self)
 
     def finish(self, status: int, digest: str, retry_after: int, trouble: str) -> None:
-        """The answer has come, or the end of the connection."""
+        """Hand the answer, or the failure of the connection, to the caller."""
         if self.left or self.over:
             return
         self.over = True
@@ -163,7 +164,7 @@
 
 
 class Proxy:
-    """One proxy: the rules layer, and its connections."""
+    """A simulated proxy: the rules layer and its connections."""
 
     def __init__(self, world: World, plan: ProxyPlan, settings: api.Settings, seed: int) -> None:
         self.world, self.plan, self.settings, self._seed = world, plan, settings, seed
@@ -178,36 +179,38 @@
         self._flights: dict[rules.Leg, Flight] = {}
         self._closing = False
         scenario = world.scenario
-        self._idle_for = max(100_000, us(scenario.connections.idle_s) - IDLE_MARGIN)
-        self._dial = round(scenario.connections.dial_timeout_ms * 1000)
-        self._most = scenario.limits.sockets * 7 // 16
-        self._slow = round(scenario.net.proxy_ms * 1000)
+        self._idle_timeout_us = max(100_000, us(scenario.connections.idle_s) - IDLE_MARGIN_US)
+        self._dial_timeout_us = round(scenario.connections.dial_timeout_ms * 1000)
+        self._max_links = scenario.limits.sockets * 7 // 16
+        self._processing_us = round(scenario.net.proxy_ms * 1000)
 
-    # Its life.
+    # Start and end.
 
     def start(self, known: tuple[rules.Host, ...]) -> None:
-        """Start from nothing, with the list as it was last known."""
+        """Start the process without state, with the last known list of hosts."""
         self._seed += 1
         self._closing = False
-        told = self.world.scenario.subset
+        spec = self.world.scenario.subset
         subset = (
             Subset(
-                SubsetSpec(told.size, told.from_hosts, told.cover),
+                SubsetSpec(spec.size, spec.from_hosts, spec.cover),
                 self.settings.slot,
                 self.settings.copies,
                 self.plan.zone,
                 self.settings.cross_zone_price > 0,
             )
-            if told.size
+            if spec.size
             else None
         )
-        self.rules = rules.Rules(self.settings, self._seed, _Time(), self.counters, self.world.make, subset)
+        self.rules = rules.Rules(
+            self.settings, self._seed, _ModuleClock(), self.counters, self.world.make_decisions, subset
+        )
         self.drive(rules.RoutingUpdate(api.ListKind.REMEMBERED, known))
         if not self.settings.watch_by_asking:
             self.world.discovery.watch(self, 1)
 
     def die(self) -> None:
-        """The process ends: connections are reset, nothing is remembered."""
+        """Kill the process: connections are reset and all state is lost."""
         self.rules = None
         self.world.discovery.leave(self)
         for event in self._alarms.values():
@@ -222,8 +225,8 @@
         self.hosts.clear()
 
     def stop(self) -> None:
-        """SIGTERM: accept for a moment more, end what was taken, end."""
-        self.world.kernel.at(self.world.kernel.now + LINGER, self._refuse)
+        """Handle SIGTERM: accept for a short time, finish the accepted requests, then end."""
+        self.world.kernel.at(self.world.kernel.now + ACCEPT_AFTER_STOP_US, self._refuse)
 
     def _refuse(self) -> None:
         self._closing = True
@@ -232,31 +235,31 @@
     def _end_if_idle(self) -> None:
         if self.rules is not None and not self.outs:
             self.die()
-            self.world.lived(self, "ended")
+            self.world.record_state(self, "ended")
 
     # Callers.
 
     def take(self, out: Out) -> None:
-        """A request has come."""
+        """Receive a request, or refuse it when the proxy is down or closing."""
         if self.rules is None or self._closing:
             out.reply.sent = -1
             self.world.later(self.plan.zone, out.zone, out.finish, 0, "", 0, "refused")
             return
         self.outs[out] = None
-        self.world.kernel.at(self.world.kernel.now + self._slow, self._arrived, out, self.rules)
+        self.world.kernel.at(self.world.kernel.now + self._processing_us, self._arrived, out, self.rules)
 
-    def _arrived(self, out: Out, taken_by: rules.Rules) -> None:
-        if self.rules is not taken_by or out not in self.outs:
+    def _arrived(self, out: Out, expected_rules: rules.Rules) -> None:
+        if self.rules is not expected_rules or out not in self.outs:
             return
         ask, now = out.ask, self.world.kernel.now
         longest = round(self.settings.classes[ask.kind].deadline * 1000)
-        left = min(ask.left, longest) - MARGIN
+        left = min(ask.left, longest) - ANSWER_MARGIN_US
         self.counters.add("requests_taken")
         call = rules.Call(ask.kind, ask.tenant, left, ask, ask.hint / 1000.0 if ask.hint else None, ask.again, ask.id)
-        self.drive(rules.RequestArrived(call, out, now - self._slow))
+        self.drive(rules.RequestArrived(call, out, now - self._processing_us))
 
     def forsaken(self, out: Out) -> None:
-        """A caller has left."""
+        """Handle a caller that gave up its request."""
         if out in self.outs and self.rules is not None:
             del self.outs[out]
             self.drive(rules.ClientLeft(out))
@@ -264,17 +267,19 @@
                 self._end_if_idle()
 
     def answer(self, out: Out, status: int, digest: str, retry_after: int, trouble: str = "") -> None:
-        """The end of a request."""
+        """Send the outcome of a request to its caller."""
         if self.outs.pop(out, 0) is None:
             world = self.world
             delay = world.delay(self.plan.zone, out.zone)
             if delay is not None:
-                world.kernel.at(world.kernel.now + self._slow + delay, out.finish, status, digest, retry_after, trouble)
+                world.kernel.at(
+                    world.kernel.now + self._processing_us + delay, out.finish, status, digest, retry_after, trouble
+                )
 
     # The rules layer.
 
     def drive(self, message: rules.Message) -> None:
-        """Bring a message and carry out the orders."""
+        """Give the rules layer a message and carry out its orders."""
         if self.rules is None:
             return
         if isinstance(message, rules.DeadlinePassed | rules.LegTimedOut):
@@ -291,7 +296,7 @@
             case rules.SetAlarm(at, alarm):
                 event = self.world.kernel.at(at, self._alarm, alarm, self.rules)
                 if isinstance(alarm, rules.DeadlinePassed | rules.LegTimedOut):
-                    self._alarms[id(alarm)] = event  # the event keeps the alarm, and so its identity
+                    self._alarms[id(alarm)] = event  # the event references the alarm, so its id isn't reused
             case rules.CancelAlarm(alarm):
                 if (event_ := self._alarms.pop(id(alarm), None)) is not None:
                     event_.cancel()
@@ -305,33 +310,33 @@
                         self.answer(out, 502, "", 0)
             case rules.CancelLeg(leg):
                 if (flight := self._flights.pop(leg, None)) is not None:
-                    self._end_flight(flight)
+                    self._abandon(flight)
             case rules.ProbeHost(server):
                 self._probe(server)
-            case rules.UpdateUpstreams(news):
-                self._relisted(news)
+            case rules.UpdateUpstreams(update):
+                self._update_hosts(update)
             case rules.Watch(enable):
                 if enable:
                     self.world.discovery.watch(self, self.world.discovery.version(self))
             case rules.LogLine("error", event_name, fields):
-                self.world.faults.append(f"{self.plan.name}: {event_name}: {fields}")
+                self.world.errors.append(f"{self.plan.name}: {event_name}: {fields}")
 
-    def _alarm(self, alarm: rules.Alarm, set_by: rules.Rules) -> None:
-        if set_by is self.rules:
+    def _alarm(self, alarm: rules.Alarm, expected_rules: rules.Rules) -> None:
+        if expected_rules is self.rules:
             self.drive(alarm)
 
-    def _relisted(self, news: rules.RoutingUpdate) -> None:
-        if news.kind in (api.ListKind.ALL, api.ListKind.REMEMBERED):
-            named = {host.entry.server for host in news.hosts}
+    def _update_hosts(self, update: rules.RoutingUpdate) -> None:
+        if update.kind in (api.ListKind.ALL, api.ListKind.REMEMBERED):
+            named = {host.entry.server for host in update.hosts}
             for server in [server for server in self.hosts if server not in named]:
-                self._gone(server)
-        for host in news.hosts:
+                self._remove_host(server)
+        for host in update.hosts:
             if host.entry.state is api.ServerState.OUT:
-                self._gone(host.entry.server)
+                self._remove_host(host.entry.server)
             else:
                 self.hosts[host.entry.server] = host
 
-    def _gone(self, server: str) -> None:
+    def _remove_host(self, server: str) -> None:
         self.hosts.pop(server, None)
         for link in self._idle.pop(server, ()):
             self._close(link)
@@ -342,36 +347,37 @@
         host = self.hosts.get(leg.server)
         if host is None or host.entry.state is not api.ServerState.IN:
             self._flights[leg] = flight = Flight(leg.server, leg, self.world.kernel.now)
-            self._ended(flight, api.Outcome.MOOT)
+            self._report_outcome(flight, api.Outcome.MOOT)
             return
         self._flights[leg] = flight = Flight(leg.server, leg, self.world.kernel.now)
-        self._go(flight)
+        self._dispatch(flight)
 
     def _probe(self, server: str) -> None:
         flight = Flight(server, None, self.world.kernel.now)
         if server not in self.hosts:
-            self._ended(flight, api.Outcome.MOOT)
+            self._report_outcome(flight, api.Outcome.MOOT)
             return
-        flight.timer = self.world.kernel.at(flight.sent + 2 * self._dial, self._silent, flight)
-        self._go(flight)
+        flight.timer = self.world.kernel.at(flight.sent + 2 * self._dial_timeout_us, self._silent, flight)
+        self._dispatch(flight)
 
     def _silent(self, flight: Flight) -> None:
+        """Handle the timeout of a probe."""
         if not flight.done:
-            self._end_flight(flight)
-            self._ended(flight, api.Outcome.TIMEOUT)
+            self._abandon(flight)
+            self._report_outcome(flight, api.Outcome.TIMEOUT)
 
-    def _go(self, flight: Flight) -> None:
-        """Out on a connection that is idle, or a new one."""
+    def _dispatch(self, flight: Flight) -> None:
+        """Send on an idle connection, or open a new one if the limit of connections allows."""
         now, idle = self.world.kernel.now, self._idle.get(flight.server)
         while idle:
             link = idle.pop()
-            if link.open and link.idle_from + self._idle_for > now:
+            if link.open and link.idle_from + self._idle_timeout_us > now:
                 self.counters.add("connections_reused")
-                self._write(flight, link)
+                self._write_request(flight, link)
                 return
             self._close(link)
-        if self.links_open >= self._most and not self._make_room():
-            self._ended(flight, api.Outcome.MOOT if flight.leg else api.Outcome.FULL)
+        if self.links_open >= self._max_links and not self._make_room():
+            self._report_outcome(flight, api.Outcome.MOOT if flight.leg else api.Outcome.FULL)
             return
         self._connect(flight)
 
@@ -387,57 +393,59 @@
     def _connect(self, flight: Flight) -> None:
         world, now = self.world, self.world.kernel.now
         host = world.hosts.get(flight.server)
-        there = world.delay(self.plan.zone, host.host.zone) if host is not None else world.delay(0, 0)
-        if there is None or (host is not None and host.cut_off):
-            world.kernel.at(now + self._dial, self._not_up, flight)
+        one_way_us = world.delay(self.plan.zone, host.host.zone) if host is not None else world.delay(0, 0)
+        if one_way_us is None or (host is not None and host.cut_off):
+            world.kernel.at(now + self._dial_timeout_us, self._not_up, flight)
         elif host is None or not host.up or host.refusing:
-            world.kernel.at(now + 2 * there, self._not_up, flight)
+            world.kernel.at(now + 2 * one_way_us, self._not_up, flight)
         else:
             link = Link(self, host)
             self.links_open += 1
             self._links[link] = None
             flight.link = link
-            world.kernel.at(now + there, self._accepted, flight, link, there)
+            world.kernel.at(now + one_way_us, self._accepted, flight, link, one_way_us)
 
     def _not_up(self, flight: Flight) -> None:
+        """Handle a connection that could not be established."""
         if not flight.done:
             self._flights.pop(flight.leg, None) if flight.leg else None
-            self._ended(flight, api.Outcome.CONNECT_FAILED)
+            self._report_outcome(flight, api.Outcome.CONNECT_FAILED)
 
-    def _accepted(self, flight: Flight, link: Link, there: int) -> None:
-        """At the host."""
+    def _accepted(self, flight: Flight, link: Link, one_way_us: int) -> None:
+        """Handle the connection's arrival at the host."""
         taken = link.open and link.host.opened(link)
-        self.world.kernel.at(self.world.kernel.now + there, self._up, flight, link, taken)
+        self.world.kernel.at(self.world.kernel.now + one_way_us, self._up, flight, link, taken)
 
     def _up(self, flight: Flight, link: Link, taken: bool) -> None:
+        """Handle a connection that is established; ``taken``: the host accepted it."""
         if flight.done or not link.open:
             self._close(link)
             return
         self.counters.add("connections_opened")
-        if not taken:  # accepted and ended at once: the request was written by then
+        if not taken:  # accepted and closed at once: by then the request was written
             self._close(link)
             if flight.leg is not None:
                 flight.leg.written = True
                 self._flights.pop(flight.leg, None)
-            self._ended(flight, api.Outcome.RESET)
+            self._report_outcome(flight, api.Outcome.RESET)
             return
-        self._write(flight, link)
+        self._write_request(flight, link)
 
-    def _write(self, flight: Flight, link: Link) -> None:
+    def _write_request(self, flight: Flight, link: Link) -> None:
         flight.link, link.flight = link, flight
         if flight.leg is not None:
             flight.leg.written = True
         self.world.later(self.plan.zone, link.host.host.zone, link.host.take, link, flight)
 
     def heard(self, link: Link, flight: Flight | None, what: str, status: int, body: bytes, not_run: bool) -> None:
-        """Something has come from a host."""
+        """Handle an answer or the end of a connection (``what`` is ``broke``) from a host."""
         if not link.open or link.flight is not flight:
             return
         if what == "broke":
             self._close(link)
             if flight is not None and not flight.done:
                 self._flights.pop(flight.leg, None) if flight.leg else None
-                self._ended(flight, api.Outcome.RESET)
+                self._report_outcome(flight, api.Outcome.RESET)
             return
         link.flight = None
         link.idle_from = self.world.kernel.now
@@ -448,14 +456,14 @@
         if flight is None or flight.done:
             return
         if flight.leg is None:
-            self._ended(flight, api.Outcome.OK, body)
+            self._report_outcome(flight, api.Outcome.OK, body)
             return
         self._flights.pop(flight.leg, None)
         outcome = api.Outcome.OK if status == 200 else api.Outcome.FULL if not_run else api.Outcome.ERROR
-        self._ended(flight, outcome, body)
+        self._report_outcome(flight, outcome, body)
 
-    def _ended(self, flight: Flight, outcome: api.Outcome, body: bytes = b"") -> None:
-        """The one outcome of a leg or a probe."""
+    def _report_outcome(self, flight: Flight, outcome: api.Outcome, body: bytes = b"") -> None:
+        """Report the outcome of a leg or a probe to the rules layer, once for each."""
         flight.done = True
         if flight.timer is not None:
             flight.timer.cancel()
@@ -470,8 +478,8 @@
         digest = self.world.digest_of(body) if outcome is api.Outcome.OK else None
         self.world.kernel.at(self.world.kernel.now, self.drive, rules.LegEnded(flight.leg, outcome, None, digest))
 
-    def _end_flight(self, flight: Flight) -> None:
-        """Nobody waits any more."""
+    def _abandon(self, flight: Flight) -> None:
+        """Stop waiting for a leg or a probe and close its connection."""
         flight.done = True
         if flight.timer is not None:
             flight.timer.cancel()
@@ -488,12 +496,12 @@
 
 
 class Discovery:
-    """Discovery and its calls: late, of bounded capacity, cut off by a partition, down for a time."""
+    """Discovery and its calls: delayed, of bounded capacity, cut off by partitions, and down during outages."""
 
     def __init__(self, world: World) -> None:
         scenario = world.scenario
         self._world = world
-        self._desk = Desk(scenario.discovery.call_ms / 1000, scenario.discovery.timeout_ms / 1000)
+        self._call_queue = Desk(scenario.discovery.call_ms / 1000, scenario.discovery.timeout_ms / 1000)
         self._registries = [
             Registry([h for h in world.plan.hosts if h.tier == index], scenario.zones, [k.name for k in tier.kind])
             for index, tier in enumerate(scenario.tiers)
@@ -503,84 +511,84 @@
         self._kinds = {host.name: host.kind for host in world.plan.hosts}
         self._watching: dict[Proxy, int] = {}
         self._versions: dict[Proxy, int] = {}
-        self._last: dict[Proxy, int] = {}  # a watch is one connection: what is told first arrives first
+        self._last_delivery_us: dict[Proxy, int] = {}  # a watch is one connection, which keeps updates in order
         self._down = False
-        self._made: dict[tuple[str, str, int], rules.Host] = {}
+        self._host_cache: dict[tuple[str, str, int], rules.Host] = {}
 
     def live(self) -> None:
-        """Play the plan."""
+        """Schedule the plan's notices, outages and partitions."""
         for notice in self._world.plan.notices:
             self._world.kernel.at(notice.at, self._learn, notice)
         for outage in self._world.plan.outages:
             self._world.kernel.at(outage.at, self._set_down, True)
             self._world.kernel.at(outage.until, self._set_down, False)
         for cut in self._world.plan.cuts:
-            self._world.kernel.at(cut.at + SILENCE, self._fall_silent)
+            self._world.kernel.at(cut.at + WATCH_TIMEOUT_US, self._fall_silent)
 
     def version(self, proxy: Proxy) -> int:
-        """The version that a proxy has."""
+        """Return the version of the list that a proxy has applied."""
         return self._versions.get(proxy, 1)
 
     def known(self, tier: int) -> tuple[rules.Host, ...]:
-        """The list from before."""
+        """Return the hosts of a tier that were in service before the run."""
         return tuple(self._host(h.name, "SERVING", 0) for h in self._world.plan.hosts if h.tier == tier and not h.start)
 
     def _host(self, name: str, state: str, started: int) -> rules.Host:
-        """One entry, shared by all proxies."""
-        found = self._made.get((name, state, started))
+        """Return the entry of a host, shared by all proxies."""
+        found = self._host_cache.get((name, state, started))
         if found is None:
             states = {"SERVING": api.ServerState.IN, "DRAINING": api.ServerState.DRAINING}
-            found = self._made[name, state, started] = rules.Host(
+            found = self._host_cache[name, state, started] = rules.Host(
                 api.ServerEntry(
                     name,
                     self._zones.get(name, 0),
                     kind=self._kinds.get(name, 0),
                     state=states.get(state, api.ServerState.OUT),
-                    started=(started + EPOCH) / 1000.0 if started else 0.0,
+                    started=(started + RUN_START_UNIX_US) / 1000.0 if started else 0.0,
                 ),
                 "",
             )
         return found
 
     def watch(self, proxy: Proxy, version: int) -> None:
-        """A proxy asks for changes."""
-        self._call(proxy, proxy.rules, version, self._world.kernel.now + CALL_TIMEOUT, SYN_AGAIN)
+        """Handle a proxy's call for changes since a version."""
+        self._call(proxy, proxy.rules, version, self._world.kernel.now + CALL_TIMEOUT_US, SYN_RETRY_US)
 
-    def _call(self, proxy: Proxy, asked_by: rules.Rules | None, version: int, until: int, again: int) -> None:
-        """A call's SYN, the first or one sent again; the proxy waits until then, whatever discovery's queue."""
+    def _call(self, proxy: Proxy, expected_rules: rules.Rules | None, version: int, until: int, retry_us: int) -> None:
+        """Send the SYN of a call, first or repeated; the proxy gives up at ``until``, also while queued."""
         world, now = self._world, self._world.kernel.now
-        if proxy.rules is not asked_by:
+        if proxy.rules is not expected_rules:
             return
-        there = world.delay(proxy.plan.zone, 0)
-        if there is None and now + again < until:
-            world.kernel.at(now + again, self._call, proxy, asked_by, version, until, 2 * again)
+        one_way_us = world.delay(proxy.plan.zone, 0)
+        if one_way_us is None and now + retry_us < until:
+            world.kernel.at(now + retry_us, self._call, proxy, expected_rules, version, until, 2 * retry_us)
             return
-        wait = self._desk.wait(now / 1e6) if there is not None and not self._down else None
-        if there is None:
-            world.kernel.at(until, self._refused, proxy, asked_by)
+        wait = self._call_queue.wait(now / 1e6) if one_way_us is not None and not self._down else None
+        if one_way_us is None:
+            world.kernel.at(until, self._refused, proxy, expected_rules)
         elif wait is None:
-            world.kernel.at(now + 2 * there, self._refused, proxy, asked_by)
-        elif (answered := now + there + round(wait * 1e6)) < until:
-            world.kernel.at(answered, self._answer, proxy, asked_by, version)
+            world.kernel.at(now + 2 * one_way_us, self._refused, proxy, expected_rules)
+        elif (answered := now + one_way_us + round(wait * 1e6)) < until:
+            world.kernel.at(answered, self._answer, proxy, expected_rules, version)
         else:
-            world.kernel.at(until, self._refused, proxy, asked_by)
+            world.kernel.at(until, self._refused, proxy, expected_rules)
 
-    def _refused(self, proxy: Proxy, asked_by: rules.Rules | None) -> None:
-        if proxy.rules is asked_by:
+    def _refused(self, proxy: Proxy, expected_rules: rules.Rules | None) -> None:
+        if proxy.rules is expected_rules:
             proxy.drive(rules.RoutingUpdate(api.ListKind.REFUSED))
 
-    def _answer(self, proxy: Proxy, asked_by: rules.Rules | None, version: int) -> None:
-        if proxy.rules is asked_by and not self._down:
+    def _answer(self, proxy: Proxy, expected_rules: rules.Rules | None, version: int) -> None:
+        if proxy.rules is expected_rules and not self._down:
             self._watching[proxy] = version
-            self._tell(proxy)
+            self._push(proxy)
 
     def leave(self, proxy: Proxy) -> None:
-        """A proxy has ended."""
+        """Forget a proxy that has ended."""
         self._watching.pop(proxy, None)
         self._versions.pop(proxy, None)
 
-    def _tell(self, proxy: Proxy) -> None:
-        """What is new to a proxy, if its way is open."""
+    def _push(self, proxy: Proxy) -> None:
+        """Send a proxy the changes since its last version, unless a partition is between."""
         world, registry = self._world, self._registries[proxy.plan.tier]
         delay = world.delay(0, proxy.plan.zone)
         if delay is None:
@@ -595,32 +603,32 @@
         kind = api.ListKind.ALL if full else api.ListKind.CHANGES
         if full:
             world.write(records.Told(world.kernel.now, proxy.plan.name, "*", ",".join(names), 0))
-        news = rules.RoutingUpdate(kind, tuple(hosts))
-        self._last[proxy] = at = max(world.kernel.now + delay, self._last.get(proxy, 0))
-        world.kernel.at(at, self._deliver, proxy, proxy.rules, news, registry.version)
+        update = rules.RoutingUpdate(kind, tuple(hosts))
+        self._last_delivery_us[proxy] = at = max(world.kernel.now + delay, self._last_delivery_us.get(proxy, 0))
+        world.kernel.at(at, self._deliver, proxy, proxy.rules, update, registry.version)
 
-    def _deliver(self, proxy: Proxy, told: rules.Rules, news: rules.RoutingUpdate, version: int) -> None:
-        if proxy.rules is told:
+    def _deliver(self, proxy: Proxy, expected_rules: rules.Rules, update: rules.RoutingUpdate, version: int) -> None:
+        if proxy.rules is expected_rules:
             self._versions[proxy] = version
-            proxy.drive(news)
+            proxy.drive(update)
 
     def _learn(self, notice: Notice) -> None:
         tier = self._tiers[notice.host]
         if self._registries[tier].learn(notice):
             for proxy in list(self._watching):
                 if proxy.plan.tier == tier:
-                    self._tell(proxy)
+                    self._push(proxy)
 
     def _set_down(self, down: bool) -> None:
         self._down = down
         if down:
-            self._lose(list(self._watching))
+            self._drop_watches(list(self._watching))
 
     def _fall_silent(self) -> None:
         if self._world.cut():
-            self._lose([p for p in self._watching if p.plan.zone != 0])
+            self._drop_watches([p for p in self._watching if p.plan.zone != 0])
 
-    def _lose(self, proxies: Sequence[Proxy]) -> None:
+    def _drop_watches(self, proxies: Sequence[Proxy]) -> None:
         for proxy in proxies:
             del self._watching[proxy]
             assert proxy.rules is not None
@@ -628,43 +636,45 @@
 
 
 class World:
-    """A run in simulated time; the stage of its hosts and clients."""
+    """A run in simulated time; implements ``Stage`` for its hosts and clients."""
 
     def __init__(
         self,
         scenario: Scenario,
-        beside: Path | None = None,
-        make: Callable[[api.Settings, int], rules.Decisions] | None = None,
+        scenario_folder: Path | None = None,
+        make_decisions: Callable[[api.Settings, int], rules.Decisions] | None = None,
     ) -> None:
-        """``make``: the decisions, where they aren't the scenario's policy."""
+        """``make_decisions`` replaces the decisions of the scenario's policy."""
         self.scenario, self.plan = scenario, plan(scenario)
-        self.kernel = Kernel(-BEFORE)
+        self.kernel = Kernel(-PROXY_LEAD_US)
         self.records: list[records.Record] = []
         self.write = self.records.append
-        self.faults: list[str] = []
+        self.errors: list[str] = []
         longest = max((kind.window_ms for kind in scenario.classes), default=0.0)
         self.repeats = Repeats(round(longest * 1000) + 1)
-        self.make = make or self._policy()
+        self.make_decisions = make_decisions or self._policy()
         self._digests: dict[bytes, str] = {}
         net = scenario.net
-        self._same, self._cross, self._client = (round(ms * 1000) for ms in (net.same_ms, net.cross_ms, net.client_ms))
-        self._draw = stream(scenario.seed, "net")
+        self._same_zone_us, self._cross_zone_us, self._client_us = (
+            round(ms * 1000) for ms in (net.same_ms, net.cross_ms, net.client_ms)
+        )
+        self._random = stream(scenario.seed, "net")
         self._jitter: list[float] = []
         self.hosts = {host.name: Host(self, host) for host in self.plan.hosts}
         self.discovery = Discovery(self)
         counts = [sum(p.tier == tier for p in self.plan.proxies) for tier in range(len(scenario.tiers))]
         self.proxies: dict[str, Proxy] = {}
         by_zone: dict[tuple[int, int], api.Settings] = {}
-        for number, mine in enumerate(self.plan.proxies):
-            key = (mine.tier, mine.zone)
+        for number, proxy_plan in enumerate(self.plan.proxies):
+            key = (proxy_plan.tier, proxy_plan.zone)
             if key not in by_zone:
-                told = proxy_settings(scenario, mine, counts[mine.tier])
-                by_zone[key] = to_decision_settings(convert_checked(told, PlatformSettings, "settings"))
-            settings = replace(by_zone[key], slot=mine.slot)
-            self.proxies[mine.name] = Proxy(self, mine, settings, scenario.seed * 1_000_003 + number)
-        self._rows = arrivals(scenario, beside)
-        first = {proxy.name: proxy.zone for proxy in self.plan.proxies if proxy.tier == 0}
-        self.clients = Clients(self, scenario, self._rows, first, self._idle)
+                document = proxy_settings(scenario, proxy_plan, counts[proxy_plan.tier])
+                by_zone[key] = to_decision_settings(convert_checked(document, PlatformSettings, "settings"))
+            settings = replace(by_zone[key], slot=proxy_plan.slot)
+            self.proxies[proxy_plan.name] = Proxy(self, proxy_plan, settings, scenario.seed * 1_000_003 + number)
+        self._arrivals = arrivals(scenario, scenario_folder)
+        front_proxies = {proxy.name: proxy.zone for proxy in self.plan.proxies if proxy.tier == 0}
+        self.clients = Clients(self, scenario, self._arrivals, front_proxies, self._idle)
 
     def _policy(self) -> Callable[[api.Settings, int], rules.Decisions]:
         name = self.scenario.policy
@@ -673,24 +683,24 @@
         return Balancer if name == "cranebank" else POLICIES[name]
 
     def strain(self, server: str) -> float:
-        """The truth about a host, for the oracle: work a core before it, over the speed that it has now."""
+        """Return a host's true state for the oracle: work per core over present speed; infinite if unusable."""
         host = self.hosts.get(server)
         if host is None or not host.up or host.refusing or host.hushed or host.stopping:
             return float("inf")
         return host.model.strain(self.kernel.now)
 
-    # The stage.
+    # The interface ``Stage``.
 
     def now(self) -> int:
-        """Microseconds after the start."""
+        """Return the microseconds since the start of the run."""
         return self.kernel.now
 
-    def at(self, when: int, do: Callable[..., Any], *arguments: Any) -> Event:
-        """Call at a time after the start."""
-        return self.kernel.at(when, do, *arguments)
+    def at(self, when: int, callback: Callable[..., Any], *arguments: Any) -> Event:
+        """Schedule a call, in microseconds since the start of the run."""
+        return self.kernel.at(when, callback, *arguments)
 
     def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
-        """Ask a proxy from a zone."""
+        """Send a request from a zone to a proxy."""
         out = Out(self.proxies[proxy], zone, ask, done)
         out.reply.sent = self.kernel.now
         self.later(zone, out.proxy.plan.zone, out.proxy.take, out)
@@ -699,65 +709,69 @@
     # The network.
 
     def cut(self) -> bool:
-        """Whether zones don't reach each other now."""
+        """Return whether zones are partitioned now."""
         return any(cut.at <= self.kernel.now < cut.until for cut in self.plan.cuts)
 
-    def delay(self, one: int, other: int) -> int | None:
-        """One way between two zones, or None where nothing comes through."""
-        if one != other and self.plan.cuts and self.cut():
+    def delay(self, from_zone: int, to_zone: int) -> int | None:
+        """Return the one-way delay between two zones, or None during a partition."""
+        if from_zone != to_zone and self.plan.cuts and self.cut():
             return None
         if not self._jitter:
-            self._jitter = (1.0 + self.scenario.net.jitter * self._draw.random(DRAWS)).tolist()
-        return int((self._same if one == other else self._cross) * self._jitter.pop())
+            self._jitter = (1.0 + self.scenario.net.jitter * self._random.random(JITTER_DRAWS)).tolist()
+        return int((self._same_zone_us if from_zone == to_zone else self._cross_zone_us) * self._jitter.pop())
 
-    def later(self, one: int, other: int, do: Callable[..., Any], *arguments: Any) -> None:
-        """Something goes from one zone to another; over a cut it is lost."""
-        if (delay := self.delay(one, other)) is not None:
-            self.kernel.at(self.kernel.now + delay, do, *arguments)
+    def later(self, from_zone: int, to_zone: int, callback: Callable[..., Any], *arguments: Any) -> None:
+        """Schedule a call after the delay between two zones; it is lost during a partition."""
+        if (delay := self.delay(from_zone, to_zone)) is not None:
+            self.kernel.at(self.kernel.now + delay, callback, *arguments)
 
     @staticmethod
     def digest_of(body: bytes) -> str:
-        """As the socket laboratory's clients have it."""
+        """Return the digest of a body, as the socket laboratory's clients compute it."""
         from xxhash import xxh64_hexdigest  # noqa: PLC0415
 
         return xxh64_hexdigest(body)
 
     # The run.
 
-    def lived(self, proxy: Proxy, state: str) -> None:
-        """A proxy has changed its state."""
+    def record_state(self, proxy: Proxy, state: str) -> None:
+        """Record a change of a proxy's state."""
         self.write(records.Life(self.kernel.now, proxy.plan.name, state))
 
     def _suffer(self, fault: ProxyFault) -> None:
+        """Apply a fault to a proxy: kill it or stop it, and schedule its restart."""
         proxy = self.proxies[fault.proxy]
         if proxy.rules is None:
             return
         if fault.hard:
             proxy.die()
-            self.lived(proxy, "killed")
+            self.record_state(proxy, "killed")
         else:
-            self.lived(proxy, "stopping")
+            self.record_state(proxy, "stopping")
             proxy.stop()
-        self.kernel.at(max(fault.until, self.kernel.now) + BOOT, self._again, proxy)
+        self.kernel.at(max(fault.until, self.kernel.now) + PROXY_RESTART_US, self._again, proxy)
 
     def _again(self, proxy: Proxy) -> None:
-        if proxy.rules is not None:  # it still ends what it had
-            self.kernel.at(self.kernel.now + BOOT, self._again, proxy)
+        """Restart a proxy once its process has ended."""
+        if proxy.rules is not None:  # it is still finishing its requests
+            self.kernel.at(self.kernel.now + PROXY_RESTART_US, self._again, proxy)
             return
         proxy.start(self.discovery.known(proxy.plan.tier))
-        self.lived(proxy, "ready")
+        self.record_state(proxy, "ready")
 
     def _launch(self, number: int) -> None:
-        if number + 1 < len(self._rows):
-            self.kernel.at(self._rows[number + 1].at, self._launch, number + 1)
+        """Start a client's request and schedule the next one."""
+        if number + 1 < len(self._arrivals):
+            self.kernel.at(self._arrivals[number + 1].at, self._launch, number + 1)
         self.clients.launch(number)
 
     def _idle(self) -> None:
-        if self.clients.offered == len(self._rows):
+        """End the run when no request is open and all have been offered."""
+        if self.clients.offered == len(self._arrivals):
             self.kernel.stop()
 
     def play(self) -> None:
-        """Let everything happen."""
+        """Run the scenario to its end."""
         for host in self.hosts.values():
             host.up = not host.host.start
             host.live()
@@ -765,18 +779,18 @@
         known = [self.discovery.known(tier) for tier in range(len(self.scenario.tiers))]
         for proxy in self.proxies.values():
             proxy.start(known[proxy.plan.tier])
-            self.lived(proxy, "ready")
+            self.record_state(proxy, "ready")
         for fault in self.plan.proxy_faults:
             self.kernel.at(fault.at, self._suffer, fault)
-        if self._rows:
-            self.kernel.at(self._rows[0].at, self._launch, 0)
+        if self._arrivals:
+            self.kernel.at(self._arrivals[0].at, self._launch, 0)
             self.kernel.run()
         for host in self.hosts.values():
             host.last()
-        self.write(records.Generator(len(self._rows), 0, 0, 0, 0.0, self.kernel.now / 1e6))
+        self.write(records.Generator(len(self._arrivals), 0, 0, 0, 0.0, self.kernel.now / 1e6))
 
     def result(self) -> Result:
-        """Judge it and sum it up."""
+        """Judge the run and summarise it."""
         encode = msgspec.json.encode
         for record in self.records:
             self.kernel.add_to_digest(encode(record))
@@ -785,8 +799,8 @@
         return msgspec.structs.replace(result, digest=self.kernel.digest(), events=self.kernel.events)
 
 
-def play(scenario: Scenario, beside: Path | None = None) -> Result:
-    """Play a scenario in simulated time."""
-    world = World(scenario, beside)
+def play(scenario: Scenario, scenario_folder: Path | None = None) -> Result:
+    """Play a scenario in simulated time and return its result."""
+    world = World(scenario, scenario_folder)
     world.play()
     return world.result()
--- a/tests/test_lab_simulated.py
+++ b/tests/test_lab_simulated.py
@@ -111,7 +111,7 @@
     world.play()
     found = judge(told, world.plan, world.records)
     assert found.kept, found
-    assert not world.faults
+    assert not world.errors
     clients = [r for r in world.records if isinstance(r, records.Asked) and r.caller == "client"]
     assert len({r.root for r in clients}) == world.clients.offered > 200
     assert sum(r.status == 200 for r in clients) > 0.5 * world.clients.offered
@@ -206,7 +206,7 @@
 ) -> None:
     kinds = [{"name": "std", "count": 6, "error_rate": 0.3}]
     told = scenario(tier=[{"name": "front", "proxies": 1, "kind": kinds}], **changes)
-    world = World(told, make=lambda settings, seed: Faulty(breach, settings, seed))
+    world = World(told, make_decisions=lambda settings, seed: Faulty(breach, settings, seed))
     if breach == "attempts":  # the rules layer's own guard is off: the judge must see it
         monkeypatch.setattr(rules.Rules, "_send", _unguarded(rules.Rules._send))
     world.play()
