--- a/cranebank/lab/simulated/hunt.py
+++ b/cranebank/lab/simulated/hunt.py
@@ -1,7 +1,8 @@
-"""Search for bad days: scenarios drawn at random, kept where the module loses most against who sees the truth.
+"""Searches random scenarios for those where the module loses most against an oracle policy.
 
-The loss is the service of the oracle (least strained host by its true state) less that of the module, on the same
-arrivals. What is kept is shrunk: faults, tiers, hosts, proxies and seconds are taken away as long as the loss stays.
+The loss is the service of the oracle (which picks the least strained host by true state) less that of the module, on
+the same arrivals. The worst scenarios are shrunk: faults, tiers, proxies, speed differences and seconds are removed as
+long as most of the loss remains.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
 from cranebank.lab.simulated.world import play
 from cranebank.lab.streams import stream
 
-KEEP = 5
-STAYS = 0.8  # a smaller scenario must still show this part of the loss
+MAX_KEPT_SCENARIOS = 5
+MIN_LOSS_SHARE = 0.8  # a shrunk scenario must keep at least this share of the loss
 FAULTS: tuple[dict[str, Any], ...] = (
     {"what": "kill"},
     {"what": "stop"},
@@ -42,32 +43,32 @@
 )
 
 
-class Found(msgspec.Struct, frozen=True):
-    """A scenario, and what the module loses on it."""
+class HuntResult(msgspec.Struct, frozen=True):
+    """A scenario and the module's loss on it."""
 
     loss: float
     module: float
     oracle: float
-    breaches: tuple[str, ...]  # rules that the module's run broke
-    told: dict[str, Any]
+    breaches: tuple[str, ...]  # rules that the module's run violated
+    told: dict[str, Any]  # the scenario, as in a scenario file
 
 
 def draw(seed: int) -> dict[str, Any]:
-    """One scenario at random: 1 to 3 tiers, 3 to 8 hosts and 1 to 8 proxies each, 30% to 90% load, 0 to 2 faults.
+    """Draw a scenario: 1 to 3 tiers of 3 to 8 hosts and 1 to 8 proxies, 30% to 90% load, 0 to 2 faults.
 
-    Hosts have one core, so that a scenario is played in seconds.
+    Hosts have one core, so that playing a scenario takes seconds.
     """
     random = stream(seed, "hunt")
     count, seconds = int(random.integers(1, 4)), float(random.integers(8, 15))
     work_ms = float(random.uniform(60, 200))
     tiers, names = list[dict[str, Any]](), ("one", "two", "three")[:count]
-    part = 1.0 / count
+    work_share = 1.0 / count
     for name in names:
         hosts = int(random.integers(3, 9))
         tiers.append(
             {
                 "name": name,
-                "work": part,
+                "work": work_share,
                 "calls": 1.0,
                 "proxies": int(random.integers(1, 9)),
                 "kind": [
@@ -82,7 +83,7 @@
                 ],
             }
         )
-    capacity = min(t["kind"][0]["count"] for t in tiers) / (work_ms / 1000 * part)
+    capacity = min(t["kind"][0]["count"] for t in tiers) / (work_ms / 1000 * work_share)
     faults = [_fault(random, names, seconds) for _ in range(int(random.integers(0, 3)))]
     return {
         "name": f"hunted-{seed}",
@@ -130,44 +131,44 @@
     return fault
 
 
-def judge(told: dict[str, Any]) -> Found | None:
-    """Play a scenario with the module and with the oracle; None if it can't be played."""
+def evaluate(scenario: dict[str, Any]) -> HuntResult | None:
+    """Play a scenario with the module and with the oracle; return None if it is invalid."""
     try:
-        module = play(convert_checked(told, Scenario, "drawn"))
-        oracle = play(convert_checked(told | {"policy": "oracle"}, Scenario, "drawn"))
+        module = play(convert_checked(scenario, Scenario, "drawn"))
+        oracle = play(convert_checked(scenario | {"policy": "oracle"}, Scenario, "drawn"))
     except (ConfigError, ValueError):
         return None
     breaches = tuple(b.rule for b in module.verdict.breaches)
-    return Found(oracle.service - module.service, module.service, oracle.service, breaches, told)
+    return HuntResult(oracle.service - module.service, module.service, oracle.service, breaches, scenario)
 
 
-def smaller(told: dict[str, Any]) -> Iterator[dict[str, Any]]:
-    """Scenarios with one thing taken away."""
-    for number in range(len(told["fault"])):
-        yield told | {"fault": told["fault"][:number] + told["fault"][number + 1 :]}
-    for number, tier in enumerate(told["tier"]):
-        if len(told["tier"]) > 1 and all(f["tier"] != tier["name"] for f in told["fault"]):
-            yield told | {"tier": told["tier"][:number] + told["tier"][number + 1 :]}
-    for number, tier in enumerate(told["tier"]):
+def reductions(scenario: dict[str, Any]) -> Iterator[dict[str, Any]]:
+    """Yield scenarios with one element removed or reduced."""
+    for number in range(len(scenario["fault"])):
+        yield scenario | {"fault": scenario["fault"][:number] + scenario["fault"][number + 1 :]}
+    for number, tier in enumerate(scenario["tier"]):
+        if len(scenario["tier"]) > 1 and all(f["tier"] != tier["name"] for f in scenario["fault"]):
+            yield scenario | {"tier": scenario["tier"][:number] + scenario["tier"][number + 1 :]}
+    for number, tier in enumerate(scenario["tier"]):
         for smaller_tier in (
             tier | {"proxies": tier["proxies"] // 2} if tier["proxies"] > 1 else None,
             tier | {"kind": [tier["kind"][0] | {"speed_cv": 0.0}]} if tier["kind"][0]["speed_cv"] else None,
         ):
             if smaller_tier is not None:
-                yield told | {"tier": [*told["tier"][:number], smaller_tier, *told["tier"][number + 1 :]]}
-    if told["seconds"] > 8.0:
-        yield told | {"seconds": told["seconds"] - 2.0}
+                yield scenario | {"tier": [*scenario["tier"][:number], smaller_tier, *scenario["tier"][number + 1 :]]}
+    if scenario["seconds"] > 8.0:
+        yield scenario | {"seconds": scenario["seconds"] - 2.0}
 
 
-def shrink(found: Found, until: float) -> Found:
-    """The smallest scenario near by that still shows most of the loss; stops at ``until`` (monotonic seconds)."""
+def shrink(found: HuntResult, until: float) -> HuntResult:
+    """Reduce a scenario step by step while most of the loss remains, until ``until`` (monotonic seconds)."""
     changed = True
     while changed and time.monotonic() < until:
         changed = False
-        for told in smaller(found.told):
-            tried = judge(told)
-            if tried is not None and tried.loss >= STAYS * found.loss and tried.loss > 0.0:
-                found, changed = msgspec.structs.replace(tried, loss=max(tried.loss, 0.0)), True
+        for smaller in reductions(found.told):
+            evaluated = evaluate(smaller)
+            if evaluated is not None and evaluated.loss >= MIN_LOSS_SHARE * found.loss and evaluated.loss > 0.0:
+                found, changed = msgspec.structs.replace(evaluated, loss=max(evaluated.loss, 0.0)), True
                 break
             if time.monotonic() >= until:
                 break
@@ -175,36 +176,38 @@
 
 
 def hunt(
-    seconds: float, first: int, folder: Path, say: Callable[[str], None], processes: int | None = None
-) -> list[Found]:
-    """Hunt for so long (a quarter of it for shrinking) and write what was found as scenario files."""
+    seconds: float, first: int, folder: Path, report: Callable[[str], None], processes: int | None = None
+) -> list[HuntResult]:
+    """Search for ``seconds``, a quarter of it for shrinking, and write the worst scenarios as files."""
     folder.mkdir(parents=True, exist_ok=True)
-    began, best, tried, broken = time.monotonic(), list[Found](), 0, list[Found]()
+    began, best, plays, breached = time.monotonic(), list[HuntResult](), 0, list[HuntResult]()
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
-        width = getattr(pool, "_max_workers", 4)
-        running: set[Future[Found | None]] = {pool.submit(judge, draw(first + n)) for n in range(width)}
-        seed = first + width
+        workers = getattr(pool, "_max_workers", 4)
+        running: set[Future[HuntResult | None]] = {pool.submit(evaluate, draw(first + n)) for n in range(workers)}
+        seed = first + workers
         while running:
             done, running = wait(running, return_when=FIRST_COMPLETED)
-            for one in done:
-                found = one.result()
-                tried += 1
+            for future in done:
+                found = future.result()
+                plays += 1
                 if found is not None:
-                    broken += [found] if found.breaches else []
-                    best = sorted([*best, found], key=lambda f: -f.loss)[:KEEP]
+                    breached += [found] if found.breaches else []
+                    best = sorted([*best, found], key=lambda f: -f.loss)[:MAX_KEPT_SCENARIOS]
                 if time.monotonic() - began < 0.75 * seconds:
-                    running.add(pool.submit(judge, draw(seed)))
+                    running.add(pool.submit(evaluate, draw(seed)))
                     seed += 1
-        say(f"{tried} scenarios, worst losses: {', '.join(f'{f.loss:.3f}' for f in best)}; {len(broken)} broke a rule")
+        report(
+            f"{plays} scenarios, worst losses: {', '.join(f'{f.loss:.3f}' for f in best)}; {len(breached)} broke a rule"
+        )
         shrunk = list(pool.map(shrink, best, [began + seconds] * len(best)))
     for number, found in enumerate(shrunk):
         path = folder / f"{number}-{found.told['name']}.toml"
         path.write_bytes(tomli_w.dumps(found.told).encode())
-        say(
+        report(
             f"{path}: loss {found.loss:.3f} (module {found.module:.3f}, oracle {found.oracle:.3f}), "
             f"faults {', '.join(f['what'] for f in found.told['fault']) or 'none'}"
         )
-    for found in broken:
-        say(f"{found.told['name']}: the module broke {', '.join(found.breaches)}")
+    for found in breached:
+        report(f"{found.told['name']}: the module broke {', '.join(found.breaches)}")
         (folder / f"broke-{found.told['name']}.toml").write_bytes(tomli_w.dumps(found.told).encode())
     return shrunk
--- a/tests/test_lab_simulated.py
+++ b/tests/test_lab_simulated.py
@@ -271,7 +271,7 @@
         "seconds": 8.0,
         "fault": [{"what": "shared-slow", "size": 3.0, "at_s": 2.0, "for_s": 3.0, "tier": "one"}],
     }
-    variants = list(hunt.smaller(told))
+    variants = list(hunt.reductions(told))
     assert {"fault": []}.items() <= variants[0].items()
     said: list[str] = []
     hunt.hunt(0.2, 11, tmp_path, said.append, processes=2)
