--- a/cranebank/lab/simulated/paper.py
+++ b/cranebank/lab/simulated/paper.py
@@ -1,9 +1,9 @@
-"""The paper's batched processes (PAPER, "Experiments"), vectorised, to check the design's claims against.
+"""Vectorised simulation of the paper's batched processes (PAPER, "Experiments"), to check the design's claims.
 
-All balls of a batch see the loads as they stood at its start, so they are independent with one probability for each
-bin, and a batch is one multinomial draw: exact, and O(n log n) whatever the batch's size. The gap is the highest load
-less the mean, and of a run the largest that any batch ends with. The paper says neither which gap it prints
-nor after how many balls; its table fits this one after 25 batches (docs/simulation.md).
+All balls of a batch see the loads at its start, so they are independent with one probability for each bin, and a batch
+is one multinomial draw: exact, and O(n log n) for any batch size. The gap is the highest load less the mean; a run's
+gap is the largest at the end of any of its batches. The paper doesn't define which gap it prints, or after how many
+balls; its table fits this gap after 25 batches (docs/simulation.md).
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 Loads = NDArray[np.int64]
 Chances = NDArray[np.float64]
-BATCHES = 25  # of a run
+BATCHES = 25  # in a run
 
 # PAPER, table "Empirical gap": by n and b/n. One-Choice is for m = b, the others in batches.
 TABLE: dict[tuple[int, int], dict[str, float]] = {
@@ -38,7 +38,7 @@
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """One cell of the table: mean gap over ``runs``, its standard error, and the paper's value if it has one."""
+    """A cell of the table: mean gap over ``runs``, its standard error, and the paper's value, if any."""
 
     n: int
     batch: int  # balls
@@ -51,37 +51,37 @@
 
 
 def one_choice(loads: Loads) -> Chances:
-    """Uniform: 1/n each."""
+    """Return the probabilities of One-Choice: 1/n for each bin."""
     return np.full(len(loads), 1.0 / len(loads))
 
 
 def d_choice(loads: Loads, d: int = 2) -> Chances:
-    """The least loaded of d uniform draws, ties at random."""
+    """Return the probabilities of d-Choice: the least loaded of d uniform draws, ties at random."""
     n = len(loads)
     ordered = np.sort(loads)
     below = np.searchsorted(ordered, loads, "left")  # bins with a lower load
-    upto = np.searchsorted(ordered, loads, "right")
-    # All d draws are at least this load, less those where all are above it; shared by the bins of this load.
-    chances: Chances = (((n - below) / n) ** d - ((n - upto) / n) ** d) / (upto - below)
+    at_most = np.searchsorted(ordered, loads, "right")
+    # P(all d draws have at least this load) - P(all have more), divided among the bins of this load.
+    chances: Chances = (((n - below) / n) ** d - ((n - at_most) / n) ** d) / (at_most - below)
     return chances
 
 
-def quantile(loads: Loads, draw: np.random.Generator) -> Chances:
-    """Quantile(1/2): a bin of the lighter half is taken at the first draw, else a second draw decides."""
+def quantile(loads: Loads, random: np.random.Generator) -> Chances:
+    """Return the probabilities of Quantile(1/2): accept a first draw from the lighter half, else take a second draw."""
     n = len(loads)
-    order = np.lexsort((draw.random(n), loads))  # ties at random
+    order = np.lexsort((random.random(n), loads))  # ties at random
     chances = np.full(n, 0.5 / n)
     chances[order[: n - n // 2]] = 1.5 / n
     return np.asarray(chances / chances.sum(), dtype=np.float64)
 
 
 def mixing(n: int, batch: int) -> float:
-    """sqrt(n log n / b), at most 1 (the paper's beta without its constant)."""
+    """Return sqrt(n log n / b), at most 1 (the paper's beta without its constant)."""
     return min(1.0, sqrt(n * log(n) / batch))
 
 
-def chances_of(process: str, loads: Loads, batch: int, draw: np.random.Generator, mix: float | None) -> Chances:
-    """The chance of each bin for the balls of a batch."""
+def chances_of(process: str, loads: Loads, batch: int, random: np.random.Generator, mix: float | None) -> Chances:
+    """Return the probability of each bin for the balls of a batch."""
     n = len(loads)
     if process == "one-choice":
         return one_choice(loads)
@@ -90,24 +90,24 @@
     if process == "three-choice":
         return d_choice(loads, 3)
     if process == "quantile":
-        part = mixing(n, batch) if mix is None else mix
-        return part * quantile(loads, draw) + (1.0 - part) / n
-    part = 0.7 * mixing(n, batch) if mix is None else mix  # the constant of the paper's table
-    return part * d_choice(loads) + (1.0 - part) / n
+        weight = mixing(n, batch) if mix is None else mix
+        return weight * quantile(loads, random) + (1.0 - weight) / n
+    weight = 0.7 * mixing(n, batch) if mix is None else mix  # the constant of the paper's table
+    return weight * d_choice(loads) + (1.0 - weight) / n
 
 
 def gap(process: str, n: int, batch: int, seed: int, batches: int = BATCHES, mix: float | None = None) -> float:
-    """The largest gap of one run of so many batches; One-Choice gets one (PAPER: m = b)."""
-    draw = stream(seed, "paper", process, n, batch)
+    """Return the largest gap in a run of ``batches``; One-Choice runs a single batch (PAPER: m = b)."""
+    random = stream(seed, "paper", process, n, batch)
     loads: Loads = np.zeros(n, dtype=np.int64)
     largest = 0.0
     for _ in range(1 if process == "one-choice" else batches):
-        loads += draw.multinomial(batch, chances_of(process, loads, batch, draw, mix))
+        loads += random.multinomial(batch, chances_of(process, loads, batch, random, mix))
         largest = max(largest, float(loads.max() - loads.mean()))
     return largest
 
 
-def _one(job: tuple[str, int, int, float | None], seed: int) -> float:
+def _run_gap(job: tuple[str, int, int, float | None], seed: int) -> float:
     process, n, batch, mix = job
     return gap(process, n, batch, seed, mix=mix)
 
@@ -118,13 +118,13 @@
     runs: int = 20,
     processes: int | None = None,
 ) -> list[Cell]:
-    """The paper's table, each cell the mean of ``runs``, over so many processes."""
+    """Return the paper's table, each cell the mean of ``runs``, computed by ``processes`` worker processes."""
     cells = []
     with ProcessPoolExecutor(processes) as pool:
         for n in sizes:
             for multiple in multiples:
                 for process in PROCESSES:
-                    job = partial(_one, (process, n, multiple * n, None))
+                    job = partial(_run_gap, (process, n, multiple * n, None))
                     found = np.array(list(pool.map(job, range(runs))))
                     cells.append(
                         Cell(
@@ -141,24 +141,24 @@
 
 
 def curves(n: int = 1000, runs: int = 25, processes: int | None = None) -> tuple[list[Cell], list[Cell]]:
-    """The paper's two figures: gap against beta for several batches, and against the batch for several processes."""
+    """Return the paper's two figures: gap by beta for several batches, and gap by batch for several processes."""
     betas = [round(0.05 * i, 2) for i in range(1, 21)]
-    jobs = [("one-plus-beta", n, multiple * n, beta) for multiple in (5, 10, 20, 50) for beta in betas]
-    versus = [
+    beta_jobs = [("one-plus-beta", n, multiple * n, beta) for multiple in (5, 10, 20, 50) for beta in betas]
+    batch_jobs = [
         (process, n, multiple * n, mix(n, multiple * n))
         for multiple in range(5, 55, 5)
-        for process, mix in _MIXES.items()
+        for process, mix in _MIX_BY_PROCESS.items()
     ]
     with ProcessPoolExecutor(processes) as pool:
         found = []
-        for job in jobs + versus:
-            gaps = list(pool.map(partial(_one, (job[0].split(":")[0], *job[1:])), range(runs)))
+        for job in beta_jobs + batch_jobs:
+            gaps = list(pool.map(partial(_run_gap, (job[0].split(":")[0], *job[1:])), range(runs)))
             mix = 1.0 if job[3] is None else job[3]
             found.append(Cell(job[1], job[2], job[0], float(np.mean(gaps)), runs, mix=mix))
-    return found[: len(jobs)], found[len(jobs) :]
+    return found[: len(beta_jobs)], found[len(beta_jobs) :]
 
 
-_MIXES: dict[str, Callable[[int, int], float | None]] = {
+_MIX_BY_PROCESS: dict[str, Callable[[int, int], float | None]] = {
     "two-choice": lambda n, b: None,
     "three-choice": lambda n, b: None,
     "one-plus-beta:0.5": lambda n, b: 0.5,
@@ -168,10 +168,10 @@
 
 
 def module_gap(n: int, multiple: int, batches: int, seed: int) -> float:
-    """The module's own largest gap, through its interface: n equal hosts, a board renewed every ``multiple`` x n calls.
+    """Return the module's largest gap, measured through its interface with n equal hosts.
 
-    Each call ends at once, so that nothing but the board tells hosts apart; the figure on it is the calls that a host
-    has had, as in the paper. One copy, reports by probe, and the board read by all at one moment.
+    Calls end at once, so hosts differ only in their reported loads, which are renewed every ``multiple`` x n calls. The
+    reported load is the number of calls that a host has had, as in the paper. One copy; all hosts are probed at once.
     """
     kind = api.RequestClass(aim=1e9, deadline=1e10, effect=api.Effect.SAFE)
     settings = api.Settings(classes=(kind,), may_probe=True, report_source=api.ReportSource.PROBE, probe_price=1.0)
@@ -193,7 +193,7 @@
     return largest
 
 
-def _module_row(multiple: int, n: int, batches: int) -> tuple[int, tuple[float, ...]]:
+def _module_gaps(multiple: int, n: int, batches: int) -> tuple[int, tuple[float, ...]]:
     gaps = [
         float(np.mean([gap(process, n, multiple * n, seed, batches) for seed in range(5)]))
         for process in ("one-choice", "two-choice", "one-plus-beta")
@@ -204,6 +204,6 @@
 def module_table(
     n: int = 1000, multiples: tuple[int, ...] = (1, 2, 5, 10, 20, 50), batches: int = 8
 ) -> list[tuple[int, tuple[float, ...]]]:
-    """By b/n: the gaps of One-Choice, Two-Choice, (1+beta) with the paper's constant, and of the module."""
+    """Return, by b/n, the gaps of One-Choice, Two-Choice, (1+beta) with the paper's constant, and of the module."""
     with ProcessPoolExecutor() as pool:
-        return list(pool.map(partial(_module_row, n=n, batches=batches), multiples))
+        return list(pool.map(partial(_module_gaps, n=n, batches=batches), multiples))
