--- a/examples/choose_pair.py
+++ b/examples/choose_pair.py
@@ -1,4 +1,4 @@
-"""The data plane's choice alone: who reads a prompt and who makes the tokens."""
+"""Use the data plane's choice on its own: which backends prefill a prompt and decode its tokens."""
 
 from random import Random
 
@@ -17,9 +17,9 @@
     )
 chooser = PairChooser(candidates, CacheView(), BlendedDraw(Random(7)))
 engine = Engine(capacity=16, cache_tokens=400_000, token_bytes=163_840, link_mbps=1.4e6)
-for counts, parts in (("383,6", "a:92,b:291"), ("17020,17", "s:13300,o:3720")):
-    asked = prompt.read({"x-token-counts": counts, "x-prompt-prefix": parts})
-    plan = chooser.choose(0.0, "chat", engine, asked, 600.0, set())
+for token_counts, prompt_parts in (("383,6", "a:92,b:291"), ("17020,17", "s:13300,o:3720")):
+    request = prompt.read({"x-token-counts": token_counts, "x-prompt-prefix": prompt_parts})
+    plan = chooser.choose(0.0, "chat", engine, request, 600.0, set())
     assert plan is not None
-    prefill_backend = plan.prefill_backend.backend.id if plan.prefill_backend is not None else "itself"
-    print(f"{asked.tokens} tokens: made by {plan.decode_backend.backend.id}, read by {prefill_backend}")
+    prefill_backend = plan.prefill_backend.backend.id if plan.prefill_backend is not None else "the same backend"
+    print(f"{request.tokens} tokens: decode on {plan.decode_backend.backend.id}, prefill on {prefill_backend}")
--- a/examples/frames.py
+++ b/examples/frames.py
@@ -1,11 +1,11 @@
-"""Transport alone: a message as a frame, and a damaged one told by type."""
+"""Use the transport on its own: encode a message as a frame, and reject a damaged frame with its error code."""
 
 from cranebank.transport.frames import BadFrame, Decoder, encode
 from cranebank.transport.messages import LinkHeartbeat
 
 frame = encode(LinkHeartbeat(7))
 decoder = Decoder()
-print("in two parts:", decoder.feed(frame[:5]) + decoder.feed(frame[5:]))
+print("decoded from two chunks:", decoder.feed(frame[:5]) + decoder.feed(frame[5:]))
 try:
     Decoder().feed(frame[:-1] + b"?")
 except BadFrame as error:
--- a/examples/keep_values.py
+++ b/examples/keep_values.py
@@ -1,4 +1,4 @@
-"""Storage alone: values that survive a torn write."""
+"""Use the storage on its own: stored values survive a torn write."""
 
 import tempfile
 from pathlib import Path
@@ -11,7 +11,7 @@
     store.put({"colour": b"blue"})
     store.close()
     (file,) = [path for path in Path(folder).iterdir() if path.is_file()]
-    file.write_bytes(file.read_bytes()[:-3])  # the last write is torn
+    file.write_bytes(file.read_bytes()[:-3])  # tear the last write
     store, damage = open_store(Path(folder), "values")
     print("after the torn write:", dict(store.values), "damage:", damage)
     store.close()
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Each plane's example runs alone."""
+"""Each example runs on its own and prints the expected output."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-TOLD = {
-    "choose_pair.py": "read by itself",
+EXPECTED_OUTPUT = {
+    "choose_pair.py": "prefill on the same backend",
     "keep_values.py": "{'colour': b'green', 'size': b'4'}",
     "merge_backends.py": "{'draining'}",
     "frames.py": "damaged: checksum",
@@ -19,10 +19,10 @@
 
 
 def test_every_example_is_here() -> None:
-    assert {path.name for path in (ROOT / "examples").glob("*.py")} == TOLD.keys()
+    assert {path.name for path in (ROOT / "examples").glob("*.py")} == EXPECTED_OUTPUT.keys()
 
 
-@pytest.mark.parametrize("name", sorted(TOLD))
+@pytest.mark.parametrize("name", sorted(EXPECTED_OUTPUT))
 def test_an_example_runs_alone(name: str) -> None:
     run = subprocess.run(
         [sys.executable, ROOT / "examples" / name],
@@ -34,4 +34,4 @@
         check=False,
     )
     assert run.returncode == 0, run.stderr
-    assert TOLD[name] in run.stdout
+    assert EXPECTED_OUTPUT[name] in run.stdout
