--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,10 +1,11 @@
-"""What each mechanism of deciding is worth: plays deployments with each one switched off, against all on.
+"""Measures what each mechanism of the data plane's policy contributes, by playing deployments without it.
 
 usage: ablation.py BENCH FOLDER SITE... [--without NAME,...] [--plays N] [-- OPTION...]
 
-BENCH is the program that plays a deployment (its ``score`` verb), FOLDER a new one beside this checkout, for copies of
-it. Only the run line of the proxies' role in a copy's deploy file differs. Options behind ``--`` go to the bench.
-Prints one line a deployment and mechanism: the mean score of all days, its difference to all on, and each day's.
+BENCH is the program that plays a deployment (its ``score`` command), FOLDER a new folder beside this checkout for
+copies of it. A copy differs only in the run line of the proxies' role in its deploy file. Options after ``--`` go to
+BENCH. Prints a line for each deployment and mechanism: the mean score of all days, its difference to the score with all
+mechanisms, and each day's score.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def copy_without(folder: Path, mechanism: str) -> Path:
-    """A copy of this checkout's last commit whose proxies run without a mechanism."""
+    """Clone this checkout's last commit with proxies that run without a mechanism; return the folder."""
     copy = folder / (mechanism or "all-on")
     if copy.exists():
         return copy
@@ -36,13 +37,13 @@
             deploy.read_text(),
         )
         if count != 1:
-            raise ValueError(f"{deploy}: run of the role edge: expected once, found {count} times")
+            raise ValueError(f"{deploy}: expected one run line of the role edge, found {count}")
         deploy.write_text(text)
     return copy
 
 
 def play(bench: str, copy: Path, site: str, options: Sequence[str]) -> dict[str, float]:
-    """Scores by day of one play."""
+    """Play a deployment once and return the scores by day."""
     before = set((copy / "journal").glob("*.json"))
     why = f"ablation: {copy.name}"
     subprocess.run([bench, "score", site, "--why", why, *options], cwd=copy, check=False, stdout=subprocess.DEVNULL)
@@ -51,16 +52,16 @@
 
 
 def mean(scores: Sequence[float]) -> float:
-    """Of one or more scores."""
+    """Return the mean of one or more scores."""
     return sum(scores) / len(scores)
 
 
 def main(arguments: list[str]) -> int:
-    """Play and print the table."""
+    """Play all variants and print the table."""
     options: list[str] = []
     if "--" in arguments:
-        place = arguments.index("--")
-        arguments, options = arguments[:place], arguments[place + 1 :]
+        separator = arguments.index("--")
+        arguments, options = arguments[:separator], arguments[separator + 1 :]
     plays, names = 1, tuple(MECHANISMS)
     words: list[str] = []
     while arguments:
@@ -80,11 +81,13 @@
         reference: list[float] = []
         for mechanism in (ALL_ON, *names):
             copy = copy_without(folder, mechanism)
-            found = [play(bench, copy, site, options) for _ in range(plays)]
-            means = [mean(list(days.values())) for days in found]
+            results = [play(bench, copy, site, options) for _ in range(plays)]
+            means = [mean(list(days.values())) for days in results]
             reference = reference or means
             days = " ".join(
-                f"{name} {mean([one[name] for one in found]):.2f}" for name in found[0] if not name.startswith("fresh")
+                f"{name} {mean([scores[name] for scores in results]):.2f}"
+                for name in results[0]
+                if not name.startswith("fresh")
             )
             name, worth = mechanism or "all on", mean(means) - mean(reference)
             print(f"{Path(site).stem}  {name:24} {mean(means):.3f} {worth:+.3f}  {days}", flush=True)
