--- a/benchmarks/generator.py
+++ b/benchmarks/generator.py
@@ -1,6 +1,6 @@
-"""How much load one core of the laboratory's generator offers: ``python benchmarks/generator.py [RATE ...]``.
+"""Measures the load that one core of the laboratory's generator offers: ``python benchmarks/generator.py [RATE ...]``.
 
-Against a sink in a process of its own that answers each request at once, so that only the generator is measured.
+A sink in a separate process answers each request at once, so that only the generator is measured.
 Needs the laboratory's requirements; takes a few seconds for each rate.
 """
 
@@ -22,46 +22,46 @@
 from cranebank.lab.load import Generator
 from cranebank.lab.scenario import Scenario
 
-SECONDS = 4.0
+RUN_S = 4.0
 
 
 class Sink:
-    """Answers at once."""
+    """A server that answers each request at once."""
 
     def connected(self, connection: Incoming) -> bool:
-        """Take any."""
+        """Accept every connection."""
         return True
 
     def deaf(self) -> bool:
-        """Never."""
+        """Return False: the sink always reads."""
         return False
 
     def closed(self, connection: Incoming) -> None:
-        """Nothing is kept."""
+        """Do nothing: the sink keeps no state for a connection."""
 
     def heard(self, connection: Incoming, request: Heard) -> None:
-        """Name the request, as the generator wants."""
+        """Answer with the request's id, which the generator checks."""
         connection.answer(b"HTTP/1.1 200 OK\r\n", request.headers["x-request-id"].encode())
 
 
 def serve(pipe: Connection) -> None:
-    """The sink's process."""
+    """Run the sink in its process and send its address through the pipe."""
 
-    async def whole() -> None:
+    async def run() -> None:
         server = await asyncio.get_running_loop().create_server(lambda: Incoming(Sink()), "127.0.0.1", 0)
         pipe.send(server.sockets[0].getsockname())
         await server.serve_forever()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def measure(rate: float, address: tuple[str, int], path: Path) -> records.Generator:
-    """Offer ``rate`` for a few seconds, records written as in a run."""
+    """Offer ``rate`` requests a second for a few seconds, with records written as in a run."""
     kind = {"name": "look", "share": 1.0, "work_ms": 1.0, "aim_ms": 100.0, "deadline_ms": 1000.0}
-    told = msgspec.convert(
+    scenario = msgspec.convert(
         {
             "name": "generator",
-            "seconds": SECONDS,
+            "seconds": RUN_S,
             "load": {"rate": rate},
             "class": [kind],
             "tier": [{"name": "front", "kind": [{"name": "std", "count": 1}]}],
@@ -69,28 +69,28 @@
         Scenario,
     )
     writer = records.Writer(path)
-    rows = arrivals(told)
+    planned_arrivals = arrivals(scenario)
 
-    async def whole() -> records.Generator:
-        return await Generator(told, rows, {"front-p0": address}, writer.write).play(now_us() + 50_000)
+    async def run() -> records.Generator:
+        return await Generator(scenario, planned_arrivals, {"front-p0": address}, writer.write).play(now_us() + 50_000)
 
-    found = asyncio.run(whole())
+    result = asyncio.run(run())
     writer.close()
-    return found
+    return result
 
 
 def main() -> None:
-    """Print a line for each rate."""
-    ours, theirs = multiprocessing.Pipe()
-    sink = multiprocessing.Process(target=serve, args=(theirs,), daemon=True)
+    """Measure each rate and print a line for it."""
+    local_end, remote_end = multiprocessing.Pipe()
+    sink = multiprocessing.Process(target=serve, args=(remote_end,), daemon=True)
     sink.start()
-    address = ours.recv()
+    address = local_end.recv()
     path = Path(f"/tmp/generator-{now_us()}.jsonl")
     for rate in map(float, sys.argv[1:] or ("2000", "4000", "5000", "6000", "7000", "8000")):
-        found = measure(rate, (address[0], address[1]), path)
+        result = measure(rate, (address[0], address[1]), path)
         print(
-            f"{rate:6.0f} wanted, {found.offered / SECONDS:6.0f} offered, late p50 {found.late_p50 / 1000:.2f} ms, "
-            f"p99 {found.late_p99 / 1000:.2f} ms, {found.cpu / SECONDS:.2f} of a core"
+            f"{rate:6.0f} wanted, {result.offered / RUN_S:6.0f} offered, late p50 {result.late_p50 / 1000:.2f} ms, "
+            f"p99 {result.late_p99 / 1000:.2f} ms, {result.cpu / RUN_S:.2f} of a core"
         )
         path.unlink()
     sink.terminate()
