--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,9 +1,8 @@
-"""What the ordinary path costs a proxy: ``python benchmarks/path.py [TREE ...] [--trials N] [--requests N]``.
+"""Measures the cost of the ordinary path: ``python benchmarks/path.py [TREE ...] [--trials N] [--requests N]``.
 
-Processor time a request, by the proxy's own process: 16 connections that ask one request after another, answers of
-512 bytes, four hosts that answer at once. Each TREE (a checkout with its ``.venv``; this one where none is named) is
-played in turn with a plain aiohttp proxy, as a machine's pace differs from one minute to the next: compare within
-a line, not across. Ends by itself.
+The cost is the processor time per request of the proxy's process, with 16 connections of sequential requests, answers
+of 512 bytes, and four hosts that answer at once. Each TREE (a checkout with its ``.venv``; default: this one) is
+measured in turn with a plain aiohttp proxy. A machine's speed changes within minutes: compare only within a line.
 """
 
 from __future__ import annotations
@@ -32,15 +31,15 @@
 from cranebank.lab.stage import Reply  # noqa: E402
 
 CONNECTIONS, HOSTS, BODY = 16, 4, b"x" * 512
-WARM = 500  # requests before the count begins
+WARMUP_REQUESTS = 500  # requests before the measurement
 IDS = (f"{number:032x}" for number in range(1 << 30))
 
 
 class Host(Sink):
-    """Answers at once; and as discovery, says that nothing has changed."""
+    """A host that answers at once; also stands in for discovery, with watches that never report a change."""
 
     def heard(self, connection: Incoming, request: Heard) -> None:
-        """The body that was agreed; a watch stays open."""
+        """Answer with the fixed body; keep a watch open."""
         if "watch" in request.target:
             connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         else:
@@ -48,19 +47,19 @@
 
 
 def hosts(pipe: Connection) -> None:
-    """The hosts' process; the last address is discovery's."""
+    """Run the hosts in their process and send their addresses, and discovery's as the last, through the pipe."""
 
-    async def whole() -> None:
+    async def run() -> None:
         loop = asyncio.get_running_loop()
         servers = [await loop.create_server(lambda: Incoming(Host()), "127.0.0.1", 0) for _ in range(HOSTS + 1)]
         pipe.send([f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers])
         await asyncio.Event().wait()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-async def plain(addresses: list[str]) -> None:
-    """A plain aiohttp proxy: each host in turn, nothing decided, nothing guarded."""
+async def plain_proxy(addresses: list[str]) -> None:
+    """Run a plain aiohttp proxy: hosts in turn, without decisions or safeguards."""
     async with ClientSession(connector=TCPConnector(limit=0), auto_decompress=False) as session:
         turn = 0
 
@@ -79,7 +78,7 @@
 
 
 def configuration(addresses: list[str]) -> dict[str, Any]:
-    """A proxy before the hosts, with generous limits: nothing is declined."""
+    """Return the configuration of a proxy in front of the hosts, with limits that decline no request."""
     entries = [
         {
             "id": f"s{n}",
@@ -145,17 +144,17 @@
     }
 
 
-async def load(address: tuple[str, int], count: int) -> int:
-    """Ask so many requests over 16 connections, one after another on each; return how many were served."""
+async def send_requests(address: tuple[str, int], count: int) -> int:
+    """Send ``count`` requests over 16 connections, sequentially on each; return how many were served."""
     pool, served = Pool(), 0
 
     async def client(times: int) -> None:
         nonlocal served
         for _ in range(times):
-            got: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+            answered: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
             head = f"GET /look HTTP/1.1\r\nHost: x\r\nX-Request-Id: {next(IDS)}\r\nX-Class: look\r\n"
-            pool.ask(address, f"{head}X-Deadline-Ms: 5000\r\n\r\n".encode(), "", 0, got.set_result)
-            reply = await got
+            pool.ask(address, f"{head}X-Deadline-Ms: 5000\r\n\r\n".encode(), "", 0, answered.set_result)
+            reply = await answered
             served += reply.status == 200
 
     await asyncio.gather(*(client(count // CONNECTIONS) for _ in range(CONNECTIONS)))
@@ -163,68 +162,73 @@
     return served
 
 
-async def trial(words: list[str], tree: Path, environ: dict[str, str], count: int) -> float:
-    """Microseconds of the proxy's processor time a request."""
+async def trial(command: list[str], tree: Path, environ: dict[str, str], count: int) -> float:
+    """Return the proxy's processor time per request, in microseconds."""
     process = await asyncio.create_subprocess_exec(
-        *words, cwd=tree, env=os.environ | environ, stderr=asyncio.subprocess.PIPE
+        *command, cwd=tree, env=os.environ | environ, stderr=asyncio.subprocess.PIPE
     )
     assert process.stderr is not None
     line = b""
     while b"listening on" not in line:
         if not (line := await process.stderr.readline()):
-            raise SystemExit(f"{words}: ended before it listened")
+            raise SystemExit(f"{command}: ended before it listened")
     drained = asyncio.create_task(process.stderr.read())
     host, _, port = line.decode().split()[-1].rpartition(":")
     try:
-        await load((host, int(port)), WARM)
+        await send_requests((host, int(port)), WARMUP_REQUESTS)
         before = psutil.Process(process.pid).cpu_times()
         count -= count % CONNECTIONS
-        served = await load((host, int(port)), count)
+        served = await send_requests((host, int(port)), count)
         after = psutil.Process(process.pid).cpu_times()
     finally:
         process.kill()
         await process.wait()
         drained.cancel()
     if served < count:
-        raise SystemExit(f"{words}: {count - served} of {count} requests not served")
+        raise SystemExit(f"{command}: {count - served} of {count} requests not served")
     return 1e6 * (after.user + after.system - before.user - before.system) / count
 
 
 async def compare(trees: list[Path], trials: int, count: int, addresses: list[str]) -> None:
-    """A line a trial, then the medians."""
+    """Print a line for each trial, then the medians."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(configuration(addresses)), encoding="utf-8")
         python = str(ROOT / ".venv/bin/python")
-        plays: dict[str, tuple[list[str], Path, dict[str, str]]] = {
+        commands: dict[str, tuple[list[str], Path, dict[str, str]]] = {
             str(tree): ([str(tree / ".venv/bin/python"), "-m", "cranebank"], tree, {"GW_CONFIG": str(path)})
             for tree in trees
         }
-        plays["plain aiohttp"] = ([python, __file__, "--plain", ",".join(addresses[:HOSTS])], ROOT, {})
-        found: dict[str, list[float]] = {name: [] for name in plays}
+        commands["plain aiohttp"] = ([python, __file__, "--plain", ",".join(addresses[:HOSTS])], ROOT, {})
+        times_by_name: dict[str, list[float]] = {name: [] for name in commands}
         for _ in range(trials):
-            for name, (words, tree, environ) in plays.items():
-                found[name].append(await trial(words, tree, environ, count))
-            print("   ".join(f"{name}: {times[-1]:.0f} us" for name, times in found.items()), flush=True)
-        print("median: " + "   ".join(f"{name}: {statistics.median(times):.0f} us" for name, times in found.items()))
+            for name, (command, tree, environ) in commands.items():
+                times_by_name[name].append(await trial(command, tree, environ, count))
+            print("   ".join(f"{name}: {times[-1]:.0f} us" for name, times in times_by_name.items()), flush=True)
+        print(
+            "median: "
+            + "   ".join(f"{name}: {statistics.median(times):.0f} us" for name, times in times_by_name.items())
+        )
 
 
 def main() -> None:
-    """Play the trees in turn."""
+    """Start the hosts and compare the trees with the plain proxy."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("tree", nargs="*", type=Path, default=[ROOT])
     parser.add_argument("--trials", type=int, default=4)
     parser.add_argument("--requests", type=int, default=8000)
     parser.add_argument("--plain", help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.plain:
-        asyncio.run(plain(told.plain.split(",")))
+    options = parser.parse_args()
+    if options.plain:
+        asyncio.run(plain_proxy(options.plain.split(",")))
         return
-    ours, theirs = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=hosts, args=(theirs,), daemon=True)
+    local_end, remote_end = multiprocessing.Pipe()
+    process = multiprocessing.Process(target=hosts, args=(remote_end,), daemon=True)
     process.start()
     try:
-        asyncio.run(compare([tree.resolve() for tree in told.tree], told.trials, told.requests, ours.recv()))
+        asyncio.run(
+            compare([tree.resolve() for tree in options.tree], options.trials, options.requests, local_end.recv())
+        )
     finally:
         process.terminate()
 
