--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,7 +1,7 @@
-"""What simulated time costs and what size does: ``python benchmarks/scale.py COPIES HOSTS REQUESTS [SUBSET]``.
+"""Measures the simulation at a size of the fleet: ``python benchmarks/scale.py COPIES HOSTS REQUESTS [SUBSET]``.
 
-Prints requests and events a second of one core, the module's own share of the time, memory for each pair of a copy and
-a host, connections and probes of the fleet, and latency.
+Prints requests and events per second on one core, the module's share of the time, memory per pair of a copy and a host,
+connections and probes of the fleet, and latency.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 
 def scenario(copies: int, hosts: int, requests: int, subset: int) -> Scenario:
-    """One tier at half of its capacity; everybody decides alone."""
+    """Return a scenario of one tier at half of its capacity."""
     rate = 0.5 * hosts * 2 / 0.020
-    told: dict[str, Any] = {
+    settings: dict[str, Any] = {
         "name": f"scale-{copies}-{hosts}",
         "seconds": max(1.0, requests / rate),
         "load": {"rate": rate},
@@ -33,11 +33,11 @@
         "tier": [{"name": "front", "proxies": copies, "kind": [{"name": "std", "count": hosts}]}],
         "subset": {"size": subset},
     }
-    return msgspec.convert(told, Scenario)
+    return msgspec.convert(settings, Scenario)
 
 
 class Timed:
-    """The module, with the time it takes."""
+    """The module with a measurement of its processing time."""
 
     spent = 0.0
 
@@ -45,7 +45,7 @@
         self._module = Balancer(settings, seed)
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Pass on, and count the time."""
+        """Handle an event and add the time that it took."""
         began = time.perf_counter()
         actions = self._module.handle(now, event)
         Timed.spent += time.perf_counter() - began
@@ -53,30 +53,30 @@
 
 
 def main() -> None:
-    """One run, one line."""
+    """Run the scenario and print a line of figures."""
     copies, hosts, requests, subset = (*map(int, sys.argv[1:]), 0)[:4]
-    told = scenario(copies, hosts, requests, subset)
-    world = World(told, make_decisions=Timed)
-    before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    run_scenario = scenario(copies, hosts, requests, subset)
+    world = World(run_scenario, make_decisions=Timed)
+    rss_before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     began = time.perf_counter()
     for proxy in world.proxies.values():
         proxy.start(world.discovery.known(0))
-    started = time.perf_counter() - began
-    after = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
+    start_s = time.perf_counter() - began
+    rss_after = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     for proxy in world.proxies.values():
         proxy.die()
     Timed.spent, began = 0.0, time.perf_counter()
     world.play()
-    took = time.perf_counter() - began
+    run_s = time.perf_counter() - began
     offered = world.clients.offered
     result = world.result()
     tier, latency = result.tiers[0], result.classes[0].latency_ms
     opened = sum(proxy.counters["connections_opened"] for proxy in world.proxies.values())
-    share, pair = Timed.spent / took, (after - before) * 1024 / (copies * hosts)
+    share, memory = Timed.spent / run_s, (rss_after - rss_before) * 1024 / (copies * hosts)
     print(
-        f"{copies} copies x {hosts} hosts, subset {subset or 'off'}: {offered} requests in {took:.1f} s "
-        f"({offered / took:.0f}/s, {world.kernel.events / took:.0f} events/s); module {share:.0%} of the time; "
-        f"{pair:.0f} bytes a pair, start {started:.1f} s; {opened} connections ({opened / offered:.2f} a request), "
+        f"{copies} copies x {hosts} hosts, subset {subset or 'off'}: {offered} requests in {run_s:.1f} s "
+        f"({offered / run_s:.0f}/s, {world.kernel.events / run_s:.0f} events/s); module {share:.0%} of the time; "
+        f"{memory:.0f} bytes a pair, start {start_s:.1f} s; {opened} connections ({opened / offered:.2f} a request), "
         f"{tier.probes} probes; in time {result.in_time:.4f}, p50 {latency['p50']:.1f} p99 {latency['p99']:.1f} ms; "
         f"{len(result.verdict.breaches)} rules broken",
         flush=True,
