--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,8 +1,8 @@
-"""Ways to give each copy a subset of the hosts, weighed: ``python benchmarks/subsets.py``.
+"""Compares strategies that give each copy a subset of the hosts: ``python benchmarks/subsets.py``.
 
-For each: how evenly hosts are covered (copies that hold them, relative to the mean), hosts held by nobody, what one
-host's end changes over all copies as a multiple of the least possible, the same for a deploy of 97%, and the time
-that one copy takes over its list. ``told``: the count that copies are told over the true one.
+Prints for each strategy how evenly hosts are covered (copies that hold them, relative to the mean), the number of hosts
+in no subset, the changes over all copies when a host ends and in a deploy of 97% (relative to the least possible), and
+the time that a copy needs for its list. Columns with "told 2x": copies are told twice their true number.
 """
 
 from __future__ import annotations
@@ -21,51 +21,51 @@
 
 from cranebank.routing.subset import ring_position, slot_ring_position
 
-Way = Callable[[int, int, list[str], int], set[str]]  # slot, told count, hosts, size
+Strategy = Callable[[int, int, list[str], int], set[str]]  # slot, told count, hosts, size
 
 
 def digest(*words: object) -> int:
-    """64 bits of BLAKE2b."""
+    """Return 64 bits of BLAKE2b over the words."""
     return int.from_bytes(blake2b("/".join(map(str, words)).encode(), digest_size=8).digest())
 
 
 def aperture(slot: int, count: int, hosts: list[str], size: int) -> set[str]:
-    """Deterministic aperture: hosts in order at equal distances, the copy takes the next ones from its own place."""
+    """Deterministic aperture: hosts in a fixed order at equal distances; a copy takes those after its position."""
     ordered = sorted(hosts, key=lambda host: digest("order", host))
     first = int(slot / count * len(ordered))
     return {ordered[(first + i) % len(ordered)] for i in range(min(size, len(ordered)))}
 
 
 def rendezvous(slot: int, count: int, hosts: list[str], size: int) -> set[str]:
-    """Highest random weight: the hosts that hash best with the copy's own number."""
+    """Rendezvous hashing (highest random weight): the hosts with the lowest hashes of the copy's slot and the host."""
     return set(sorted(hosts, key=lambda host: digest(slot, host))[:size])
 
 
 def dealt(slot: int, count: int, hosts: list[str], size: int) -> set[str]:
-    """Deterministic subsetting by rounds: in each the hosts are shuffled and dealt out."""
-    rounds, each = len(hosts) // size or 1, max(1, len(hosts) // size)
-    ordered = sorted(hosts, key=lambda host: digest("round", slot // rounds, host))
-    return set(ordered[slot % rounds :: each][:size])
+    """Deterministic subsetting by rounds: in each round the shuffled hosts are divided among copies."""
+    subsets_per_round, stride = len(hosts) // size or 1, max(1, len(hosts) // size)
+    ordered = sorted(hosts, key=lambda host: digest("round", slot // subsets_per_round, host))
+    return set(ordered[slot % subsets_per_round :: stride][:size])
 
 
-def ring(arcs: int) -> Way:
-    """Hosts at hashed places on ``arcs`` rings; the copy takes the next ones from places that depend on its number."""
+def ring(arcs: int) -> Strategy:
+    """Hosts at hashed positions on ``arcs`` rings; a copy takes those that follow the positions of its slot."""
 
     def chosen(slot: int, count: int, hosts: list[str], size: int) -> set[str]:
-        found: set[str] = set()
+        subset: set[str] = set()
         for arc in range(arcs):
-            places = sorted((ring_position(host, arc), host) for host in hosts)
-            at = bisect.bisect_left(places, (slot_ring_position(slot, arc), ""))
+            positions = sorted((ring_position(host, arc), host) for host in hosts)
+            start = bisect.bisect_left(positions, (slot_ring_position(slot, arc), ""))
             wanted, step = min(len(hosts), (size * (arc + 1)) // arcs), 0
-            while len(found) < wanted and step < len(places):
-                found.add(places[(at + step) % len(places)][1])
+            while len(subset) < wanted and step < len(positions):
+                subset.add(positions[(start + step) % len(positions)][1])
                 step += 1
-        return found
+        return subset
 
     return chosen
 
 
-WAYS: dict[str, Way] = {
+STRATEGIES: dict[str, Strategy] = {
     "aperture": aperture,
     "dealt": dealt,
     "rendezvous": rendezvous,
@@ -75,41 +75,43 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Compare the strategies at several sizes and print the table."""
     rows = []
-    for copies, count_of, size in ((100, 200, 20), (200, 200, 20), (1000, 100, 20), (50, 500, 30)):
-        hosts = [f"s-{digest('host', i):016x}" for i in range(count_of)]
-        newer = [f"s-{digest('new', i):016x}" for i in range(count_of)]
-        for name, way in WAYS.items():
+    for copies, host_count, size in ((100, 200, 20), (200, 200, 20), (1000, 100, 20), (50, 500, 30)):
+        hosts = [f"s-{digest('host', i):016x}" for i in range(host_count)]
+        new_hosts = [f"s-{digest('new', i):016x}" for i in range(host_count)]
+        for name, choose in STRATEGIES.items():
             began = time.perf_counter()
-            held = [way(slot, copies, hosts, size) for slot in range(copies)]
-            took = (time.perf_counter() - began) / copies
+            held = [choose(slot, copies, hosts, size) for slot in range(copies)]
+            elapsed_s = (time.perf_counter() - began) / copies
             cover = Counter(host for of in held for host in of)
-            mean = copies * size / count_of
-            stale = Counter(host for slot in range(copies) for host in way(slot, 2 * copies, hosts, size))
-            moved = []
-            for gone in range(0, count_of, max(1, count_of // 10)):
-                fewer = [host for host in hosts if host != hosts[gone]]
-                after = [way(slot, copies, fewer, size) for slot in range(copies)]
-                moved.append(sum(len(b - a) for a, b in zip(held, after, strict=True)) / max(1, cover[hosts[gone]]))
-            changed, total, at, deployed = held, 0, 0, count_of * 97 // 100
-            while at < deployed:
-                at = min(deployed, at + max(1, count_of // 10))
-                after = [way(slot, copies, newer[:at] + hosts[at:], size) for slot in range(copies)]
-                total += sum(len(b - a) for a, b in zip(changed, after, strict=True))
-                changed = after
+            mean = copies * size / host_count
+            stale = Counter(host for slot in range(copies) for host in choose(slot, 2 * copies, hosts, size))
+            removal_changes = []
+            for removed in range(0, host_count, max(1, host_count // 10)):
+                fewer = [host for host in hosts if host != hosts[removed]]
+                after = [choose(slot, copies, fewer, size) for slot in range(copies)]
+                removal_changes.append(
+                    sum(len(b - a) for a, b in zip(held, after, strict=True)) / max(1, cover[hosts[removed]])
+                )
+            previous, deploy_changes, replaced, deploy_end = held, 0, 0, host_count * 97 // 100
+            while replaced < deploy_end:
+                replaced = min(deploy_end, replaced + max(1, host_count // 10))
+                after = [choose(slot, copies, new_hosts[:replaced] + hosts[replaced:], size) for slot in range(copies)]
+                deploy_changes += sum(len(b - a) for a, b in zip(previous, after, strict=True))
+                previous = after
             rows.append(
                 (
-                    f"{copies} x {count_of}, {size}",
+                    f"{copies} x {host_count}, {size}",
                     name,
                     f"{min(cover[h] for h in hosts) / mean:.2f}",
                     f"{max(cover.values()) / mean:.2f}",
                     sum(not cover[h] for h in hosts),
                     f"{min(stale[h] for h in hosts) / mean:.2f}",
                     f"{max(stale.values()) / mean:.2f}",
-                    f"{sum(moved) / len(moved):.2f}",
-                    f"{total / (copies * size * 0.97):.2f}",
-                    f"{took * 1e3:.2f}",
+                    f"{sum(removal_changes) / len(removal_changes):.2f}",
+                    f"{deploy_changes / (copies * size * 0.97):.2f}",
+                    f"{elapsed_s * 1e3:.2f}",
                 )
             )
     print(
