--- a/benchmarks/plane.py
+++ b/benchmarks/plane.py
@@ -1,6 +1,6 @@
-"""What a proxy's control plane costs as the fleet grows: ``python benchmarks/plane.py``. In one process, no sockets.
+"""Measures the control plane's costs as the fleet grows: ``python benchmarks/plane.py``. One process, no sockets.
 
-Prints microseconds a call (the fastest of several rounds) at several sizes, and bytes of memory and of frames.
+Prints microseconds per call (the fastest of several rounds) at several sizes, and bytes of memory and of frames.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 def backend(number: int, call_seq: int = 1, models: int = 1) -> Backend:
-    """28 in 100 read prompts; all of one service unless there are more models."""
+    """Return a backend's record: 28 of 100 are prefill backends; all belong to one service unless ``models`` > 1."""
     model = f"model-{number % models}"
     return Backend(
         f"backend-{number:06d}-a1b2c3",
@@ -55,24 +55,24 @@
     )
 
 
-def micros(work: Callable[[], Any], count: int, rounds: int = 3) -> float:
-    """Processor microseconds a call, the fastest round."""
-    best = float("inf")
+def measure_us(call: Callable[[], Any], count: int, rounds: int = 3) -> float:
+    """Return the processor time per call in microseconds, of the fastest round."""
+    fastest_s = float("inf")
     for _ in range(rounds):
         gc.collect()
         began = time.process_time()
         for _ in range(count):
-            work()
-        best = min(best, time.process_time() - began)
-    return round(1e6 * best / count, 2)
+            call()
+        fastest_s = min(fastest_s, time.process_time() - began)
+    return round(1e6 * fastest_s / count, 2)
 
 
-def choices(count: int, models: int) -> dict[str, float]:
-    """Merge, choose and the tellings to neighbours with so many backends of so many services."""
+def measure_choices(count: int, models: int) -> dict[str, float]:
+    """Measure merging, choosing and gossip with ``count`` backends of ``models`` services."""
     candidates, cache = Candidates(), CacheView()
     tracemalloc.start()
     candidates.merge(backend(number, models=models) for number in range(count))
-    held = tracemalloc.get_traced_memory()[0]
+    held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     chooser = PairChooser(candidates, cache, Random(1))
     chooser.proxies = 350
@@ -97,7 +97,7 @@
     outbox = GossipOutbox()
     now = [0.0]
 
-    def tell() -> None:
+    def gossip() -> None:
         now[0] += 0.1
         outbox.next(
             now[0],
@@ -110,26 +110,28 @@
             ),
         )
 
-    few = 20 if count > 1000 else 200
+    repeats = 20 if count > 1000 else 200
     return {
         "backends": count,
         "models": models,
-        "held_bytes_a_backend": round(held / count),
-        "push_of_one_us": micros(push, few),
-        "one_comes_and_goes_us": micros(come_and_go, few),
-        "choose_own_prompt_us": micros(lambda: chooser.choose(100.0, "model-0", ENGINE, own, 1800.0, set()), few),
-        "choose_new_shared_prompt_us": micros(lambda: choose_shared(400), few, 2),
-        "choose_known_shared_prompt_us": micros(lambda: choose_shared(10), few, 3),
-        "tell_neighbours_us": micros(tell, few),
+        "held_bytes_a_backend": round(held_bytes / count),
+        "push_of_one_us": measure_us(push, repeats),
+        "one_comes_and_goes_us": measure_us(come_and_go, repeats),
+        "choose_own_prompt_us": measure_us(
+            lambda: chooser.choose(100.0, "model-0", ENGINE, own, 1800.0, set()), repeats
+        ),
+        "choose_new_shared_prompt_us": measure_us(lambda: choose_shared(400), repeats, 2),
+        "choose_known_shared_prompt_us": measure_us(lambda: choose_shared(10), repeats, 3),
+        "tell_neighbours_us": measure_us(gossip, repeats),
     }
 
 
-def tables(tenants: int) -> dict[str, float]:
-    """A configuration of so many tenants: at the proxy, on the wire, at the primary."""
+def measure_configuration(tenants: int) -> dict[str, float]:
+    """Measure a configuration of ``tenants`` at the proxy, on the wire and at the primary."""
     body = json.dumps(document(tenants)).encode()
     tracemalloc.start()
     table = RouteTable.read(body)
-    held = tracemalloc.get_traced_memory()[0]
+    held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     frame = encode(ConfigPush(1, body))
     change = json.dumps({"revision": 2, "upsert": {"routes": [route(0)]}}).encode()
@@ -137,17 +139,17 @@
         "tenants": tenants,
         "document_bytes": len(body),
         "change_bytes": len(change),
-        "held_bytes": held,
-        "read_us": micros(lambda: RouteTable.read(body), 3),
-        "encode_us": micros(lambda: encode(ConfigPush(1, body)), 5),
-        "decode_us": micros(lambda: Decoder().feed(frame), 5),
-        "match_us": micros(lambda: table.match("tenant-00007.models.example", "/v1/chat"), 2000),
-        "amend_us": micros(lambda: amend(body, change), 1),
+        "held_bytes": held_bytes,
+        "read_us": measure_us(lambda: RouteTable.read(body), 3),
+        "encode_us": measure_us(lambda: encode(ConfigPush(1, body)), 5),
+        "decode_us": measure_us(lambda: Decoder().feed(frame), 5),
+        "match_us": measure_us(lambda: table.match("tenant-00007.models.example", "/v1/chat"), 2000),
+        "amend_us": measure_us(lambda: amend(body, change), 1),
     }
 
 
-def peers(count: int) -> dict[str, float]:
-    """A controller's core with so many proxies."""
+def measure_delivery(count: int) -> dict[str, float]:
+    """Measure a controller's delivery to ``count`` proxies."""
     delivery = Delivery("c", Random(1), lambda _now, _revision: True)
     delivery.set_primary(0.0, True)
     delivery.update_controllers([f"10.9.0.{number}" for number in range(6)])
@@ -161,7 +163,7 @@
         delivery.tick(1.0)
         delivery.pop_messages()
 
-    def tell() -> None:
+    def push_change() -> None:
         delivery.push_backends(change)
         for link, message in delivery.pop_messages():
             assert isinstance(message, Push)
@@ -170,15 +172,15 @@
 
     return {
         "proxies": count,
-        "tick_us": micros(lambda: delivery.tick(0.0), 200),
-        "welcome_round_us": micros(welcome, 3),
-        "push_and_acks_us": micros(tell, 10),
+        "tick_us": measure_us(lambda: delivery.tick(0.0), 200),
+        "welcome_round_us": measure_us(welcome, 3),
+        "push_and_acks_us": measure_us(push_change, 10),
     }
 
 
-def registry(count: int) -> dict[str, float]:
-    """A controller's registry with so many backends."""
-    made = Registry(0.0, 1.2)
+def measure_registry(count: int) -> dict[str, float]:
+    """Measure a controller's registry with ``count`` backends."""
+    registry = Registry(0.0, 1.2)
     bodies = [
         json.dumps(
             {
@@ -195,42 +197,42 @@
     ]
     tracemalloc.start()
     for number in range(count):
-        made.heartbeat(0.0, f"backend-{number}", bodies[number])
-    held = tracemalloc.get_traced_memory()[0]
+        registry.heartbeat(0.0, f"backend-{number}", bodies[number])
+    held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    made.changes()
+    registry.changes()
     heard = tuple((f"backend-{number}", 1, 10) for number in range(count))
 
-    def tell() -> None:
+    def pop_heartbeats() -> None:
         for number in range(count):
-            made._own[f"backend-{number}"] = 0.0
+            registry._own[f"backend-{number}"] = 0.0
         encode(Hello("c", "controller", "", "", 1))
-        msgspec.msgpack.encode(made.pop_heard(0.5))
+        msgspec.msgpack.encode(registry.pop_heard(0.5))
 
     return {
         "backends": count,
-        "held_bytes_a_backend": round(held / count),
-        "heartbeat_us": micros(lambda: made.heartbeat(0.5, "backend-0", bodies[0]), 2000),
-        "expire_us": micros(lambda: made.expire(4.8), 10),
-        "take_heard_us": micros(tell, 3),
-        "heard_us": micros(lambda: made.heard(0.5, heard), 3),
+        "held_bytes_a_backend": round(held_bytes / count),
+        "heartbeat_us": measure_us(lambda: registry.heartbeat(0.5, "backend-0", bodies[0]), 2000),
+        "expire_us": measure_us(lambda: registry.expire(4.8), 10),
+        "take_heard_us": measure_us(pop_heartbeats, 3),
+        "heard_us": measure_us(lambda: registry.heard(0.5, heard), 3),
         "heard_bytes": len(msgspec.msgpack.encode(heard)),
         "hello_bytes": len(
             encode(
                 Hello("p", "proxy", "10.0.0.1", "z", 1, 1, tuple(backend(number, models=4) for number in range(count)))
             )
         ),
-        "hello_encode_us": micros(lambda: encode(Push(1, tuple(made.records.values()))), 3),
+        "hello_encode_us": measure_us(lambda: encode(Push(1, tuple(registry.records.values()))), 3),
     }
 
 
-def neighbours(loads: int) -> dict[str, float]:
-    """A neighbour's datagram with so many loads, and a part that the cache view keeps."""
-    told = tuple(Load(f"backend-{number:06d}-a1b2c3", 3, 4000 + number) for number in range(loads))
-    data, number, sums = encode(Gossip(1, 7, 9, told)), [0], NeighbourLoads()
+def measure_gossip(loads: int) -> dict[str, float]:
+    """Measure a neighbour's datagram with ``loads`` loads, and the memory per prompt part in the cache view."""
+    reported = tuple(Load(f"backend-{number:06d}-a1b2c3", 3, 4000 + number) for number in range(loads))
+    datagram, number, sums = encode(Gossip(1, 7, 9, reported)), [0], NeighbourLoads()
 
-    def take() -> None:
-        message = decode_datagram(data)
+    def receive() -> None:
+        message = decode_datagram(datagram)
         assert isinstance(message, Gossip)
         number[0] += 1
         sums.merge(0.0, "10.0.0.1", number[0], message.loads)
@@ -239,60 +241,60 @@
     tracemalloc.start()
     for turn in range(2000):
         view.touch(f"b{turn % 20}", ((f"o{turn:05d}-0123456789abcdef", 400),), 400_000)
-    held = tracemalloc.get_traced_memory()[0]
+    held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return {
         "loads": loads,
-        "datagram_bytes": len(data),
-        "take_us": micros(take, 200),
-        "encode_us": micros(lambda: encode(Gossip(1, 7, 9, told)), 200),
-        "held_bytes_a_part": round(held / 2000),
+        "datagram_bytes": len(datagram),
+        "take_us": measure_us(receive, 200),
+        "encode_us": measure_us(lambda: encode(Gossip(1, 7, 9, reported)), 200),
+        "held_bytes_a_part": round(held_bytes / 2000),
     }
 
 
-def process(count: int, tenants: int) -> dict[str, float]:
-    """Memory of this process, with a proxy's programs loaded, before and after it learns of a fleet."""
+def measure_memory(count: int, tenants: int) -> dict[str, float]:
+    """Measure the memory of this process with a proxy's modules, before and after it learns of a fleet."""
     from cranebank.programs import edge  # noqa: F401, PLC0415
 
-    me = psutil.Process()
-    before = me.memory_info().rss
+    this_process = psutil.Process()
+    before = this_process.memory_info().rss
     candidates = Candidates()
     candidates.merge(backend(number, models=4) for number in range(count))
-    known = me.memory_info().rss
-    document_ = json.dumps(document(tenants)).encode()
-    table = RouteTable.read(document_)
-    after = me.memory_info().rss
-    table = RouteTable.read(document_)  # the next one, while the last is in force
+    known = this_process.memory_info().rss
+    body = json.dumps(document(tenants)).encode()
+    table = RouteTable.read(body)
+    after = this_process.memory_info().rss
+    table = RouteTable.read(body)  # the next table, while the last one is still in use
     assert table.revision
     return {
         "rss_mb": round(before / 1e6, 1),
         "with_backends_mb": round(known / 1e6, 1),
         "with_tenants_mb": round(after / 1e6, 1),
-        "after_a_change_mb": round(me.memory_info().rss / 1e6, 1),
+        "after_a_change_mb": round(this_process.memory_info().rss / 1e6, 1),
     }
 
 
 def main() -> None:
-    """One line of JSON for each size."""
-    print(json.dumps(process(5700, 5200)), flush=True)
+    """Print a line of JSON for each size."""
+    print(json.dumps(measure_memory(5700, 5200)), flush=True)
     for count, models in ((50, 1), (500, 1), (2000, 1), (5700, 1), (5700, 4), (64, 1)):
-        print(json.dumps(choices(count, models)), flush=True)
+        print(json.dumps(measure_choices(count, models)), flush=True)
     for tenants in (50, 500, 2000, 5200):
-        print(json.dumps(tables(tenants)), flush=True)
+        print(json.dumps(measure_configuration(tenants)), flush=True)
     for count in (10, 50, 150, 350):
-        print(json.dumps(peers(count)), flush=True)
+        print(json.dumps(measure_delivery(count)), flush=True)
     for count in (50, 500, 2000, 5700):
-        print(json.dumps(registry(count)), flush=True)
+        print(json.dumps(measure_registry(count)), flush=True)
     for loads in (0, 7, 38):
-        print(json.dumps(neighbours(loads)), flush=True)
-    pulse, load = encode(LinkHeartbeat(7)), msgspec.msgpack.encode(Load("backend-000001-a1b2c3", 3, 4000))
+        print(json.dumps(measure_gossip(loads)), flush=True)
+    heartbeat, load = encode(LinkHeartbeat(7)), msgspec.msgpack.encode(Load("backend-000001-a1b2c3", 3, 4000))
     print(
         json.dumps(
             {
-                "pulse_bytes": len(pulse),
+                "pulse_bytes": len(heartbeat),
                 "load_bytes": len(load),
-                "encode_pulse_us": micros(lambda: encode(LinkHeartbeat(7)), 2000),
-                "decode_pulse_us": micros(lambda: Decoder().feed(pulse), 2000),
+                "encode_pulse_us": measure_us(lambda: encode(LinkHeartbeat(7)), 2000),
+                "decode_pulse_us": measure_us(lambda: Decoder().feed(heartbeat), 2000),
                 "push_of_one_bytes": len(encode(Push(1000, (backend(1),)))),
             }
         )
