--- a/tests/test_lab_simulated.py
+++ b/tests/test_lab_simulated.py
@@ -1,4 +1,4 @@
-"""Simulated time: the kernel, digests, the judge on simulated runs, partitions, and the paper's processes."""
+"""Tests of the simulation: kernel, digests, the judge on simulated runs, partitions, and the paper's processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from cranebank.lab.simulated.world import World, play
 
 ROOT = Path(__file__).parent.parent
-THREE: dict[str, Any] = {
+THREE_TIERS: dict[str, Any] = {
     "zones": ["a", "b"],
     "tier": [
         {"name": name, "proxies": 2, "work": 0.34, "kind": [{"name": "std", "count": 4}]}
@@ -52,7 +52,7 @@
         assert kernel.pending_count <= 2 * 64 + 2
     kernel.run()
     assert seen == ["kept"]
-    kept.cancel()  # it has happened
+    kept.cancel()  # without effect: it has run
 
 
 def test_the_same_seed_gives_the_same_digest_in_every_process_and_another_seed_another() -> None:
@@ -106,28 +106,31 @@
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault["what"])
 def test_no_rule_breaks_under_any_fault_and_all_is_answered(fault: dict[str, Any]) -> None:
-    told = scenario(seconds=5.0, load={"rate": 60.0}, fault=[{"at_s": 1.0, "for_s": 2.0} | fault], **THREE)
-    world = World(told)
+    config = scenario(seconds=5.0, load={"rate": 60.0}, fault=[{"at_s": 1.0, "for_s": 2.0} | fault], **THREE_TIERS)
+    world = World(config)
     world.play()
-    found = judge(told, world.plan, world.records)
-    assert found.kept, found
+    verdict = judge(config, world.plan, world.records)
+    assert verdict.kept, verdict
     assert not world.errors
     clients = [r for r in world.records if isinstance(r, records.Asked) and r.caller == "client"]
     assert len({r.root for r in clients}) == world.clients.offered > 200
     assert sum(r.status == 200 for r in clients) > 0.5 * world.clients.offered
-    for proxy in world.proxies.values():  # nothing is left behind
+    for proxy in world.proxies.values():  # no state of requests is left
         assert not proxy.outs
         assert proxy.rules is None or proxy.rules.unanswered_count == 0
 
 
 def test_a_partition_holds_back_news_of_a_drain_and_no_leg_crosses_it() -> None:
     deploy = {"what": "deploy", "at_s": 1.0, "for_s": 0.1, "tier": "one", "part": 0.5, "batch": 1.0, "drain_s": 6.0}
-    told = scenario(
-        seconds=9.0, load={"rate": 60.0}, **THREE, fault=[deploy, {"what": "partition", "at_s": 1.1, "for_s": 4.0}]
+    config = scenario(
+        seconds=9.0,
+        load={"rate": 60.0},
+        **THREE_TIERS,
+        fault=[deploy, {"what": "partition", "at_s": 1.1, "for_s": 4.0}],
     )
-    world = World(told)
+    world = World(config)
     world.play()
-    assert judge(told, world.plan, world.records).kept
+    assert judge(config, world.plan, world.records).kept
     zones = {h.name: h.zone for h in world.plan.hosts}
     asked = {r.id: world.proxies[r.proxy].plan.zone for r in world.records if isinstance(r, records.Asked)}
     crossed = [
@@ -146,37 +149,37 @@
     assert late and min(r.at for r in late) > 5_000_000
 
 
-@pytest.mark.parametrize(("cut_s", "told_s"), [(0.5, 2.0), (1.5, 4.0), (3.5, None)])
+@pytest.mark.parametrize(("partition_s", "answered_s"), [(0.5, 2.0), (1.5, 4.0), (3.5, None)])
 def test_a_call_into_a_partition_reaches_discovery_with_tcps_next_try_or_is_given_up(
-    cut_s: float, told_s: float | None
+    partition_s: float, answered_s: float | None
 ) -> None:
-    """Tries go at 1, 2 and 4 s, as on sockets (tests/test_network_failures.py); the call is given up at 5 s."""
-    world = World(scenario(**THREE, fault=[{"what": "partition", "at_s": 1.0, "for_s": cut_s}]))
+    """SYNs are sent at 1, 2 and 4 s, as on sockets (tests/test_network_failures.py); the call fails at 5 s."""
+    world = World(scenario(**THREE_TIERS, fault=[{"what": "partition", "at_s": 1.0, "for_s": partition_s}]))
     proxy = next(p for p in world.proxies.values() if p.plan.zone == 1)
     proxy.start(())
-    heard, drive = list[tuple[int, api.ListKind]](), proxy.drive
+    updates, drive = list[tuple[int, api.ListKind]](), proxy.drive
 
-    def drives(message: rules.Message) -> None:
+    def record_and_drive(message: rules.Message) -> None:
         if isinstance(message, rules.RoutingUpdate):
-            heard.append((world.kernel.now, message.kind))
+            updates.append((world.kernel.now, message.kind))
         drive(message)
 
-    proxy.drive = drives  # type: ignore[method-assign]
-    world.kernel.at(1_000_000, world.discovery.watch, proxy, 0)  # of no version: the whole list is the answer
+    proxy.drive = record_and_drive  # type: ignore[method-assign]
+    world.kernel.at(1_000_000, world.discovery.watch, proxy, 0)  # version 0: the answer is the whole list
     world.kernel.at(5_100_000, world.kernel.stop)
     world.kernel.run()
-    whole = [at for at, kind in heard if kind is api.ListKind.ALL]
-    refused = [at for at, kind in heard if kind is api.ListKind.REFUSED]
-    if told_s is None:
+    whole = [at for at, kind in updates if kind is api.ListKind.ALL]
+    refused = [at for at, kind in updates if kind is api.ListKind.REFUSED]
+    if answered_s is None:
         assert (whole, refused) == ([], [5_000_000])
     else:
         assert len(whole) == 1
-        assert told_s * 1e6 < whole[0] < (told_s + 0.9) * 1e6
+        assert answered_s * 1e6 < whole[0] < (answered_s + 0.9) * 1e6
         assert not refused
 
 
-class Faulty:
-    """The module, and after it what breaks a rule."""
+class FaultyDecisions:
+    """The module with a planted violation of a rule."""
 
     def __init__(self, breach: str, settings: api.Settings, seed: int) -> None:
         self._module, self._breach = Balancer(settings, seed), breach
@@ -205,23 +208,23 @@
     monkeypatch: pytest.MonkeyPatch, breach: str, rule: str | None, changes: dict[str, Any]
 ) -> None:
     kinds = [{"name": "std", "count": 6, "error_rate": 0.3}]
-    told = scenario(tier=[{"name": "front", "proxies": 1, "kind": kinds}], **changes)
-    world = World(told, make_decisions=lambda settings, seed: Faulty(breach, settings, seed))
-    if breach == "attempts":  # the rules layer's own guard is off: the judge must see it
-        monkeypatch.setattr(rules.Rules, "_send", _unguarded(rules.Rules._send))
+    config = scenario(tier=[{"name": "front", "proxies": 1, "kind": kinds}], **changes)
+    world = World(config, make_decisions=lambda settings, seed: FaultyDecisions(breach, settings, seed))
+    if breach == "attempts":  # disable the rules layer's own limit, so that only the judge can report it
+        monkeypatch.setattr(rules.Rules, "_send", _without_attempt_limit(rules.Rules._send))
     world.play()
-    found = {b.rule for b in judge(told, world.plan, world.records).breaches}
-    found -= {"repeat"} if rule != "repeat" else set()
-    assert found == ({rule} if rule else set())
+    broken_rules = {b.rule for b in judge(config, world.plan, world.records).breaches}
+    broken_rules -= {"repeat"} if rule != "repeat" else set()
+    assert broken_rules == ({rule} if rule else set())
 
 
-def _unguarded(send: Callable[..., None]) -> Callable[..., None]:
-    def sends(self: rules.Rules, name: str, server: str, timeout: int) -> None:
+def _without_attempt_limit(send: Callable[..., None]) -> Callable[..., None]:
+    def send_unlimited(self: rules.Rules, name: str, server: str, timeout: int) -> None:
         kept, self.settings = self.settings, type(self.settings)(classes=self.settings.classes, max_attempts=99)
         send(self, name, server, timeout)
         self.settings = kept
 
-    return sends
+    return send_unlimited
 
 
 @pytest.mark.parametrize(
@@ -230,7 +233,7 @@
 )
 def test_subsets_bound_connections_and_serve_as_well(subset: dict[str, Any]) -> None:
     kinds = [{"name": "std", "count": 60}]
-    told = scenario(
+    config = scenario(
         seconds=4.0,
         load={"rate": 400.0},
         subset=subset,
@@ -238,7 +241,7 @@
         prices={"handshake": 0.0},
         tier=[{"name": "front", "proxies": 12, "kind": kinds}],
     )
-    result = play(told)
+    result = play(config)
     assert result.verdict.kept
     assert result.in_time > 0.99
     connections = result.tiers[0].connections
@@ -257,9 +260,9 @@
 
 
 def test_the_modules_own_gap_lies_between_one_choice_and_two_choice_in_large_batches() -> None:
-    ours = paper.module_gap(100, 20, 4, 1)
-    two = np.mean([paper.gap("two-choice", 100, 2000, seed, 4) for seed in range(8)])
-    assert 3.0 < ours < two
+    module_gap = paper.module_gap(100, 20, 4, 1)
+    two_choice_gap = np.mean([paper.gap("two-choice", 100, 2000, seed, 4) for seed in range(8)])
+    assert 3.0 < module_gap < two_choice_gap
 
 
 def test_a_hunt_finds_shrinks_and_writes_what_can_be_played_again(tmp_path: Path) -> None:
@@ -267,11 +270,11 @@
     from cranebank.lab.simulated import hunt  # noqa: PLC0415
 
     assert hunt.draw(3) == hunt.draw(3) != hunt.draw(4)
-    told = hunt.draw(7) | {
+    drawn = hunt.draw(7) | {
         "seconds": 8.0,
         "fault": [{"what": "shared-slow", "size": 3.0, "at_s": 2.0, "for_s": 3.0, "tier": "one"}],
     }
-    variants = list(hunt.reductions(told))
+    variants = list(hunt.reductions(drawn))
     assert {"fault": []}.items() <= variants[0].items()
     said: list[str] = []
     hunt.hunt(0.2, 11, tmp_path, said.append, processes=2)
@@ -282,13 +285,13 @@
 
 
 def test_news_of_one_host_arrives_in_the_order_in_which_it_was_told() -> None:
-    told = scenario(net={"jitter": 1.0, "same_ms": 400.0})
-    world = World(told)
+    config = scenario(net={"jitter": 1.0, "same_ms": 400.0})
+    world = World(config)
     (proxy,) = world.proxies.values()
     proxy.start(world.discovery.known(0))
     world.discovery.watch(proxy, 1)
     world.kernel.run(10_000_000)
-    for turn in range(40):  # each pair is told within one delay
+    for turn in range(40):  # both changes are sent within one network delay
         for state in ("DRAINING", "SERVING" if turn % 2 else "DELETED"):
             world.discovery._learn(Notice(at=0, host="front-std-0", state=state))
         world.kernel.run(world.kernel.now + 5_000_000)
