--- a/cranebank/lab/simulated/world.py
+++ b/cranebank/lab/simulated/world.py
@@ -86,10 +86,10 @@
         self.request = None
         self._send("broke", 0, b"", False)
 
-    def _send(self, what: str, status: int, body: bytes, not_run: bool) -> None:
+    def _send(self, event: str, status: int, body: bytes, not_run: bool) -> None:
         world = self.host.world
         if self.open and (delay := world.delay(self.host.host.zone, self.proxy.plan.zone)) is not None:
-            world.kernel.at(world.kernel.now + delay, self.proxy.heard, self, self.flight, what, status, body, not_run)
+            world.kernel.at(world.kernel.now + delay, self.proxy.heard, self, self.flight, event, status, body, not_run)
 
 
 class Flight:
@@ -139,25 +139,25 @@
 class Out:
     """A caller's outstanding request to a proxy."""
 
-    __slots__ = ("ask", "done", "left", "over", "proxy", "reply", "zone")
+    __slots__ = ("ask", "done", "has_left", "is_finished", "proxy", "reply", "zone")
 
     def __init__(self, proxy: Proxy, zone: int, ask: Ask, done: Callable[[Reply], None]) -> None:
         self.proxy, self.zone, self.ask, self.done = proxy, zone, ask, done
         self.reply = Reply()
-        self.left = self.over = False
+        self.has_left = self.is_finished = False
 
     def leave(self) -> None:
         """Give up: the proxy learns that its caller has left."""
-        self.left = True
+        self.has_left = True
         world = self.proxy.world
-        if not self.over and (delay := world.delay(self.zone, self.proxy.plan.zone)) is not None:
+        if not self.is_finished and (delay := world.delay(self.zone, self.proxy.plan.zone)) is not None:
             world.kernel.at(world.kernel.now + delay, self.proxy.forsaken, self)
 
     def finish(self, status: int, digest: str, retry_after: int, trouble: str) -> None:
         """Hand the answer, or the failure of the connection, to the caller."""
-        if self.left or self.over:
+        if self.has_left or self.is_finished:
             return
-        self.over = True
+        self.is_finished = True
         reply = self.reply
         reply.status, reply.digest, reply.retry_after, reply.trouble = status, digest, retry_after, trouble
         self.done(reply)
@@ -171,7 +171,7 @@
         self.counters = Counters()
         self.rules: rules.Rules | None = None
         self.hosts: dict[str, rules.Host] = {}
-        self.outs: dict[Out, None] = {}
+        self.open_requests: dict[Out, None] = {}
         self.links_open = 0
         self._idle: dict[str, list[Link]] = {}
         self._links: dict[Link, None] = {}
@@ -217,7 +217,7 @@
             event.cancel()
         self._alarms.clear()
         self._flights.clear()
-        for out in list(self.outs):
+        for out in list(self.open_requests):
             self.answer(out, 0, "", 0, "broke")
         for link in list(self._links):
             self._close(link)
@@ -233,7 +233,7 @@
         self._end_if_idle()
 
     def _end_if_idle(self) -> None:
-        if self.rules is not None and not self.outs:
+        if self.rules is not None and not self.open_requests:
             self.die()
             self.world.record_state(self, "ended")
 
@@ -245,30 +245,32 @@
             out.reply.sent = -1
             self.world.later(self.plan.zone, out.zone, out.finish, 0, "", 0, "refused")
             return
-        self.outs[out] = None
+        self.open_requests[out] = None
         self.world.kernel.at(self.world.kernel.now + self._processing_us, self._arrived, out, self.rules)
 
     def _arrived(self, out: Out, expected_rules: rules.Rules) -> None:
-        if self.rules is not expected_rules or out not in self.outs:
+        if self.rules is not expected_rules or out not in self.open_requests:
             return
         ask, now = out.ask, self.world.kernel.now
-        longest = round(self.settings.classes[ask.kind].deadline * 1000)
-        left = min(ask.left, longest) - ANSWER_MARGIN_US
+        class_deadline_us = round(self.settings.classes[ask.kind].deadline * 1000)
+        left_us = min(ask.left, class_deadline_us) - ANSWER_MARGIN_US
         self.counters.add("requests_taken")
-        call = rules.Call(ask.kind, ask.tenant, left, ask, ask.hint / 1000.0 if ask.hint else None, ask.again, ask.id)
+        call = rules.Call(
+            ask.kind, ask.tenant, left_us, ask, ask.hint / 1000.0 if ask.hint else None, ask.again, ask.id
+        )
         self.drive(rules.RequestArrived(call, out, now - self._processing_us))
 
     def forsaken(self, out: Out) -> None:
         """Handle a caller that gave up its request."""
-        if out in self.outs and self.rules is not None:
-            del self.outs[out]
+        if out in self.open_requests and self.rules is not None:
+            del self.open_requests[out]
             self.drive(rules.ClientLeft(out))
             if self._closing:
                 self._end_if_idle()
 
     def answer(self, out: Out, status: int, digest: str, retry_after: int, trouble: str = "") -> None:
         """Send the outcome of a request to its caller."""
-        if self.outs.pop(out, 0) is None:
+        if self.open_requests.pop(out, 0) is None:
             world = self.world
             delay = world.delay(self.plan.zone, out.zone)
             if delay is not None:
@@ -413,16 +415,16 @@
 
     def _accepted(self, flight: Flight, link: Link, one_way_us: int) -> None:
         """Handle the connection's arrival at the host."""
-        taken = link.open and link.host.opened(link)
-        self.world.kernel.at(self.world.kernel.now + one_way_us, self._up, flight, link, taken)
+        is_accepted = link.open and link.host.opened(link)
+        self.world.kernel.at(self.world.kernel.now + one_way_us, self._up, flight, link, is_accepted)
 
-    def _up(self, flight: Flight, link: Link, taken: bool) -> None:
-        """Handle a connection that is established; ``taken``: the host accepted it."""
+    def _up(self, flight: Flight, link: Link, is_accepted: bool) -> None:
+        """Handle a connection that is established; ``is_accepted``: the host accepted it."""
         if flight.done or not link.open:
             self._close(link)
             return
         self.counters.add("connections_opened")
-        if not taken:  # accepted and closed at once: by then the request was written
+        if not is_accepted:  # accepted and closed at once: by then the request was written
             self._close(link)
             if flight.leg is not None:
                 flight.leg.written = True
@@ -437,11 +439,11 @@
             flight.leg.written = True
         self.world.later(self.plan.zone, link.host.host.zone, link.host.take, link, flight)
 
-    def heard(self, link: Link, flight: Flight | None, what: str, status: int, body: bytes, not_run: bool) -> None:
-        """Handle an answer or the end of a connection (``what`` is ``broke``) from a host."""
+    def heard(self, link: Link, flight: Flight | None, event: str, status: int, body: bytes, not_run: bool) -> None:
+        """Handle an answer or the end of a connection (``event`` is ``broke``) from a host."""
         if not link.open or link.flight is not flight:
             return
-        if what == "broke":
+        if event == "broke":
             self._close(link)
             if flight is not None and not flight.done:
                 self._flights.pop(flight.leg, None) if flight.leg else None
@@ -563,13 +565,13 @@
         if one_way_us is None and now + retry_us < until:
             world.kernel.at(now + retry_us, self._call, proxy, expected_rules, version, until, 2 * retry_us)
             return
-        wait = self._call_queue.wait(now / 1e6) if one_way_us is not None and not self._down else None
+        wait_s = self._call_queue.wait(now / 1e6) if one_way_us is not None and not self._down else None
         if one_way_us is None:
             world.kernel.at(until, self._refused, proxy, expected_rules)
-        elif wait is None:
+        elif wait_s is None:
             world.kernel.at(now + 2 * one_way_us, self._refused, proxy, expected_rules)
-        elif (answered := now + one_way_us + round(wait * 1e6)) < until:
-            world.kernel.at(answered, self._answer, proxy, expected_rules, version)
+        elif (answered_at := now + one_way_us + round(wait_s * 1e6)) < until:
+            world.kernel.at(answered_at, self._answer, proxy, expected_rules, version)
         else:
             world.kernel.at(until, self._refused, proxy, expected_rules)
 
@@ -650,8 +652,8 @@
         self.records: list[records.Record] = []
         self.write = self.records.append
         self.errors: list[str] = []
-        longest = max((kind.window_ms for kind in scenario.classes), default=0.0)
-        self.repeats = Repeats(round(longest * 1000) + 1)
+        longest_window_ms = max((kind.window_ms for kind in scenario.classes), default=0.0)
+        self.repeats = Repeats(round(longest_window_ms * 1000) + 1)
         self.make_decisions = make_decisions or self._policy()
         self._digests: dict[bytes, str] = {}
         net = scenario.net
--- a/tests/test_lab_simulated.py
+++ b/tests/test_lab_simulated.py
@@ -116,7 +116,7 @@
     assert len({r.root for r in clients}) == world.clients.offered > 200
     assert sum(r.status == 200 for r in clients) > 0.5 * world.clients.offered
     for proxy in world.proxies.values():  # no state of requests is left
-        assert not proxy.outs
+        assert not proxy.open_requests
         assert proxy.rules is None or proxy.rules.unanswered_count == 0
 
 
