--- a/tests/mutants_control.py
+++ b/tests/mutants_control.py
@@ -7,7 +7,7 @@
 CONTROL_MUTANTS = (
     Mutant(
         Point.CUT_OFF,
-        "a drain is confirmed without a majority",
+        "a drain is acknowledged without a majority",
         "programs/registry_service.py",
         "return self._replication.is_confirmed(number, self._member_ips())",
         "return True",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a lease counts from the receipt of the grant",
+        "a lease starts at the receipt of the grant",
         "control/epochs.py",
         "return min(asked, received)",
         "return received",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a primary is in contact before its value is committed",
+        "a primary counts as in contact before its value is committed",
         "control/voter.py",
         "(is_settled and self.holds_lease(now))",
         "self.holds_lease(now)",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "an ended backend comes back",
+        "an ended backend becomes ready again",
         "membership/backends.py",
         'if old.phase == "gone":',
         "if False:",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a drain is acknowledged before proxies know",
+        "a drain is acknowledged before proxies have confirmed it",
         "programs/registry_service.py",
         "await wait_for_acks(acks, max(0.0, deadline - self._now()))",
         "pass",
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "the leave of an unknown backend is not reported",
+        "the leave of an unknown backend is not sent to proxies and controllers",
         "control/registry.py",
         'self._apply(now, Backend(backend_id, "", "", "", "", 1, "gone", 0))',
         'return Backend(backend_id, "", "", "", "", 1, "gone", 0)',
@@ -183,7 +183,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "failed actions are ignored",
+        "failed actions of the core are ignored",
         "programs/consensus_driver.py",
         """{!r}", error)
         self.broken.set()""",
@@ -203,7 +203,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a backend that accepts no order is ordered for ever",
+        "a backend that accepts no order is ordered without limit",
         "control/stage_balancer.py",
         "self._candidates.count_not_taken(order.backend.id)",
         "pass",
@@ -211,7 +211,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "the need of a removed service is kept",
+        "the recorded need of a removed service is kept",
         "control/stage_balancer.py",
         "self._forget_services(by_service.keys())",
         "pass",
@@ -219,7 +219,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a wait that ends late counts again",
+        "a timer of an order acts after the order has left that state",
         "control/stage_balancer.py",
         "if order.state is expected_state:",
         "if True:",
@@ -227,7 +227,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a heartbeat may have a number that no message carries",
+        "a heartbeat may carry a number that is too large for messages",
         "control/registry.py",
         "msgspec.Meta(ge=0, le=MAX_COUNT)",
         "msgspec.Meta(ge=0)",
--- a/tests/mutants_data_plane.py
+++ b/tests/mutants_data_plane.py
@@ -7,7 +7,7 @@
 DATA_PLANE_MUTANTS = (
     Mutant(
         Point.RIGHT_CALLER,
-        "a client may set the stage itself",
+        "a client's own x-stage header is passed on",
         "dataplane/proxy.py",
         '"x-target-instance", "x-stage", "kv-from"',
         '"x-target-instance", "kv-from"',
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a repeated call gets the whole of the client's time",
+        "a repeated call gets the client's whole time budget instead of the rest",
         "dataplane/proxy.py",
         "left = max(1, int((self.until - now) * 1e3))",
         "left = 3000",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "without a configuration a request has no route",
+        "before the first configuration a request is answered as if it had no route",
         "dataplane/proxy.py",
         'client.reply(NotRun("no configuration yet"), 0.2)',
         "client.reply(NoRoute(), None)",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "an older configuration is put in force",
+        "an older configuration is applied",
         "dataplane/proxy.py",
         "table.revision > self.revision",
         "True",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.HUNDREDS_OF_CHANGES,
-        "backends whose heartbeats ceased are kept for ever",
+        "lost backends are remembered without limit",
         "dataplane/candidates.py",
         "while len(self._lost) > MAX_REMEMBERED_LOST:",
         "while False:",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "part of an event is kept across attempts",
+        "a partial event of one attempt is kept for the next",
         "dataplane/client_answer.py",
         "self._splitter.drop_rest()",
         "pass",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "an attempt that may have begun counts as one that did not",
+        "an attempt that may have run counts as not run",
         "dataplane/exchange.py",
         "            self._answer.may_have_run = True\n            self._retry_or_give_up(now, leg)",
         "            self._retry_or_give_up(now, leg)",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "an answer may run into the head of another",
+        "an answer is accepted that contains the head of another one",
         "dataplane/backend_connections.py",
         "        _check_no_status_line(reason)",
         "        pass",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "trailer fields count as fields of the head",
+        "trailer fields are treated as header fields",
         "dataplane/backend_connections.py",
         "        if self._in_head:",
         "        if not self._done:",
@@ -119,7 +119,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a connection is kept after bytes behind an answer",
+        "a connection is reused after surplus bytes behind an answer",
         "dataplane/backend_connections.py",
         "if self._keep and not self._is_surplus and self._is_all_sent():",
         "if self._keep and self._is_all_sent():",
@@ -127,7 +127,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a connection is kept while its request is still being sent",
+        "a connection is reused while its request is still being sent",
         "dataplane/backend_connections.py",
         "not self._is_surplus and self._is_all_sent():",
         "not self._is_surplus:",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "an idle connection is closed over unread bytes",
+        "an idle connection is closed although it has unread bytes",
         "dataplane/front.py",
         "<= allowed_ms / 1e3 or self._has_unread():",
         "<= allowed_ms / 1e3:",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "messages behind the end of a link are heard",
+        "messages are processed after the end of their link",
         "transport/links.py",
         "            if not self.up:\n                return\n            self._owner",
         "            self._owner",
@@ -159,7 +159,7 @@
     ),
     Mutant(
         Point.RIGHT_CALLER,
-        "a reply to an earlier shuffle is taken for one to the present",
+        "a reply to an earlier shuffle is accepted for the present one",
         "membership/partial_view.py",
         " or received.exchange != self._exchange",
         "",
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a dialer looks at its link again and again",
+        "a dialer polls its link instead of waiting for its end",
         "transport/links.py",
         "        await link.ended.wait()",
         "        while not link.ended.is_set():\n            await asyncio.sleep(REDIAL_BACKOFF_S[0])",
@@ -175,7 +175,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a connection that was reset before it was up has no end",
+        "the end of a connection that was reset before it was up is not signalled",
         "transport/links.py",
         "            self._owner.link_down(self)\n        self.ended.set()",
         "            self._owner.link_down(self)\n            self.ended.set()",
@@ -183,7 +183,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a peer that closes at once is dialled without a pause for it",
+        "a peer that closes at once is dialled again without the minimum pause",
         "transport/links.py",
         "pause + max(0.0, shortest - lasted)",
         "pause",
@@ -191,7 +191,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "further calls ignore the retry budget",
+        "repeated calls ignore the retry budget",
         "dataplane/dispatch.py",
         "if not self._has_budget(now):",
         "if False:",
@@ -199,7 +199,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a handle that is not fetched is not freed",
+        "a prompt handle that is not fetched is not freed",
         "dataplane/exchange.py",
         "self._actions.append(Free(handle.backend, handle.name))",
         "pass",
@@ -207,7 +207,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "the higher cost wins",
+        "the backend with the higher cost is chosen",
         "dataplane/blended_draw.py",
         "(second < first or is_tie_won)",
         "(second > first or is_tie_won)",
@@ -215,7 +215,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "costs never age",
+        "the cost of a backend is not extrapolated with the age of its report",
         "dataplane/blended_draw.py",
         "* self.proxies * min(age, RATE_AVERAGING_S)",
         "* self.proxies * 0.0",
@@ -223,7 +223,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "the number of proxies is ignored",
+        "the choice of a backend ignores the number of proxies",
         "dataplane/blended_draw.py",
         "* self.proxies * min(age",
         "* min(age",
@@ -231,7 +231,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a prefill that begins is not reported",
+        "the begin of a prefill is not announced to neighbours",
         "dataplane/dispatch.py",
         "        self._announce_prefill(prefill_backend, tokens)\n        return call",
         "        return call",
@@ -239,7 +239,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a delay counts once for each prefill that it delays",
+        "a delay counts again for each prefill that it delays",
         "dataplane/prefill_queue.py",
         "slip = now - ticket.expected_end_at - self._slipped",
         "slip = now - ticket.expected_end_at",
@@ -255,7 +255,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "readings are told without a bound",
+        "prefill reports to neighbours have no rate limit",
         "membership/neighbours.py",
         "if self._prefill_report_rate.at(now) >= MAX_PREFILL_REPORTS_PER_S:",
         "if False:",
@@ -263,7 +263,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a plain service ignores loads",
+        "the choice for a plain service ignores loads",
         "dataplane/plain_choice.py",
         "return view.all_calls / max(1, view.backend.capacity)",
         "return 0.0",
@@ -279,7 +279,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "each proxy uses the whole slack",
+        "each proxy uses the whole slack of the retry budget",
         "dataplane/budget.py",
         "self._slack / max(1, proxies)",
         "self._slack",
@@ -287,7 +287,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a restarted proxy spends the slack at once",
+        "a restarted proxy may use the slack of its retry budget at once",
         "dataplane/budget.py",
         "now < self._fresh_until",
         "False",
@@ -295,7 +295,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "damaged frames pass",
+        "damaged frames are accepted",
         "transport/frames.py",
         "if crc32(body) != self._checksum:",
         "if False:",
@@ -303,7 +303,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "idle time counts from the connection's beginning",
+        "idle time counts from the start of the connection",
         "dataplane/front.py",
         "        self.open, self._is_undrained = False, True\n        self.since = asyncio.get_running_loop().time()",
         "        self.open, self._is_undrained = False, True",
@@ -311,7 +311,7 @@
     ),
     Mutant(
         Point.OTHER,
-        "a further prefill takes no try",
+        "a repeated prefill ignores the limit on tries",
         "dataplane/attempts.py",
         "or self.count + 2 <= self._tries",
         "or True",
--- a/tests/mutants_evacuation.py
+++ b/tests/mutants_evacuation.py
@@ -7,7 +7,7 @@
 EVACUATION_MUTANTS = (
     Mutant(
         Point.EVACUATION,
-        "an evacuation is answered while a record without it may be chosen already",
+        "an evacuation is answered while a record without it may already be chosen",
         "control/primary.py",
         "        if self._proposal is None:\n            for request in leadership.evacuations",
         "        if True:\n            for request in leadership.evacuations",
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a finish counts as done while the zone is evacuated",
+        "the finish of an evacuation counts as done while the zone is evacuated",
         "control/evacuation_queue.py",
         "if (zone in zones) == is_start}",
         "if (zone in zones) or not is_start}",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "of two changes of a zone the first one is applied",
+        "of two waiting changes of a zone the first one is applied",
         "control/evacuation_queue.py",
         "for waiting in self._waiting}",
         "for waiting in reversed(self._waiting)}",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a change that may be chosen is answered as not applied",
+        "an evacuation change that may be chosen is answered as not applied",
         "control/primary.py",
         "        leadership.evacuations.mark_proposed()\n",
         "",
@@ -39,7 +39,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "the number stays as it is when zones change",
+        "the evacuation number does not increase when the evacuated zones change",
         "control/primary.py",
         "evacuation_number=record.evacuation_number + 1)",
         "evacuation_number=max(1, record.evacuation_number))",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a cut-off primary answers from its own record",
+        "a primary that is cut off answers evacuations from its own record",
         "control/consensus_replica.py",
         "            self._answer_evacuations(leadership, record)\n        self._send_stores",
         "        self._answer_evacuations(leadership, record)\n        self._send_stores",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a proxy that links later learns of the backends before the evacuated zones",
+        "a proxy that links later gets the backends before the evacuated zones",
         "control/delivery.py",
         "            if self.evacuations.number:  # ahead",
         "            if False:  # ahead",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "an acknowledgement does not wait for proxies",
+        "the acknowledgement of an evacuation does not wait for proxies",
         "control/delivery.py",
         "peer.evacuation_number < number}",
         "peer.evacuation_number > number}",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a backend that comes up in an evacuated zone is offered",
+        "a backend that becomes ready in an evacuated zone is used",
         "dataplane/candidates.py",
         "if backend.zone in self._evacuated_zones:\n            if backend.phase",
         "if backend.id in self._evacuated:\n            if backend.phase",
@@ -127,7 +127,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "memory is freed at a backend of an evacuated zone",
+        "a request to free a prompt handle is sent to a backend of an evacuated zone",
         "dataplane/proxy.py",
         "if not self.shared.candidates.is_evacuated(backend):",
         "if True:",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "a neighbour's configuration comes without the evacuated zones",
+        "a neighbour is sent a configuration without the evacuated zones",
         "membership/neighbours.py",
         "if number:  # ahead",
         "if False:  # ahead",
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.EVACUATION,
-        "an order is written to a zone that was evacuated while the connection was made",
+        "an order is written to a backend whose zone was evacuated during the connect",
         "programs/stage_balancer_driver.py",
         "            if backend.zone in self._evacuated():\n                self._feed(NotConnected(number))",
         "            if False:\n                self._feed(NotConnected(number))",
--- a/tests/mutants_liveness.py
+++ b/tests/mutants_liveness.py
@@ -1,4 +1,4 @@
-"""Planted faults of what is thought of backends whose heartbeats are missed."""
+"""Planted faults of the treatment of backends whose heartbeats are missing."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 LIVENESS_MUTANTS = (
     Mutant(
         Point.LIVENESS,
-        "that a heartbeat was heard is told ahead of what it changed",
+        "a heartbeat is reported to other controllers before the change that it causes",
         "programs/registry_service.py",
         "self.publish()  # a heartbeat's change",
         "pass  # a heartbeat's change",
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "one suspect makes each choice look at all ready backends",
+        "with one suspect, each choice scans all ready backends",
         "dataplane/suspects.py",
         "if healthy >= FAIL_OPEN_SHARE * (healthy + suspects):",
         "if False:",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "lost backends are not used where most are lost",
+        "suspects are not used although most backends are lost",
         "dataplane/suspects.py",
         "if not _has_enough_ready(now, ready, len(unfailed)):",
         "if False:",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "lost backends are used beside many that are ready",
+        "suspects are used although enough backends are ready",
         "dataplane/suspects.py",
         "FAIL_OPEN_SHARE = 0.5",
         "FAIL_OPEN_SHARE = 1.0",
@@ -39,7 +39,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "ready backends that fail keep suspects out",
+        "ready backends in back-off count as healthy, so that suspects are not used",
         "dataplane/suspects.py",
         "healthy += view.backoff_until <= now",
         "healthy += 1",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend that fails calls is used like a ready one",
+        "a suspect that fails calls is used like a ready backend",
         "dataplane/suspects.py",
         "if not view.has_failed]",
         "]",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an old answer vouches for a lost backend",
+        "an old answer proves a lost backend alive",
         "dataplane/suspects.py",
         "if now - view.answered_at <= ALIVE_AFTER_ANSWER_S]",
         "if view.answered_at > 0.0]",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an answer does not vouch for a lost backend",
+        "a recent answer does not prove a lost backend alive",
         "dataplane/suspects.py",
         "if now - view.answered_at <= ALIVE_AFTER_ANSWER_S]",
         "if False]",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend is tried again before its back-off is over",
+        "a suspect is tried again before its back-off has ended",
         "dataplane/suspects.py",
         "and view.backoff_until <= now",
         "",
@@ -79,7 +79,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend is tried for ever",
+        "a lost backend remains a suspect without limit",
         "dataplane/suspects.py",
         "if now - view.lost_at <= MAX_SUSPECT_AGE_S:",
         "if True:",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend whose address has passed on is tried",
+        "a lost backend whose address another one has taken over is tried",
         "dataplane/candidates.py",
         'if before is not None and before is not view and before.backend.phase == "lost":',
         "if False:",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "one that drains stays a suspect",
+        "a suspect that drains stays a suspect",
         "dataplane/candidates.py",
         "self._suspects.remove(key, view.backend.id)",
         "pass",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "nobody is tried where all are lost and have failed",
+        "no backend is tried if all are lost and have failed calls",
         "dataplane/candidates.py",
         "self._usable(now, self._suspects.last_resort(now, key), without)",
         "[]",
@@ -111,7 +111,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "another backend's answer to a reading vouches for a lost one",
+        "a rejection as misdirected does not count as a failure of a prefill backend",
         "dataplane/exchange.py",
         "if leg.status == MISDIRECTED:\n                self._shared",
         "if False:\n                self._shared",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that is heard by way of proxies counts as out of touch",
+        "a controller that is in contact by way of proxies counts as unreachable",
         "programs/registry_service.py",
         " or self._relay.is_heard(now, ip)",
         "",
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "records of backends that are heard elsewhere are not asked for",
+        "records of backends that another controller hears are not requested",
         "programs/registry_service.py",
         "RegistrySync(answers, requested_ids=requested_ids)",
         "RegistrySync(answers)",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a backend held for lost is not asked for",
+        "the record of a lost backend that sends heartbeats elsewhere is not requested",
         "control/registry.py",
         "requested.append(backend_id)\n                self",
         "self",
@@ -159,7 +159,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a loss counts as wrong whenever a heartbeat comes after it",
+        "a loss counts as wrong although the heartbeat came after it",
         "control/registry.py",
         "self.wrong_losses += at <= self._ended[backend_id]",
         "self.wrong_losses += 1",
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a proxy names the destination as the source",
+        "a proxy relays a message with its destination as its source",
         "membership/fleet.py",
         "Relayed(source, sync)",
         "Relayed(destination, sync)",
@@ -175,7 +175,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "the proxy that is known to reach the destination is not used",
+        "a relay does not use the proxy that is known to reach the destination",
         "programs/registry_relay.py",
         "if arrival is None or not arrival.link.up or arrival.link in drawn:",
         "if True:",
@@ -183,7 +183,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a proxy whose link is over is used",
+        "a relay uses a proxy whose link is down",
         "programs/registry_relay.py",
         "not arrival.link.up or ",
         "",
@@ -191,7 +191,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that was heard once is heard for ever",
+        "contact by way of proxies never expires",
         "programs/registry_relay.py",
         "return arrival is not None and now - arrival.at <= RELAYED_CONTACT_TIMEOUT_S",
         "return arrival is not None",
@@ -199,7 +199,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a backend without a record is not asked for",
+        "the record of an unknown backend that sends heartbeats elsewhere is not requested",
         "control/registry.py",
         "requested.append(backend_id)\n            elif",
         "pass\n            elif",
@@ -207,7 +207,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "records that are asked for are not sent",
+        "requested records are not sent",
         "programs/registry_service.py",
         "answers = self.registry.as_of(now, self.registry.records_of(sync.requested_ids))",
         "answers = ()",
@@ -215,7 +215,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "what a proxy holds for lost is lost",
+        "a proxy's record of a loss is accepted by a controller",
         "control/registry.py",
         'if record.phase == "lost":\n                continue',
         "if False:\n                continue",
@@ -223,7 +223,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that does not hear all others takes what it does not know for lost",
+        "a controller that lacks contact with some others considers unknown backends lost",
         "control/registry.py",
         "knows_all = hears_all and now",
         "knows_all = now",
@@ -231,7 +231,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller counts as hearing all others",
+        "a controller always counts as in contact with all others",
         "programs/registry_service.py",
         "all(self._is_in_contact(now, ip) for ip in self._member_ips())",
         "True",
@@ -239,7 +239,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that nobody hears acknowledges heartbeats",
+        "an isolated controller acknowledges heartbeats",
         "control/operator_api.py",
         "if self._plane.is_isolated():",
         "if False:",
@@ -247,7 +247,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that only proxies hear acknowledges no heartbeats",
+        "a controller that is connected only to proxies acknowledges no heartbeats",
         "programs/registry_service.py",
         " or bool(self._delivery.proxies)",
         "",
@@ -255,7 +255,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "losses are told on between neighbours",
+        "losses are forwarded between neighbours",
         "membership/outbox.py",
         'record.phase in {old.phase, "lost"}',
         "record.phase == old.phase",
@@ -263,7 +263,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a neighbour's loss is taken",
+        "a loss that a neighbour reports is accepted",
         "membership/neighbours.py",
         '[record for record in records if record.phase != "lost" or record.id not in known]',
         "records",
@@ -271,7 +271,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a prompt that was read is given up when its only decode backend has just failed another",
+        "a prefilled prompt is dropped if its only decode backend has just failed another call",
         "dataplane/dispatch.py",
         "return decode_backend if may_begin else None",
         "return None",
--- a/tests/mutants_replication.py
+++ b/tests/mutants_replication.py
@@ -7,7 +7,7 @@
 REPLICATION_MUTANTS = (
     Mutant(
         Point.CUT_OFF,
-        "an end reported by another controller is acknowledged before it is on the disk",
+        "a backend's end from another controller is acknowledged before it is on the disk",
         "programs/registry_service.py",
         "self._local_state.start_task(self._write_and_acknowledge(link, sync.number))",
         "link.send(RegistryAck(sync.number))",
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "an end counts as stored here before it is on the disk",
+        "a backend's end counts as stored locally before it is on the disk",
         "control/replication.py",
         "self._acknowledged = {own_ip: self.number}",
         "self._acknowledged = {own_ip: 1 << 60}",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.CUT_OFF,
-        "a stored end is not loaded at the next start",
+        "a stored end of a backend is not loaded at the next start",
         "programs/local_state.py",
         "for key in (REGISTRY_KEY, ENDINGS_KEY)",
         "for key in (REGISTRY_KEY,)",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.TWO_OPERATORS,
-        "two changes on one base are accepted",
+        "two changes of the same base revision are accepted",
         "control/consensus_replica.py",
         "if write.base == current.revision < write.revision:",
         "if current.revision < write.revision:",
@@ -119,7 +119,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "fewer copies than may be lost",
+        "a value has fewer copies than losses must be tolerated",
         "control/replica.py",
         "return min(members, max(min(self._settings.tolerance + 1, members // 2 + 1), 2))",
         "return 1",
@@ -127,7 +127,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a member ends before it has handed over",
+        "a member shuts down before it has handed over",
         "programs/controller.py",
         "return self._consensus.may_shut_down(now) and (self._has_successor() or now >= successor_by)",
         "return self._has_successor() or now >= successor_by",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a copy ends before another member has replaced it",
+        "a copy shuts down before another member has replaced it",
         "control/voter.py",
         "if self._id in record.copies and not all(self._is_leaving(member) for member in possible_replacements):",
         "if False:",
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a copy waits though all members leave",
+        "a copy waits for a replacement though all members leave",
         "control/voter.py",
         "not all(self._is_leaving(member) for member in possible_replacements):",
         "possible_replacements:",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a member ends before a newcomer has its place",
+        "a member shuts down before a newcomer has replaced it",
         "control/voter.py",
         "return not self._newcomers(now)",
         "return True",
@@ -247,7 +247,7 @@
     ),
     Mutant(
         Point.LOSSES_AFTER_REPAIR,
-        "a wiped replica votes under its old id",
+        "a replica that lost its disk votes under its old id",
         "control/replica.py",
         "return self._new_id(), DurableState(None, NO_BALLOT, None)",
         "return self._settings.ip, DurableState(initial_record(self._settings.seeds), NO_BALLOT, None)",
--- a/tests/mutants_stages.py
+++ b/tests/mutants_stages.py
@@ -1,4 +1,4 @@
-"""Planted faults of the moves between stages by load."""
+"""Planted faults of the stage balancer: moves of backends between stages, and its orders."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 STAGE_MUTANTS = (
     Mutant(
         Point.LIVENESS,
-        "an overloaded stage gets no backend",
+        "an overloaded stage gets no backend from the other stage",
         "control/stage_policy.py",
         "return Need(busiest, False) if left_with <= bound else None",
         "return None",
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a stage gives backends until it is as busy as the other was",
+        "a stage gives backends until it is twice as busy as the other was",
         "control/stage_policy.py",
         "else MAX_GIVER_EXCESS[other] * excess[busiest]",
         "else 2.0 * excess[busiest]",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a queue that grows without end is weighed like one that is long",
+        "a queue that grows without bound is treated like a long one",
         "control/stage_policy.py",
         "bound = 1.0 if is_unstable and excess[other] <= 1.0 else",
         "bound =",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a stage gives a backend that it needs itself to one whose queue grows without end",
+        "a stage whose queue grows without bound takes a backend that the other stage needs",
         "control/stage_policy.py",
         "bound = 1.0 if is_unstable",
         "bound = 9.0 if is_unstable",
@@ -39,7 +39,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "decode gives its last backend but one",
+        "decode gives away its second-to-last backend",
         "control/stage_policy.py",
         "or counts[other] <= MIN_REMAINING[other]",
         "or counts[other] <= 1",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a backend under an order counts for its old stage",
+        "a backend that is being switched counts for its old stage",
         "control/stage_balancer.py",
         "stages.add(record, expected.get(record.id))",
         "stages.add(record)",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a short load moves a backend",
+        "a brief load peak moves a backend",
         "control/stage_balancer.py",
         "(CONFIRM_S if need.is_urgent else CONFIRM_LOAD_S)",
         "0.0",
@@ -79,7 +79,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an answer of a backend that was ordered lets it be sent to again",
+        "an answer of a backend under an order ends the proxies' pause for it",
         "dataplane/candidates.py",
         "if view.held_until <= now:\n                self._avoided.discard(backend)",
         "view.held_until = 0.0\n            self._avoided.discard(backend)",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a silent proxy counts for ever",
+        "the load report of a silent proxy never expires",
         "control/load_table.py",
         "if now - report[0] <= LOAD_TTL_S",
         "if True",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "streams that are open at a start count at once",
+        "the first sample of open streams counts in full instead of being averaged",
         "dataplane/offered_load.py",
         "since = self._sampled_at if self._sampled_at is not None else now",
         "since = self._sampled_at or 0.0",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a fence that was refused is used at other backends",
+        "a fence that one backend refused is used for orders to others",
         "control/stage_balancer.py",
         "        if authority.fence <= self._refused_fence:\n            return False\n",
         "",
@@ -111,7 +111,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "the pace of reading holds the waiting",
+        "learned prefill times include the wait in the queue",
         "dataplane/pair.py",
         "if not leg.found_idle:",
         "if False:",
@@ -119,7 +119,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an order for load blocks an urgent one",
+        "an order because of load blocks an urgent one",
         "control/stage_balancer.py",
         "return all(order.stage is not need.stage for order in in_progress)",
         "return not in_progress",
@@ -127,7 +127,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a reading that never left counts as load",
+        "a prefill that was not sent counts as load",
         "dataplane/dispatch.py",
         "self._shared.load.add_prefill(now, self._service, -leg.prefill_load_s)",
         "pass",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an order is sent before the record names it",
+        "an order is sent before the epoch record contains it",
         "control/stage_balancer.py",
         "return is_recorded and self._may_order(authority)",
         "return self._may_order(authority)",
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a successor orders no backend for a while, whichever its predecessor ordered",
+        "a successor waits before orders to any backend, not only to those that its predecessor ordered",
         "control/order_intents.py",
         "return now >= self._former_orders_until or (",
         "return now >= self._former_orders_until and (",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a successor orders at once the backends that its predecessor has just ordered",
+        "a successor does not wait before orders to backends that its predecessor has just ordered",
         "control/order_intents.py",
         "self._former_orders is not None and backend not in self._former_orders\n",
         "True\n",
@@ -159,7 +159,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an order counts as recorded while the record that drops it may be chosen",
+        "an order counts as recorded while a record without it may be chosen",
         "control/consensus_replica.py",
         "for intent in kept if intent in proposed)",
         "for intent in kept)",
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a former primary's orders are not followed up",
+        "a successor does not follow up its predecessor's orders",
         "control/stage_balancer.py",
         "self._adopt_former_orders(now, observation)",
         "pass",
@@ -175,7 +175,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a takeover forgets the orders that are recorded",
+        "a takeover drops the recorded orders",
         "control/election.py",
         "primary=self._id, copies=copies)",
         "primary=self._id, copies=copies, intents=())",
