--- a/tests/controlsim/__main__.py
+++ b/tests/controlsim/__main__.py
@@ -1,4 +1,4 @@
-"""Plays many schedules: ``python -m tests.controlsim --point cut --schedules 1000 --first 0 --jobs 6``."""
+"""Runs many schedules: ``python -m tests.controlsim --point cut --schedules 1000 --first 0 --jobs 6``."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
 
-from .scenarios import SCENARIOS, Played, play, shrink
+from .scenarios import SCENARIOS, ScheduleResult, play, shrink
 
-SHOWN = 3  # stories of broken schedules
+MAX_SHOWN_TRACES = 3  # traces of schedules with breaches
 HASH_SEED = "PYTHONHASHSEED"
 
 
@@ -22,31 +22,31 @@
     parser.add_argument("--schedules", type=int, default=100)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--jobs", type=int, default=1)
-    parser.add_argument("--go-on", default="", help="rules, with commas, whose breaches don't end a schedule")
-    parser.add_argument("--story", type=int, help="print the story of this seed alone")
-    parser.add_argument("--shrink", type=int, help="leave out faults of this seed that its breach does not need")
+    parser.add_argument("--go-on", default="", help="rules, separated by commas, whose breaches don't end a schedule")
+    parser.add_argument("--story", type=int, help="run only this seed, and print its trace")
+    parser.add_argument("--shrink", type=int, help="skip the faults of this seed that its breach does not need")
     return parser.parse_args()
 
 
-def _tell(played: Played) -> None:
+def _print_trace(played: ScheduleResult) -> None:
     print(f"--- seed {played.seed}")
     print("\n".join(played.trace))
 
 
 def main() -> int:
-    """Play; the exit code says whether all held and every case was reached."""
-    if os.environ.get(HASH_SEED) != "0":  # the order of sets is part of a schedule
+    """Run the schedules; return 0 if no rule was broken and every case was reached, else 1."""
+    if os.environ.get(HASH_SEED) != "0":  # a schedule depends on the order of sets
         os.execve(sys.executable, [sys.executable, *sys.orig_argv[1:]], {**os.environ, HASH_SEED: "0"})
     arguments = _arguments()
-    go_on = frozenset(filter(None, arguments.go_on.split(",")))
+    tolerated_rules = frozenset(filter(None, arguments.go_on.split(",")))
     if arguments.story is not None:
-        played = play(arguments.point, arguments.story, go_on)
-        _tell(played)
+        played = play(arguments.point, arguments.story, tolerated_rules)
+        _print_trace(played)
         return int(bool(played.breaches))
     if arguments.shrink is not None:
-        played, left_out = shrink(arguments.point, arguments.shrink, go_on)
-        _tell(played)
-        print(f"faults that are needed: {sorted(set(range(played.faults)) - left_out)}; left out: {sorted(left_out)}")
+        played, skipped_faults = shrink(arguments.point, arguments.shrink, tolerated_rules)
+        _print_trace(played)
+        print(f"needed: {sorted(set(range(played.fault_count)) - skipped_faults)}; skipped: {sorted(skipped_faults)}")
         return int(bool(played.breaches))
     begin = time.monotonic()
     seeds = range(arguments.first, arguments.first + arguments.schedules)
@@ -54,9 +54,9 @@
     rules: Counter[str] = Counter()
     longest: dict[str, float] = {}
     shortest: dict[str, float] = {}
-    broken: list[Played] = []
+    broken: list[ScheduleResult] = []
     with ProcessPoolExecutor(arguments.jobs) as pool:
-        for played in pool.map(partial(play, arguments.point, go_on=go_on), seeds, chunksize=4):
+        for played in pool.map(partial(play, arguments.point, tolerated_rules=tolerated_rules), seeds, chunksize=4):
             counts.update(played.counts)
             for what, seconds in played.longest.items():
                 longest[what] = max(seconds, longest.get(what, 0.0))
@@ -65,8 +65,8 @@
             if played.breaches:
                 broken.append(played)
                 rules.update({breach.partition(":")[0] for breach in played.breaches})
-    for played in broken[:SHOWN]:
-        _tell(played)
+    for played in broken[:MAX_SHOWN_TRACES]:
+        _print_trace(played)
     unreached = [case for case in SCENARIOS[arguments.point].cases if not counts[case]]
     for case, count in sorted(counts.items()):
         print(f"{count:8d} {case}")
--- a/tests/controlsim/actors.py
+++ b/tests/controlsim/actors.py
@@ -1,4 +1,4 @@
-"""Operators, backends and a reader, which call the controllers over simulated HTTP as the operators' pages describe."""
+"""Operators, backends and a reader, which call the controllers over simulated HTTP as the operators' docs describe."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 from cranebank.control.configuration import InvalidConfiguration, amend
 
-from .judge import CONTACT_S, Change
+from .judge import CONTACT_TIMEOUT_S, Change
 from .network import Transport
 
 if TYPE_CHECKING:
     from .world import World
 
 CONTROL_PORT = 8080
-SILENCE_S = 1.0
-REDIRECTS = 2
-PAUSE_S = (0.05, 0.8)  # between tries: first and longest
-CLEAR = {200, 400, 409, 412, 413, 422}
+ANSWER_TIMEOUT_S = 1.0
+MAX_REDIRECTS = 2
+RETRY_PAUSE_S = (0.05, 0.8)  # between tries: the first and the longest pause
+FINAL_STATUSES = {200, 400, 409, 412, 413, 422}  # other answers are followed by another try
 
 
 @dataclass
 class Answer:
-    """An answer to a call, and the controller that gave it."""
+    """The answer to a call, and the controller that sent it."""
 
     controller: str
     status: int
@@ -38,7 +38,7 @@
 
 
 class _Exchange(asyncio.Protocol):
-    """One call on a connection of its own."""
+    """The client's side of one call, on a connection of its own."""
 
     def __init__(self, controller: str, request: bytes, done: asyncio.Future[Answer | None]) -> None:
         self._request, self._done = request, done
@@ -58,15 +58,15 @@
             self._done.set_result(None)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head."""
+        """Keep a header field."""
         self._answer.headers[name.decode().lower()] = value.decode()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body."""
+        """Append part of the body."""
         self._answer.body += body
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
+        """Complete the call: the answer has ended."""
         self._answer.status = self._parser.get_status_code()
         if not self._done.done():
             self._done.set_result(self._answer)
@@ -79,16 +79,16 @@
     path: str,
     body: bytes = b"",
     base: int | None = None,
-    silence_s: float = SILENCE_S,
+    timeout_s: float = ANSWER_TIMEOUT_S,
 ) -> Answer | None:
-    """One call to one controller; None when no answer came."""
+    """Call one controller; return None if no answer came within ``timeout_s``."""
     done: asyncio.Future[Answer | None] = loop.create_future()
     head = f"{method} {path} HTTP/1.1\r\nHost: {ip}\r\nContent-Length: {len(body)}\r\n"
     if base is not None:
         head += f"X-Base-Version: {base}\r\n"
     exchange = _Exchange(ip, head.encode() + b"\r\n" + body, done)
     try:
-        async with asyncio.timeout(silence_s):
+        async with asyncio.timeout(timeout_s):
             await loop.create_connection(lambda: exchange, ip, CONTROL_PORT)
             return await done
     except OSError:  # TimeoutError is one
@@ -99,79 +99,79 @@
 
 
 class Caller:
-    """Whoever calls control: picks a controller from a list that lags, and follows redirections."""
+    """A caller of controllers: picks one from the list, which lags, and follows redirections."""
 
     def __init__(
         self, world: World, name: str, random: Random, reaches: Callable[[str], bool] = lambda _: True
     ) -> None:
         self.world, self.name, self.random, self._reaches = world, name, random, reaches
         self.loop = world.process(name, world.next_caller_ip())
-        self._failed = ""  # whom it asked last, where that came to nothing: it goes on to another one
-        self.impatience = 0.0  # share of the calls whose answer is lost on its way
+        self._last_failed_ip = ""  # the controller whose last answer was missing or 5xx: not picked next
+        self.early_timeout_share = 0.0  # share of the calls that time out before their answer arrives
 
     def pick(self, without: str = "") -> str:
-        """A controller of the list."""
-        listed = [ip for ip in self.world.listed() if self._reaches(ip)] or self.world.listed()
+        """Pick a random controller of the list, other than ``without`` where possible."""
+        listed = [ip for ip in self.world.listed_ips() if self._reaches(ip)] or self.world.listed_ips()
         return self.random.choice([ip for ip in listed if ip != without] or listed)
 
     async def ask(
         self, method: str, path: str, body: bytes = b"", base: int | None = None, ip: str = ""
     ) -> Answer | None:
-        """One try, to a controller and on to whom it names."""
-        ip = ip or self.pick(without=self._failed)
-        self._failed = ip
-        silence_s = SILENCE_S
-        if self.random.random() < self.impatience:
-            silence_s = self.random.uniform(0.002, 0.05)
+        """Make one try: call a controller, and those to which it redirects."""
+        ip = ip or self.pick(without=self._last_failed_ip)
+        self._last_failed_ip = ip
+        timeout_s = ANSWER_TIMEOUT_S
+        if self.random.random() < self.early_timeout_share:
+            timeout_s = self.random.uniform(0.002, 0.05)
             self.world.judge.counts["answers lost on their way"] += 1
-        for _ in range(REDIRECTS + 1):
-            answer = await call(self.loop, ip, method, path, body, base, silence_s)
+        for _ in range(MAX_REDIRECTS + 1):
+            answer = await call(self.loop, ip, method, path, body, base, timeout_s)
             if answer is None:
                 return None
-            if self.world.lost_contact_s(ip) > CONTACT_S:
+            if self.world.lost_contact_s(ip) > CONTACT_TIMEOUT_S:
                 self.world.judge.counts[f"answers {answer.status} of a controller without a majority"] += 1
             if answer.status != 307:
-                self._failed = ip if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR else ""
+                self._last_failed_ip = ip if answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR else ""
                 return answer
             ip = answer.headers["location"].removeprefix("http://").partition(":")[0]
         return None
 
 
 class Operator(Caller):
-    """Makes changes, some at once, on what it believes to be current."""
+    """Makes changes, some concurrently, based on the revision that it considers current."""
 
     def __init__(self, world: World, name: str, random: Random) -> None:
         super().__init__(world, name, random)
-        self.under_way = 0
-        self.most = 1
+        self.in_progress = 0
+        self.max_in_progress = 1
         self.pause_s = (0.05, 1.0)
-        self.size = 0  # bytes of padding in a document
-        self.share_invalid = 0.05
-        self.old: list[Change] = []  # acknowledged ones, to be sent again later
-        self.share_old = 0.0
+        self.padding_bytes = 0  # added to each document
+        self.invalid_share = 0.05
+        self.acknowledged_changes: list[Change] = []  # may be sent again later
+        self.resend_share = 0.0
         self._number = 0
 
     def start(self) -> None:
-        """Begin."""
+        """Start its task."""
         self.loop.call_soon(lambda: self.loop.create_task(self._run()))
 
     async def _run(self) -> None:
-        while not self.world.is_over:
+        while not self.world.is_winding_down:
             await asyncio.sleep(self.random.uniform(*self.pause_s))
-            if self.under_way < self.most:
-                self.loop.create_task(self._one())
+            if self.in_progress < self.max_in_progress:
+                self.loop.create_task(self._send_one())
 
-    async def _one(self) -> None:
-        self.under_way += 1
+    async def _send_one(self) -> None:
+        self.in_progress += 1
         try:
-            if self.old and self.random.random() < self.share_old:
-                await self._again(self.random.choice(self.old))
+            if self.acknowledged_changes and self.random.random() < self.resend_share:
+                await self._resend(self.random.choice(self.acknowledged_changes))
             else:
-                await self.send(self._make())
+                await self.send(self._make_change())
         finally:
-            self.under_way -= 1
+            self.in_progress -= 1
 
-    def _make(self) -> Change:
+    def _make_change(self) -> Change:
         ledger = self.world.judge.ledger
         base = max(ledger.by_revision, default=0)
         if self.random.random() < 0.1:
@@ -180,7 +180,7 @@
         self._number += 1
         mark = f"{self.name}-{self._number}"
         current = ledger.by_revision.get(base)
-        is_valid = self.random.random() >= self.share_invalid
+        is_valid = self.random.random() >= self.invalid_share
         if current is not None and is_valid and self.random.random() < 0.4:
             body = json.dumps({"revision": revision, "upsert": {"routes": [_route(mark, "s")]}, "remove": {}}).encode()
             try:
@@ -196,48 +196,48 @@
                 "routes": [_route(mark, service)],
                 "services": [self.world.service],
                 "limits": {},
-                "padding": "x" * self.size,
+                "padding": "x" * self.padding_bytes,
             }
         ).encode()
         return Change(self.name, "/api/Configuration.Replace", base, revision, body, body, is_valid)
 
     async def send(self, change: Change, ip: str = "") -> None:
-        """Send a change, as it is, until a clear answer comes or the run ends."""
+        """Send a change, unaltered at each try, until a final answer comes or the run ends."""
         judge, scheduler = self.world.judge, self.world.scheduler
         judge.sent(change)
         change.sent_at = scheduler.now
         self.world.expect_acknowledged(change)
-        pause = PAUSE_S[0]
-        if self.random.random() < self.world.share_doubled:
+        pause = RETRY_PAUSE_S[0]
+        if self.random.random() < self.world.duplicate_share:
             judge.counts["changes sent to two controllers at once"] += 1
             self.loop.create_task(self._try(change))
-        while not self.world.is_closed:
+        while not self.world.is_finished:
             if await self._try(change, ip):
                 return
             ip = ""
             await asyncio.sleep(pause * self.random.uniform(0.5, 1.5))
-            pause = min(2 * pause, PAUSE_S[1])
+            pause = min(2 * pause, RETRY_PAUSE_S[1])
 
     async def _try(self, change: Change, ip: str = "") -> bool:
         change.tries += 1
         began = self.world.scheduler.now
         answer = await self.ask("POST", change.path, change.body, change.base, ip)
-        if answer is None and self._failed in self.world.contactless:
+        if answer is None and self._last_failed_ip in self.world.ips_without_majority:
             change.without_majority_s += self.world.scheduler.now - began
         if answer is None and change.takeovers_when_lost is None:
             change.takeovers_when_lost = self.world.takeovers
             self.world.answer_lost()
-        if answer is None or answer.status not in CLEAR:
+        if answer is None or answer.status not in FINAL_STATUSES:
             return False
         self.world.judge.answered(
             change, answer.controller, answer.status, self.world.lost_contact_s(answer.controller)
         )
         if answer.status == 200:
-            self.old.append(change)
+            self.acknowledged_changes.append(change)
             self.world.acknowledged(change)
         return True
 
-    async def _again(self, change: Change) -> None:
+    async def _resend(self, change: Change) -> None:
         judge = self.world.judge
         judge.counts["old changes sent again"] += 1
         since = sum(revision > change.revision for revision in judge.ledger.by_revision)
@@ -249,19 +249,19 @@
 
 
 class Reader(Caller):
-    """Reads the configuration back, again and again."""
+    """Reads the configuration back periodically."""
 
     def start(self) -> None:
-        """Begin."""
+        """Start its task."""
         self.loop.call_soon(lambda: self.loop.create_task(self._run()))
 
     async def _run(self) -> None:
-        while not self.world.is_closed:
+        while not self.world.is_finished:
             await asyncio.sleep(self.random.uniform(0.1, 0.6))
             await self.read()
 
     async def read(self) -> bool:
-        """Read once; whether it was answered."""
+        """Read once; return whether it was answered."""
         newest = self.world.judge.ledger.newest
         answer = await self.ask("GET", "/api/Configuration.Read")
         if answer is None or answer.status != 200:
@@ -272,22 +272,22 @@
 
 
 class Backend(Caller):
-    """One incarnation: it beats, says that it drains, leaves and ends; or it crashes without a word."""
+    """One incarnation: it sends heartbeats, announces its drain and leaves; or it crashes without notice."""
 
-    def __init__(self, world: World, name: str, random: Random, lives_s: float, crashes: bool = False) -> None:
+    def __init__(self, world: World, name: str, random: Random, lifetime_s: float, crashes: bool = False) -> None:
         super().__init__(world, name, random)
-        self._lives_s, self._crashes, self._number = lives_s, crashes, 0
+        self._lifetime_s, self._crashes, self._number = lifetime_s, crashes, 0
         self.zone = "a"
-        self.preferred: str = ""  # a controller that it reports to for as long as that one answers
+        self.preferred: str = ""  # the controller that gets its heartbeats as long as it answers
 
     def start(self) -> None:
-        """Begin."""
+        """Start its task."""
         self.loop.call_soon(lambda: self.loop.create_task(self._run()))
 
     async def _run(self) -> None:
-        end = self.loop.time() + self._lives_s
-        while self.loop.time() < end and not self.world.is_over:
-            await self._beat("ready")
+        end = self.loop.time() + self._lifetime_s
+        while self.loop.time() < end and not self.world.is_winding_down:
+            await self._send_heartbeat("ready")
             await asyncio.sleep(self.world.beat_s)
         if self._crashes:
             self.world.liveness.crashed(self.name)
@@ -296,23 +296,23 @@
 
     @property
     def stage(self) -> str:
-        """What its heartbeats tell."""
+        """The stage in its heartbeats."""
         return "decode"
 
     async def _end(self) -> None:
-        """Say that it drains, and leave."""
+        """Announce the drain, and leave."""
         for _ in range(4):
-            answer = await self._beat("draining")
+            answer = await self._send_heartbeat("draining")
             if answer is not None:
-                self._told(answer, "draining")
+                self._report_ending(answer, "draining")
                 await asyncio.sleep(2.0)
                 break
             await asyncio.sleep(0.2)
         answer = await self.ask("POST", f"/api/Servers.Leave/{self.name}")
         if answer is not None and answer.status == 200:
-            self._told(answer, "gone")
+            self._report_ending(answer, "gone")
 
-    async def _beat(self, phase: str) -> Answer | None:
+    async def _send_heartbeat(self, phase: str) -> Answer | None:
         self._number += 1
         body = json.dumps(
             {
@@ -338,7 +338,7 @@
             self.world.liveness.acknowledged(self.name, answer.controller)
         return answer
 
-    def _told(self, answer: Answer, phase: str) -> None:
+    def _report_ending(self, answer: Answer, phase: str) -> None:
         world = self.world
         world.judge.ending(answer.controller, self.name, phase, world.lost_contact_s(answer.controller))
         world.expect_ended(self.name, answer.controller)
--- a/tests/controlsim/apart.py
+++ b/tests/controlsim/apart.py
@@ -1,7 +1,8 @@
-"""Zones that lose each other for long: five controllers in five zones or in three, and losses while they are apart.
+"""Long partitions between zones: five controllers in five zones or in three, and a second fault during the partition.
 
-*bridge*: while two zones reach only the others and no controller is struck, primaries change at most twice.
-*confirms again*: a side with a majority acknowledges a change within ``CONFIRMS_AGAIN_S`` of the cut.
+*bridge*: while two zones reach all others but not each other, and no controller is struck, there are at most two
+takeovers.
+*confirms again*: a side with a majority acknowledges a change within ``RECONFIRM_TIMEOUT_S`` of the cut.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 from .world import Machine, World
 
 LAYOUTS = {"five zones": ("a", "b", "c", "d", "e"), "three zones": ("a", "b", "c", "a", "b")}
-KINDS = ("zone cut", "nothing gets out", "nothing gets in", "bridge", "zone without power")
-MEANWHILE = (
+SPLIT_KINDS = ("zone cut", "nothing gets out", "nothing gets in", "bridge", "zone without power")
+SECOND_FAULT_KINDS = (
     "nothing",
     "primary killed",
     "another killed",
@@ -24,50 +25,50 @@
     "zone wiped",
 )
 TOLERANCE = 2  # machines
-BEGIN_S = (4.5, 6.0)
-LENGTHS_S = ((20.0, 40.0), (20.0, 40.0), (60.0, 80.0))
-POWER_BACK_S = 1.5  # in which all machines of a zone are back
+SPLIT_START_S = (4.5, 6.0)
+SPLIT_LENGTHS_S = ((20.0, 40.0), (20.0, 40.0), (60.0, 80.0))
+POWER_RETURN_SPREAD_S = 1.5  # in which all machines of a zone return
 PROXIES, BACKENDS = 5, 10
-MOST_TAKEOVERS = 2  # in a bridge in which nobody is struck
-CONFIRMS_AGAIN_S = 5.0
-STRUCK_S = (0.2, 4.0)  # for how long a machine is away that is struck meanwhile
-STRIKES = 8  # of a machine that restarts often
+MOST_TAKEOVERS = 2  # during a bridge without a strike
+RECONFIRM_TIMEOUT_S = 5.0
+DOWNTIME_S = (0.2, 4.0)  # of a machine that is struck during the partition
+RESTART_COUNT = 8  # of a machine that restarts often
 
 
 @dataclass
 class Split:
-    """The zones that are apart from ``begins_at`` on."""
+    """A partition between zones, which starts at ``begins_at``."""
 
     kind: str
     near: frozenset[str]  # zones
     far: frozenset[str]
     begins_at: float
     seconds: float
-    takeovers: int  # before it
-    acknowledged: int  # the same
-    is_struck: bool = False  # a controller was struck meanwhile
+    takeovers: int  # number before the partition
+    acknowledged: int  # number of changes before the partition
+    is_struck: bool = False  # a controller was struck during the partition
 
 
 def make_apart(seed: int) -> World:
-    """A world with one long split; the kind of it, the layout and what happens meanwhile come in turn."""
+    """Make a world with one long partition; its kind, the layout and the second fault rotate with the seed."""
     layout = list(LAYOUTS)[seed % len(LAYOUTS)]
-    kind = KINDS[seed // len(LAYOUTS) % len(KINDS)]
-    meanwhile = MEANWHILE[seed // len(LAYOUTS) // len(KINDS) % len(MEANWHILE)]
+    kind = SPLIT_KINDS[seed // len(LAYOUTS) % len(SPLIT_KINDS)]
+    second_fault = SECOND_FAULT_KINDS[seed // len(LAYOUTS) // len(SPLIT_KINDS) % len(SECOND_FAULT_KINDS)]
     world = World(seed, controllers=5, proxies=PROXIES, tolerance=TOLERANCE, zones=LAYOUTS[layout])
     random = world.random
-    begins_at, seconds = random.uniform(*BEGIN_S), random.uniform(*random.choice(LENGTHS_S))
+    begins_at, seconds = random.uniform(*SPLIT_START_S), random.uniform(*random.choice(SPLIT_LENGTHS_S))
     world.faults_s = begins_at + seconds + 1.0
     world.judge.counts[f"{layout}, {kind}"] += 1
     world.add_operators(2)
     for operator in world.operators:
         operator.pause_s = (0.1, 0.6)
     _add_backends(world, begins_at, seconds)
-    world.scheduler.at(begins_at, lambda: _part(world, kind, seconds, meanwhile))
+    world.scheduler.at(begins_at, lambda: _begin_split(world, kind, seconds, second_fault))
     return world
 
 
 def _add_backends(world: World, begins_at: float, seconds: float) -> None:
-    """Some are there before and after the split, some come, leave or crash within it."""
+    """Add backends that outlive the partition, and others that start, leave or crash during it."""
     random = world.random
     for number in range(BACKENDS):
         starts_at = random.choice([1.0, begins_at + random.uniform(1.0, seconds / 2)])
@@ -77,8 +78,8 @@
         world.backends[-1].preferred = random.choice(own)
 
 
-def _part(world: World, kind: str, seconds: float, meanwhile: str) -> None:
-    if not world.takes_place(kind):
+def _begin_split(world: World, kind: str, seconds: float, second_fault: str) -> None:
+    if not world.should_inject(kind):
         return
     zones = sorted(set(world.zones))
     primary = world.primary()
@@ -94,9 +95,11 @@
     else:
         _cut(world, split)
     _expect_confirmed_again(world, split)
-    if meanwhile != "nothing":
-        world.scheduler.after(world.random.uniform(3.0, seconds / 2), lambda: _strike(world, split, meanwhile))
-    world.scheduler.after(seconds - 0.1, lambda: _look_at_takeovers(world, split))
+    if second_fault != "nothing":
+        world.scheduler.after(
+            world.random.uniform(3.0, seconds / 2), lambda: _inject_second_fault(world, split, second_fault)
+        )
+    world.scheduler.after(seconds - 0.1, lambda: _check_takeovers(world, split))
 
 
 def _cut(world: World, split: Split) -> None:
@@ -110,22 +113,22 @@
     if split.kind == "bridge":
         world.bridge(_controllers(world, split.near | split.far), pairs, split.seconds, why)
     else:
-        world.cut_several(_controllers(world, split.near), pairs, split.seconds, why)
+        world.cut_machines(_controllers(world, split.near), pairs, split.seconds, why)
 
 
 def _addresses(world: World, zones: Iterable[str]) -> list[str]:
-    """Controllers, proxies and backends of these zones."""
+    """Return the addresses of the controllers, proxies and backends of these zones."""
     proxies = [proxy.ip for proxy in world.proxies if proxy.zone in zones]
     backends = [backend.loop.ip for backend in world.backends if backend.zone in zones]
     return [machine.ip for machine in _controllers(world, zones)] + proxies + backends
 
 
 def _controllers(world: World, zones: Iterable[str]) -> list[Machine]:
-    return [machine for machine in world.present() if machine.zone in zones]
+    return [machine for machine in world.current_machines() if machine.zone in zones]
 
 
 def _switch_off(world: World, split: Split) -> None:
-    back_s = world.random.uniform(0.0, POWER_BACK_S)
+    back_s = world.random.uniform(0.0, POWER_RETURN_SPREAD_S)
     for machine in _controllers(world, split.near):
         world.stop(machine, has_power=False)
         world.scheduler.after(split.seconds - back_s, partial(world.start, machine))
@@ -135,49 +138,49 @@
             world.scheduler.after(split.seconds - back_s, proxy.start)
 
 
-# What happens meanwhile.
+# The second fault, during the partition.
 
 
-def _strike(world: World, split: Split, kind: str) -> None:
-    """A controller that the majority can do without is lost for a while."""
-    if not world.takes_place(kind):
+def _inject_second_fault(world: World, split: Split, kind: str) -> None:
+    """Take down controllers that the majority can do without, for ``DOWNTIME_S``."""
+    if not world.should_inject(kind):
         return
-    able = [victims for victims in _choices(world, kind) if _can_be_lost(world, victims)]
-    if not able:
+    candidates = [victims for victims in _choices(world, kind) if _can_be_lost(world, victims)]
+    if not candidates:
         world.judge.counts["nobody could be lost meanwhile"] += 1
         return
-    victims = world.random.choice(able)
+    victims = world.random.choice(candidates)
     split.is_struck = True
     world.judge.counts[f"while apart: {kind}"] += 1
     if split.kind == "bridge" and world.primary() in victims:
         world.judge.counts["primary lost over a bridge"] += 1
     for victim in victims:
         if kind == "primary frozen":
-            world.freeze(victim, world.random.uniform(*STRUCK_S))
+            world.freeze(victim, world.random.uniform(*DOWNTIME_S))
         elif kind == "another restarts often":
-            _restart(world, victim, STRIKES)
+            _restart(world, victim, RESTART_COUNT)
         else:
             world.stop(victim, has_power=kind.endswith("killed"), wipes=kind.endswith("wiped"))
-            world.scheduler.after(world.random.uniform(*STRUCK_S), partial(world.start, victim))
+            world.scheduler.after(world.random.uniform(*DOWNTIME_S), partial(world.start, victim))
 
 
 def _choices(world: World, kind: str) -> list[list[Machine]]:
-    """Who may be struck, alone or together."""
+    """Return the sets of machines that this kind of fault may strike together."""
     if kind == "zone wiped":
         return [_controllers(world, {zone}) for zone in sorted(set(world.zones))]
     primary = world.primary()
-    return [[one] for one in world.present() if (one is primary) == kind.startswith("primary")]
+    return [[one] for one in world.current_machines() if (one is primary) == kind.startswith("primary")]
 
 
 def _can_be_lost(world: World, victims: list[Machine]) -> bool:
-    """Whether somebody still reaches a majority without these, and no more is lost than must be borne."""
+    """Whether a controller still reaches a majority without the victims, and no more is lost than must be tolerated."""
     if any(one.troubles or not one.is_running for one in victims):
         return False
-    if len(world.in_trouble()) + len(victims) > TOLERANCE:
+    if len(world.machines_in_trouble()) + len(victims) > TOLERANCE:
         return False
-    others = [one for one in world.present() if one not in victims]
-    reached = [sum(world.is_joined(one, other) for other in others) for one in others]
-    return 2 * max(reached) > len(world.present())
+    others = [one for one in world.current_machines() if one not in victims]
+    reached = [sum(world.are_connected(one, other) for other in others) for one in others]
+    return 2 * max(reached) > len(world.current_machines())
 
 
 def _restart(world: World, victim: Machine, times: int) -> None:
@@ -188,25 +191,25 @@
     world.scheduler.after(world.random.uniform(0.5, 2.0), partial(_restart, world, victim, times - 1))
 
 
-# What is expected.
+# Expectations.
 
 
 def _expect_confirmed_again(world: World, split: Split) -> None:
-    """A side with a majority acknowledges changes again soon."""
+    """Expect the side with a majority to acknowledge a change within ``RECONFIRM_TIMEOUT_S``."""
 
-    def look() -> None:
+    def check() -> None:
         judge = world.judge
         if judge.counts["changes acknowledged"] > split.acknowledged:
-            judge.lasted("after a cut until a change was acknowledged", world.scheduler.now - split.begins_at)
-        elif world.scheduler.now - split.begins_at > CONFIRMS_AGAIN_S:
-            judge.breach("confirms again", f"no change acknowledged for {CONFIRMS_AGAIN_S} s of a {split.kind}")
+            judge.record_longest("after a cut until a change was acknowledged", world.scheduler.now - split.begins_at)
+        elif world.scheduler.now - split.begins_at > RECONFIRM_TIMEOUT_S:
+            judge.breach("confirms again", f"no change acknowledged for {RECONFIRM_TIMEOUT_S} s of a {split.kind}")
         else:
-            world.scheduler.after(0.05, look)
+            world.scheduler.after(0.05, check)
 
-    world.scheduler.after(0.05, look)
+    world.scheduler.after(0.05, check)
 
 
-def _look_at_takeovers(world: World, split: Split) -> None:
+def _check_takeovers(world: World, split: Split) -> None:
     takeovers = world.takeovers - split.takeovers
     world.judge.counts[f"takeovers in a {split.kind}"] += takeovers
     if split.kind != "bridge" or split.is_struck:
@@ -220,7 +223,7 @@
 
 
 APART_CASES = (
-    *(f"{layout}, {kind}" for layout in LAYOUTS for kind in KINDS),
+    *(f"{layout}, {kind}" for layout in LAYOUTS for kind in SPLIT_KINDS),
     "changes sent to a steady majority",
     "bridges without a strike",
     "bridges with the primary at an end",
--- a/tests/controlsim/disk.py
+++ b/tests/controlsim/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk: values last once their write is done; it can be slow, stall and refuse."""
+"""A simulated disk: values persist once their write is done; it can be slow, stall and refuse writes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class MachineDisk:
-    """What a machine keeps over restarts, and the troubles of its disk."""
+    """The values that a machine keeps over restarts, and the active faults of its disk."""
 
     def __init__(self, scheduler: Scheduler, random: Random) -> None:
         self.scheduler, self.random = scheduler, random
@@ -24,12 +24,12 @@
         self.stuck_until = self.slow_until = self.refuses_until = 0.0
 
     def wipe(self) -> None:
-        """The disk is lost."""
+        """Lose all values."""
         self.values = {}
 
 
 class ProcessDisk:
-    """The disk as one process has it open; the ``Storage`` of a controller."""
+    """The disk as one process has it open; implements the ``Storage`` of a controller."""
 
     def __init__(self, disk: MachineDisk, loop: ProcessLoop) -> None:
         self._disk, self._loop = disk, loop
@@ -37,7 +37,7 @@
         self._unsynced: deque[tuple[Mapping[str, bytes], asyncio.Future[None]]] = deque()
 
     async def put(self, values: Mapping[str, bytes]) -> None:
-        """Return when the values last; raise DiskRefused when they don't."""
+        """Write values; return once they persist, or raise DiskRefused."""
         disk, scheduler = self._disk, self._disk.scheduler
         future: asyncio.Future[None] = self._loop.create_future()
         self._unsynced.append((dict(values), future))
@@ -48,10 +48,10 @@
         await future
 
     async def close(self) -> None:
-        """No more is put."""
+        """Do nothing: there is nothing to close."""
 
     def lose_unsynced(self) -> None:
-        """The process is gone: of what wasn't told as stored a part, from its beginning, may be on the disk."""
+        """End with the process: of the unconfirmed writes a random number, the earliest first, reaches the disk."""
         for _ in range(self._disk.random.randrange(len(self._unsynced) + 1)):
             self._disk.values.update(self._unsynced.popleft()[0])
         self._unsynced.clear()
--- a/tests/controlsim/in_step.py
+++ b/tests/controlsim/in_step.py
@@ -1,7 +1,7 @@
-"""The rule that a controller is in step: judged at every moment, and not at the end of a schedule only.
+"""The rule *in step*, checked throughout a schedule and not only at its end.
 
-A controller that has been in contact with a majority for ``CATCH_UP_S``, under a primary all the while, publishes no
-configuration that is older than the newest one acknowledged when that time began.
+A controller that has been in contact with a majority for ``CATCH_UP_TIMEOUT_S``, while there was a primary, publishes
+no configuration older than the newest one that was acknowledged when that time began.
 """
 
 from __future__ import annotations
@@ -9,30 +9,30 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from .judge import CATCH_UP_S
+from .judge import CATCH_UP_TIMEOUT_S
 
 if TYPE_CHECKING:
     from .world import Machine, World
 
 
 class InStepWatch:
-    """What every controller publishes, against what was acknowledged ``CATCH_UP_S`` ago."""
+    """Compares what each controller publishes with what was acknowledged ``CATCH_UP_TIMEOUT_S`` ago."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._acknowledged: deque[tuple[float, int]] = deque()  # when it was looked at, and the newest revision
+        self._acknowledged: deque[tuple[float, int]] = deque()  # time of a check, and the newest revision then
         self._in_contact_since: dict[str, float] = {}
 
-    def look(self) -> None:
-        """Compare all controllers with what they must have by now."""
+    def check(self) -> None:
+        """Compare all controllers with the revision that they must have by now."""
         world, now = self._world, self._world.scheduler.now
         self._acknowledged.append((now, world.judge.ledger.newest))
-        while len(self._acknowledged) > 1 and self._acknowledged[1][0] <= now - CATCH_UP_S:
+        while len(self._acknowledged) > 1 and self._acknowledged[1][0] <= now - CATCH_UP_TIMEOUT_S:
             self._acknowledged.popleft()
         has_primary = world.primary() is not None
         for machine in world.machines.values():
             if has_primary and self._is_in_contact(machine):
-                self._look_at(machine)
+                self._check_machine(machine)
             else:
                 self._in_contact_since.pop(machine.ip, None)
 
@@ -40,15 +40,18 @@
         is_well = machine.controller is not None and not machine.is_frozen and not machine.troubles
         if machine.bridges and self._world.is_cut_from_primary(machine):
             return False
-        return is_well and not machine.is_removed and machine.ip not in self._world.contactless
+        return is_well and not machine.is_removed and machine.ip not in self._world.ips_without_majority
 
-    def _look_at(self, machine: Machine) -> None:
+    def _check_machine(self, machine: Machine) -> None:
         now = self._world.scheduler.now
-        since = max(self._in_contact_since.setdefault(machine.ip, now), machine.back_at)
-        if now - since < CATCH_UP_S or machine.controller is None:
+        since = max(self._in_contact_since.setdefault(machine.ip, now), machine.recovered_at)
+        if now - since < CATCH_UP_TIMEOUT_S or machine.controller is None:
             return
         judge = self._world.judge
         judge.counts["controllers looked at that must be in step"] += 1
-        revision, wanted = machine.controller.published_revision, self._acknowledged[0][1]
-        if revision < wanted:
-            judge.breach("in step", f"{machine.ip} publishes {revision}; {wanted} was acknowledged {CATCH_UP_S} s ago")
+        revision, expected_revision = machine.controller.published_revision, self._acknowledged[0][1]
+        if revision < expected_revision:
+            judge.breach(
+                "in step",
+                f"{machine.ip} publishes {revision}; {expected_revision} was acknowledged {CATCH_UP_TIMEOUT_S} s ago",
+            )
--- a/tests/controlsim/loop.py
+++ b/tests/controlsim/loop.py
@@ -13,11 +13,11 @@
 
 T = TypeVar("T")
 
-EXECUTOR_S = 0.002  # what a call in a worker thread takes
+EXECUTOR_DELAY_S = 0.002  # duration of a call in a worker thread
 
 
 class Handle:
-    """A callback that is due; stands for ``asyncio.Handle`` without contexts, which nothing here uses."""
+    """A scheduled callback; replaces ``asyncio.Handle``, without contexts, which nothing here uses."""
 
     __slots__ = ("_args", "_callback", "_when", "is_cancelled")
 
@@ -26,24 +26,24 @@
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Don't run it."""
+        """Cancel the callback."""
         self.is_cancelled = True
 
     def cancelled(self) -> bool:
-        """Whether it won't run."""
+        """Whether it was cancelled."""
         return self.is_cancelled
 
     def when(self) -> float:
-        """The time by its loop's clock."""
+        """Return its time by its loop's clock."""
         return self._when
 
     def run(self) -> None:
-        """Run it."""
+        """Call the callback."""
         self._callback(*self._args)
 
 
 class Scheduler:
-    """All events of a run in the order of their simulated time; nothing sleeps."""
+    """Runs all events in the order of their simulated time, without sleeping."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -53,21 +53,21 @@
         self._number = 0
 
     def at(self, when: float, what: Callable[[], object]) -> None:
-        """Run something that belongs to no process."""
+        """Call something that belongs to no process at a time."""
         self._number += 1
         heapq.heappush(self._heap, (max(when, self.now), self._number, None, what))
 
     def after(self, delay: float, what: Callable[[], object]) -> None:
-        """Run something that belongs to no process, after a delay."""
+        """Call something that belongs to no process after a delay."""
         self.at(self.now + delay, what)
 
     def push_timer(self, when: float, loop: ProcessLoop, handle: Handle) -> None:
-        """Run a process's timer."""
+        """Schedule a process's timer."""
         self._number += 1
         heapq.heappush(self._heap, (max(when, self.now), self._number, loop, handle))
 
     def push_ready(self, loop: ProcessLoop, handle: Handle) -> None:
-        """Run a process's callback at this time, after all that is ready already."""
+        """Schedule a process's callback for the present time, after all callbacks that are ready already."""
         self._ready.append((loop, handle))
 
     def run_until(self, end: float) -> None:
@@ -89,7 +89,7 @@
 
 
 class ProcessLoop(asyncio.AbstractEventLoop):
-    """The event loop of one process: its own steady clock; it can be frozen, and killed without a last word."""
+    """The event loop of one process, with its own steady clock; it can be frozen, and killed at once."""
 
     def __init__(self, scheduler: Scheduler, name: str, offset: float = 0.0, rate: float = 1.0) -> None:
         self.scheduler, self.name = scheduler, name
@@ -98,17 +98,17 @@
         self._deferred: list[Handle] = []
         self._tasks: set[asyncio.Task[Any]] = set()
         self.errors: list[str] = []
-        self.network: Any = None  # set by whoever starts the process
+        self.network: Any = None  # set by ``process_loop``
         self.ip = ""
 
     # State of the process.
 
     def freeze(self) -> None:
-        """Run nothing until ``thaw``; the steady clock goes on."""
+        """Run nothing until ``thaw``; the steady clock continues."""
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """Run what came due meanwhile, and go on."""
+        """Run the callbacks that became due meanwhile, and continue."""
         self.is_frozen = False
         deferred, self._deferred = self._deferred, []
         for handle in deferred:
@@ -120,7 +120,7 @@
         self._deferred = []
 
     def discard(self) -> None:
-        """Let pending tasks be collected silently, once the run is over."""
+        """Suppress warnings about pending tasks, once the run is over."""
         self.is_dead = True
         for task in self._tasks:
             task._log_destroy_pending = False  # type: ignore[attr-defined]
@@ -144,7 +144,7 @@
         finally:
             events._set_running_loop(None)
 
-    # What asyncio asks of a loop.
+    # The interface of an asyncio event loop.
 
     def time(self) -> float:
         return self._offset + self.scheduler.now * self._rate
@@ -205,7 +205,7 @@
             except Exception as error:
                 future.set_exception(error)
 
-        self.call_later(EXECUTOR_S, run)
+        self.call_later(EXECUTOR_DELAY_S, run)
         return future
 
     async def create_connection(  # type: ignore[override]
@@ -225,7 +225,7 @@
 def process_loop(
     scheduler: Scheduler, network: Any, name: str, ip: str, offset: float = 0.0, rate: float = 1.0
 ) -> ProcessLoop:
-    """A loop for a new process at an address; signals, pipes and files, which it lacks, nothing here uses."""
+    """Return a loop for a new process at an address; it lacks signals, pipes and files, which nothing here uses."""
     loop = ProcessLoop(scheduler, name, offset, rate)  # type: ignore[abstract]
     loop.network, loop.ip = network, ip
     return loop
--- a/tests/controlsim/network.py
+++ b/tests/controlsim/network.py
@@ -1,4 +1,4 @@
-"""A simulated TCP network between processes: delays, cuts that hold bytes up, resets, dead ports, lost power."""
+"""A simulated TCP network between processes: delays, cuts that hold bytes back, resets, closed ports, lost power."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .loop import ProcessLoop, Scheduler
 
 DELAY_S = (0.0002, 0.0015)
-DIAL_AGAIN_S = 1.0  # between sendings of a SYN that nobody answered
+SYN_RETRY_INTERVAL_S = 1.0  # of a SYN that got no answer
 
 
 class Signal:
-    """What a stream carries besides bytes."""
+    """An event that a stream carries besides bytes."""
 
 
 END, RESET = Signal(), Signal()
@@ -23,27 +23,29 @@
 
 
 class _Socket:
-    """Stands for the socket of a connection."""
+    """Test double of a connection's socket."""
 
     def setsockopt(self, *_arguments: object) -> None:
-        """Nothing to set."""
+        """Ignore options: there is no real socket."""
 
     def getsockname(self) -> tuple[str, int]:
-        """Only of use to print."""
+        """Return an empty address, which is only printed."""
         return "", 0
 
 
 class Listener:
     """A listening port; what ``create_server`` returns."""
 
-    def __init__(self, network: Network, loop: ProcessLoop, factory: Callable[[], Any], place: tuple[str, int]) -> None:
-        self.network, self.loop, self.factory, self.place = network, loop, factory, place
+    def __init__(
+        self, network: Network, loop: ProcessLoop, factory: Callable[[], Any], address: tuple[str, int]
+    ) -> None:
+        self.network, self.loop, self.factory, self.address = network, loop, factory, address
         self.sockets = (_Socket(),)
 
     def close(self) -> None:
-        """Listen no more."""
-        if self.network.listeners.get(self.place) is self:
-            del self.network.listeners[self.place]
+        """Stop listening."""
+        if self.network.listeners.get(self.address) is self:
+            del self.network.listeners[self.address]
 
 
 class Transport(asyncio.Transport):
@@ -58,7 +60,7 @@
         self._closing = self._is_paused = False
         self._inbox: list[Item] = []
         self.held_bytes = 0
-        self.batch: list[Item] = []  # what went out at ``batch_at``: it arrives together
+        self.batch: list[Item] = []  # items sent at ``batch_at``, which arrive together
         self.batch_at = -1.0
         self.last_arrival = 0.0
 
@@ -66,7 +68,7 @@
         """Hand the connection to its protocol."""
         self.protocol = protocol
         protocol.connection_made(self)
-        if self._inbox:  # came before the dialling process had got its connection
+        if self._inbox:  # received before the dialling process had its connection
             self.loop.call_soon(self.receive, [])
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
@@ -87,7 +89,7 @@
         return self.held_bytes
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """The protocols here ask for the size of the buffer instead."""
+        """Ignore limits: the protocols here poll the size of the buffer instead."""
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if data and not self._closing:
@@ -112,7 +114,7 @@
             self._finish(None)
 
     def lose(self, error: Exception | None) -> None:
-        """The connection broke."""
+        """End the connection after an error."""
         if not self.is_over:
             self._finish(error)
 
@@ -131,7 +133,7 @@
             self.loop.call_soon(self.receive, [])
 
     def receive(self, items: list[Item]) -> None:
-        """Bytes and signals came."""
+        """Handle bytes and signals from the other end."""
         if self.is_over:
             return
         if self._is_paused or self.protocol is None:
@@ -158,7 +160,7 @@
 
 
 class Network:
-    """All machines' connections."""
+    """The connections of all machines, and cuts between machines."""
 
     def __init__(self, scheduler: Scheduler, seed: int) -> None:
         self.scheduler, self._seed = scheduler, seed
@@ -172,11 +174,11 @@
     # Faults.
 
     def cut(self, source: str, target: str) -> None:
-        """Hold up everything that goes from one machine to another."""
+        """Hold back everything that one machine sends to another."""
         self._cuts[source, target] += 1
 
     def heal(self, source: str, target: str) -> None:
-        """Undo one cut; what was held up arrives."""
+        """Undo one cut; once none is left, what was held back is sent."""
         pair = (source, target)
         self._cuts[pair] -= 1
         if self._cuts[pair] <= 0:
@@ -187,11 +189,11 @@
                     self.send(transport, item)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether nothing gets from one to the other."""
+        """Whether nothing gets from the source to the target."""
         return (source, target) in self._cuts
 
     def reset(self, ip: str, is_chosen: Callable[[Transport], bool] = lambda _: True) -> int:
-        """Break connections of a machine, at both ends; how many."""
+        """Break connections of a machine, at both ends; return how many."""
         found = [one for one in self.transports if one.local == ip and is_chosen(one)]
         for transport in found:
             for end in (transport, transport.peer):
@@ -201,7 +203,7 @@
         return len(found)
 
     def end_process(self, loop: ProcessLoop, has_power: bool) -> None:
-        """A process is gone: its kernel resets its connections, if it still has power."""
+        """End a process: its kernel resets its connections if the machine still has power."""
         for listener in [one for one in self.listeners.values() if one.loop is loop]:
             listener.close()
         for transport in [one for one in self.transports if one.loop is loop]:
@@ -229,7 +231,7 @@
         self.scheduler.at(transport.last_arrival, lambda: self._arrive(transport, batch))
 
     def drop_held(self, transport: Transport) -> None:
-        """Forget what waits to get through."""
+        """Drop what a cut holds back of this connection."""
         held = self._held.get((transport.local, transport.remote))
         if held is not None and transport.held_bytes:
             held[:] = [one for one in held if one[0] is not transport]
@@ -266,14 +268,14 @@
     async def connect(
         self, loop: ProcessLoop, factory: Callable[[], Any], local: str, remote: str, port: int
     ) -> tuple[Transport, Any]:
-        """Dial; hangs where nothing answers, until the caller gives up."""
+        """Dial; where nothing answers, this waits until the caller gives up."""
         done: asyncio.Future[Transport] = loop.create_future()
 
         def syn() -> None:
             if done.done() or loop.is_dead:
                 return
             if self.is_cut(local, remote) or self.is_cut(remote, local) or remote in self.without_power:
-                self.scheduler.after(DIAL_AGAIN_S, syn)
+                self.scheduler.after(SYN_RETRY_INTERVAL_S, syn)
                 return
             back = self._delay((remote, local))
             listener = self.listeners.get((remote, port))
--- a/tests/controlsim/scenarios.py
+++ b/tests/controlsim/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios: which faults befall a world, drawn from its seed; and which cases each of them must reach."""
+"""The scenarios: the faults that a world's seed determines, and the cases that each scenario must reach."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 from cranebank.transport.messages import StageLoad
 
 from .apart import APART_CASES, make_apart
-from .judge import CATCH_UP_S
-from .stages import SWITCH_S, StagedBackend
+from .judge import CATCH_UP_TIMEOUT_S
+from .stages import SWITCH_TIMES_S, StagedBackend
 from .world import Machine, Proxy, World
 
-CUTS = ("both", "out", "in", "partly", "frozen")
-LOSSES = ("replaced", "leaves", "wiped", "killed", "without power")
-STRIKES = ("kill", "power", "freeze", "disk")
-CLOSING = ("", "all killed", "all without power", "some wiped, others without power")
-LONG_S, SHORT_S = 26.0, 18.0  # until the faults end
-ACKNOWLEDGED_S = 0.5  # how long a fault waits for an acknowledgement
-LAST_S = 1.0  # before the end of the faults no more begin
+CUT_KINDS = ("both", "out", "in", "partly", "frozen")
+LOSS_KINDS = ("replaced", "leaves", "wiped", "killed", "without power")
+STRIKE_KINDS = ("kill", "power", "freeze", "disk")
+CLOSING_KINDS = ("", "all killed", "all without power", "some wiped, others without power")
+LONG_FAULTS_S, SHORT_FAULTS_S = 26.0, 18.0  # until the end of the faults
+ACK_WAIT_S = 0.5  # for which a fault waits for an acknowledgement
+QUIET_END_S = 1.0  # before the end of the faults, in which no new fault begins
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A family of schedules. ``cases`` are counts that many schedules together must have above zero."""
+    """A family of schedules. ``cases`` are counts that must be above zero over many schedules."""
 
     make: Callable[[int], World]
     cases: tuple[str, ...]
 
 
 @dataclass
-class Played:
-    """What came of one schedule."""
+class ScheduleResult:
+    """The result of one schedule."""
 
     seed: int
     breaches: list[str]
@@ -43,72 +43,80 @@
     longest: dict[str, float]
     trace: list[str]
     shortest: dict[str, float]
-    faults: int = 0  # that took place or were left out
+    fault_count: int = 0  # injected or skipped
 
 
-def play(point: str, seed: int, go_on: frozenset[str] = frozenset(), left_out: frozenset[int] = frozenset()) -> Played:
-    """Play one schedule; breaches of the rules ``go_on`` don't end it, and the faults with the numbers ``left_out``
-    don't take place."""
+def play(
+    point: str, seed: int, tolerated_rules: frozenset[str] = frozenset(), skipped_faults: frozenset[int] = frozenset()
+) -> ScheduleResult:
+    """Run one schedule. Breaches of ``tolerated_rules`` don't end it; faults with numbers in ``skipped_faults`` are not
+    injected."""
     logger.disable("cranebank")
     try:
         violated = sum(invariants.violations().values())
         world = SCENARIOS[point].make(seed)
-        world.go_on, world.left_out = go_on, left_out
+        world.tolerated_rules, world.skipped_faults = tolerated_rules, skipped_faults
         judge = world.judge
         try:
             world.run()
             if sum(invariants.violations().values()) > violated:
                 judge.breach("invariant", f"violated: {dict(invariants.violations())}")
             trace = list(judge.trace)
-            return Played(seed, judge.breaches, dict(judge.counts), judge.longest, trace, judge.shortest, world.faults)
+            return ScheduleResult(
+                seed, judge.breaches, dict(judge.counts), judge.longest, trace, judge.shortest, world.fault_count
+            )
         finally:
             world.close()
     finally:
         logger.enable("cranebank")
 
 
-def shrink(point: str, seed: int, go_on: frozenset[str] = frozenset()) -> tuple[Played, frozenset[int]]:
-    """Leave out faults of a broken schedule, one after another, as long as one of its rules is still broken without.
-    Returns a schedule of which no fault more can be left out, and the numbers of those that it lacks."""
-    played, left_out = play(point, seed, go_on), frozenset[int]()
+def shrink(
+    point: str, seed: int, tolerated_rules: frozenset[str] = frozenset()
+) -> tuple[ScheduleResult, frozenset[int]]:
+    """Skip faults of a schedule with breaches, one after another, as long as one of the same rules is still broken.
+
+    Return the result of a schedule of which no further fault can be skipped, and the numbers of the skipped faults.
+    """
+    played, skipped_faults = play(point, seed, tolerated_rules), frozenset[int]()
     rules = _broken_rules(played)
     if not rules:
-        return played, left_out
+        return played, skipped_faults
     while True:
-        for number in sorted(set(range(played.faults)) - left_out, reverse=True):
-            tried = play(point, seed, go_on, left_out | {number})
+        for number in sorted(set(range(played.fault_count)) - skipped_faults, reverse=True):
+            tried = play(point, seed, tolerated_rules, skipped_faults | {number})
             if rules & _broken_rules(tried):
-                played, left_out = tried, left_out | {number}
+                played, skipped_faults = tried, skipped_faults | {number}
                 break
         else:
-            return played, left_out
+            return played, skipped_faults
 
 
-def _broken_rules(played: Played) -> set[str]:
+def _broken_rules(played: ScheduleResult) -> set[str]:
     return {breach.partition(":")[0] for breach in played.breaches}
 
 
 def _next_kind(world: World, what: str, kinds: tuple[str, ...]) -> str:
-    """The kinds of a fault in turn, from a beginning that the seed gives, so that few schedules reach all."""
+    """Return the next kind of a fault: they rotate, and the seed gives the first, so that few schedules reach all."""
     done = sum(world.judge.counts[f"{what}: {kind}"] for kind in kinds)
     kind = kinds[(world.seed + done) % len(kinds)]
     _count(world, f"{what}: {kind}")
     return kind
 
 
-def _victim(world: World, share_primary: float = 0.5) -> Machine | None:
-    """A machine that may be lost now without going beyond what must be borne; often the primary."""
-    lost = world.in_trouble()
+def _choose_victim(world: World, share_primary: float = 0.5) -> Machine | None:
+    """Return a machine that may be lost within the tolerance, if any; the primary with ``share_primary``."""
+    lost = world.machines_in_trouble()
     if len(lost) >= world.tolerance:
         return None
-    able = [one for one in world.machines.values() if not one.is_removed and one not in lost]
+    candidates = [one for one in world.machines.values() if not one.is_removed and one not in lost]
     primary = world.primary()
-    if primary in able and world.random.random() < share_primary:
+    if primary in candidates and world.random.random() < share_primary:
         return primary
-    return world.random.choice(able) if able else None
+    return world.random.choice(candidates) if candidates else None
 
 
-def _backends(world: World, count: int, first: float, last: float) -> None:
+def _add_backends(world: World, count: int, first: float, last: float) -> None:
     for number in range(count):
         start = world.random.uniform(0.5, 2.0)
         end = world.random.uniform(first, last)
@@ -119,15 +127,17 @@
     world.judge.counts[case] += 1
 
 
-# 1: a controller is cut off for some twenty seconds.
+# A controller is cut off for about 20 s.
 
 
 def _cut(seed: int) -> World:
     is_large = seed % 4 == 3
-    world = World(seed, controllers=5 if is_large else 3, proxies=3, tolerance=2 if is_large else 1, faults_s=LONG_S)
+    world = World(
+        seed, controllers=5 if is_large else 3, proxies=3, tolerance=2 if is_large else 1, faults_s=LONG_FAULTS_S
+    )
     world.add_operators(1)
     world.operators[0].pause_s = (0.2, 1.2)
-    _backends(world, 4, 6.0, 24.0)
+    _add_backends(world, 4, 6.0, 24.0)
     world.scheduler.at(world.random.uniform(4.5, 6.0), lambda: _cut_off(world))
     if is_large:
         world.scheduler.at(world.random.uniform(8.0, 16.0), lambda: _strike_another(world))
@@ -135,22 +145,22 @@
 
 
 def _strike_another(world: World) -> None:
-    victim = _victim(world, 0.7)
+    victim = _choose_victim(world, 0.7)
     if victim is not None:
         _count(world, "another struck while one is cut off")
-        _strike(world, victim)
+        _strike_machine(world, victim)
 
 
 def _cut_off(world: World) -> None:
-    if not world.takes_place("cut off"):
+    if not world.should_inject("cut off"):
         return
-    victim = _victim(world, world.seed % 2)
+    victim = _choose_victim(world, world.seed % 2)
     if victim is None:
         return
     random = world.random
     seconds = random.uniform(17.0, 21.0)
     _count(world, "cut off: primary" if victim is world.primary() else "cut off: another")
-    kind = CUTS[world.seed % len(CUTS)]
+    kind = CUT_KINDS[world.seed % len(CUT_KINDS)]
     _count(world, f"cut off: {kind}")
     if kind == "frozen":
         world.freeze(victim, seconds)
@@ -172,41 +182,41 @@
 
 
 def _restart_proxy(world: World, proxy: Proxy) -> None:
-    if not world.takes_place("restart proxy"):
+    if not world.should_inject("restart proxy"):
         return
     _count(world, "proxies restarted beside one cut off")
     proxy.kill()
     world.scheduler.after(0.3, proxy.start)
 
 
-# 2: one number, two operators; takeovers, lost answers and doubled orders.
+# Two operators use the same revisions, with takeovers, lost answers and changes sent twice at once.
 
 
 def _orders(seed: int) -> World:
-    world = World(seed, faults_s=SHORT_S)
+    world = World(seed, faults_s=SHORT_FAULTS_S)
     world.add_operators(2)
-    world.share_doubled = 0.2
+    world.duplicate_share = 0.2
     is_long = world.random.random() < 0.3
     for operator in world.operators:
-        operator.most = 8
+        operator.max_in_progress = 8
         operator.pause_s = (0.01, 0.03) if is_long else (0.02, 0.4)
-        operator.impatience = world.random.choice([0.0, 0.1, 0.3])
-        operator.share_old = 0.05 if is_long else 0.15
-    _kills(world, 4.5, (2.0, 6.0))
-    _close(world)
+        operator.early_timeout_share = world.random.choice([0.0, 0.1, 0.3])
+        operator.resend_share = 0.05 if is_long else 0.15
+    _schedule_strikes(world, 4.5, (2.0, 6.0))
+    _schedule_closing_fault(world)
     return world
 
 
-def _kills(world: World, first: float, every: tuple[float, float]) -> None:
-    """Strike the primary again and again, often in the instant in which an answer to an operator was lost."""
+def _schedule_strikes(world: World, first: float, every: tuple[float, float]) -> None:
+    """Strike the primary repeatedly, often at the moment at which an answer to an operator is lost."""
 
     def strike() -> None:
-        victim = _victim(world, 0.8)
+        victim = _choose_victim(world, 0.8)
         if victim is not None:
-            _strike(world, victim)
+            _strike_machine(world, victim)
 
     def plan() -> None:
-        if world.scheduler.now > world.faults_s - LAST_S:
+        if world.scheduler.now > world.faults_s - QUIET_END_S:
             return
         world.scheduler.after(world.random.uniform(*every), plan)
         if world.random.random() < 0.5:
@@ -217,11 +227,11 @@
     world.scheduler.at(first, plan)
 
 
-def _strike(world: World, victim: Machine) -> None:
-    if not world.takes_place("strike"):
+def _strike_machine(world: World, victim: Machine) -> None:
+    if not world.should_inject("strike"):
         return
     random = world.random
-    kind = _next_kind(world, "struck", STRIKES)
+    kind = _next_kind(world, "struck", STRIKE_KINDS)
     if kind == "freeze":
         world.freeze(victim, random.uniform(0.5, 4.0))
     elif kind == "disk":
@@ -235,29 +245,29 @@
         world.scheduler.after(random.uniform(0.1, 3.0), lambda: world.start(victim))
 
 
-def _close(world: World) -> None:
-    """At times the faults end with one that strikes all controllers at once, at any point of a change."""
-    kind = CLOSING[world.seed % len(CLOSING)]
+def _schedule_closing_fault(world: World) -> None:
+    """Schedule, for some seeds, a last fault that strikes all controllers at once, at any point of a change."""
+    kind = CLOSING_KINDS[world.seed % len(CLOSING_KINDS)]
     if not kind:
         return
 
     def strike() -> None:
-        if not world.takes_place("closing fault"):
+        if not world.should_inject("closing fault"):
             return
         _count(world, f"closing fault: {kind}")
         present = [machine for machine in world.machines.values() if not machine.is_removed]
-        able = [machine for machine in present if machine not in world.in_trouble()]
-        further = max(0, world.tolerance - len(world.in_trouble()))
-        wiped = world.random.sample(able, min(further, len(able))) if kind.startswith("some") else []
+        candidates = [machine for machine in present if machine not in world.machines_in_trouble()]
+        further = max(0, world.tolerance - len(world.machines_in_trouble()))
+        wiped = world.random.sample(candidates, min(further, len(candidates))) if kind.startswith("some") else []
         for machine in present:
             world.stop(machine, has_power=kind == "all killed", wipes=machine in wiped)
             world.scheduler.after(world.random.uniform(0.1, 0.8), partial(world.start, machine))
 
-    world.scheduler.at(world.faults_s - world.random.uniform(0.0, LAST_S), lambda: _soon(world, strike))
+    world.scheduler.at(world.faults_s - world.random.uniform(0.0, QUIET_END_S), lambda: _strike_soon(world, strike))
 
 
-def _soon(world: World, strike: Callable[[], None]) -> None:
-    """Strike at once, or right after the next acknowledgement of a change if one comes soon."""
+def _strike_soon(world: World, strike: Callable[[], None]) -> None:
+    """Strike at once, or right after the next acknowledgement if one comes within ``ACK_WAIT_S``."""
     if world.random.random() < 0.4:
         strike()
         return
@@ -269,42 +279,49 @@
             strike()
 
     world.after_next_acknowledgement(once)
-    world.scheduler.after(ACKNOWLEDGED_S, once)
+    world.scheduler.after(ACK_WAIT_S, once)
 
 
-# 3: losses right after a replacement, a repair or a planned leave.
+# Machines are lost right after a replacement, a repair or a planned leave.
 
 
-SIZES = ((3, 1), (3, 1), (5, 2), (3, 1), (3, 1), (7, 3))  # controllers, and how many may be lost at once
+GROUP_SIZES = (
+    (3, 1),
+    (3, 1),
+    (5, 2),
+    (3, 1),
+    (3, 1),
+    (7, 3),
+)  # number of controllers, and how many may be lost at once
 
 
 def _losses(seed: int) -> World:
-    controllers, tolerance = SIZES[seed % len(SIZES)]
-    world = World(seed, controllers=controllers, tolerance=tolerance, faults_s=LONG_S)
+    controllers, tolerance = GROUP_SIZES[seed % len(GROUP_SIZES)]
+    world = World(seed, controllers=controllers, tolerance=tolerance, faults_s=LONG_FAULTS_S)
     world.add_operators(1)
     world.operators[0].pause_s = (0.05, 0.4)
 
     def strike() -> None:
-        if world.scheduler.now > world.faults_s - LAST_S:
+        if world.scheduler.now > world.faults_s - QUIET_END_S:
             return
-        world.scheduler.after(world.random.choice([0.3, CATCH_UP_S]) + world.random.uniform(0.0, 0.5), strike)
-        _soon(world, lose)
+        world.scheduler.after(world.random.choice([0.3, CATCH_UP_TIMEOUT_S]) + world.random.uniform(0.0, 0.5), strike)
+        _strike_soon(world, lose)
 
     def lose() -> None:
-        victim = _victim(world, 0.6)
+        victim = _choose_victim(world, 0.6)
         if victim is not None:
-            _lose(world, victim)
+            _lose_machine(world, victim)
 
     world.scheduler.at(3.0, strike)
-    _close(world)
+    _schedule_closing_fault(world)
     return world
 
 
-def _lose(world: World, victim: Machine) -> None:
-    if not world.takes_place("lose"):
+def _lose_machine(world: World, victim: Machine) -> None:
+    if not world.should_inject("lose"):
         return
     random = world.random
-    kind = _next_kind(world, "lost", LOSSES)
+    kind = _next_kind(world, "lost", LOSS_KINDS)
     if kind == "replaced":
         world.stop(victim, has_power=False)
         world.remove(victim)
@@ -317,57 +334,57 @@
         world.scheduler.after(random.uniform(0.1, 2.0), lambda: world.start(victim))
 
 
-# 4: hundreds of changes with restarts and replacements.
+# Hundreds of changes, with restarts and replacements.
 
 
-def _many(seed: int) -> World:
+def _many_changes(seed: int) -> World:
     world = World(seed)
     world.add_operators(2)
     for operator in world.operators:
-        operator.most = 4
+        operator.max_in_progress = 4
         operator.pause_s = (0.03, 0.09)
-        operator.share_old = 0.02
-        operator.size = world.random.choice([0, 2000])
+        operator.resend_share = 0.02
+        operator.padding_bytes = world.random.choice([0, 2000])
 
     def strike() -> None:
-        if world.scheduler.now > world.faults_s - LAST_S:
+        if world.scheduler.now > world.faults_s - QUIET_END_S:
             return
         world.scheduler.after(world.random.uniform(3.0, 6.0), strike)
-        victim = _victim(world, 0.4)
+        victim = _choose_victim(world, 0.4)
         if victim is None:
             return
         if world.random.random() < 0.3:
-            _lose(world, victim)
+            _lose_machine(world, victim)
         else:
-            _strike(world, victim)
+            _strike_machine(world, victim)
 
     world.scheduler.at(4.0, strike)
     return world
 
 
-# 5: resets and silences at any time, of controllers; proxies that stand still or are gone for a while.
+# Connections of controllers are reset or cut at any time; proxies freeze or are down for a while.
 
 
-PROXY_TROUBLES = ("frozen", "without power", "killed")
+PROXY_FAULT_KINDS = ("frozen", "without power", "killed")
 
 
 def _resets(seed: int) -> World:
-    world = World(seed, proxies=3, faults_s=SHORT_S)
+    world = World(seed, proxies=3, faults_s=SHORT_FAULTS_S)
     world.add_operators(2)
     for operator in world.operators:
-        operator.most = 4
+        operator.max_in_progress = 4
         operator.pause_s = (0.05, 0.4)
-        operator.impatience = 0.2
-    _backends(world, 4, 4.0, 24.0)
+        operator.early_timeout_share = 0.2
+    _add_backends(world, 4, 4.0, 24.0)
 
     def strike() -> None:
-        if world.scheduler.now > world.faults_s - LAST_S:
+        if world.scheduler.now > world.faults_s - QUIET_END_S:
             return
         world.scheduler.after(world.random.choice([0.05, 0.3, 1.0, 6.0]) * world.random.uniform(0.5, 1.5), strike)
         _disturb(world)
 
     def strike_proxy() -> None:
-        if world.scheduler.now > world.faults_s - LAST_S:
+        if world.scheduler.now > world.faults_s - QUIET_END_S:
             return
         world.scheduler.after(world.random.uniform(2.0, 7.0), strike_proxy)
         _disturb_proxy(world)
@@ -378,10 +395,10 @@
 
 
 def _disturb_proxy(world: World) -> None:
-    if not world.takes_place("disturb proxy"):
+    if not world.should_inject("disturb proxy"):
         return
     proxy, random = world.random.choice(world.proxies), world.random
-    kind = _next_kind(world, "a proxy", PROXY_TROUBLES)
+    kind = _next_kind(world, "a proxy", PROXY_FAULT_KINDS)
     if kind == "frozen":
         proxy.freeze(random.choice([0.5, 1.5, 4.0]) * random.uniform(0.7, 1.0))
     else:
@@ -390,7 +407,7 @@
 
 
 def _disturb(world: World) -> None:
-    if not world.takes_place("disturb"):
+    if not world.should_inject("disturb"):
         return
     random = world.random
     machine = random.choice(list(world.machines.values()))
@@ -410,74 +427,74 @@
     world.cut(machine, pairs, random.choice([0.3, 1.0, 2.5]) * random.uniform(0.5, 1.5), f"from {others}")
 
 
-# 6: backends of both stages leave or crash, under everything that makes and unmakes primaries.
+# Backends of both stages leave or crash, under faults that cause takeovers.
 
 
-STAGES_S = 40.0
-LAST_LOSS_S = 24.0
-ENDS = ("drain", "crash")
-ORDER_TROUBLES = ("primary struck", "lost, and primary struck", "", "held up", "answer held up")
+STAGES_FAULTS_S = 40.0
+LATEST_LOSS_S = 24.0
+END_KINDS = ("drain", "crash")
+ORDER_FAULT_KINDS = ("primary struck", "lost, and primary struck", "", "held up", "answer held up")
 
 
 def _stages(seed: int) -> World:
-    world = World(seed, faults_s=STAGES_S)
+    world = World(seed, faults_s=STAGES_FAULTS_S)
     random = world.random
     world.add_operators(1)
     world.operators[0].pause_s = (0.4, 1.2)
-    world.switch_s = random.choice(SWITCH_S)
+    world.switch_s = random.choice(SWITCH_TIMES_S)
     for number in range(random.randint(2, 6)):
         stage = "decode" if number % 2 else "prefill"
         is_lost = stage == "decode" or random.random() < 0.2
-        end = random.uniform(6.0, LAST_LOSS_S) if is_lost else 10 * STAGES_S
-        backend = world.add_staged_backend(stage, random.uniform(0.5, 1.5), end, random.choice(ENDS))
-        backend.share_lost = random.choice([0.0, 0.0, 0.5, 1.0])
+        end = random.uniform(6.0, LATEST_LOSS_S) if is_lost else 10 * STAGES_FAULTS_S
+        backend = world.add_staged_backend(stage, random.uniform(0.5, 1.5), end, random.choice(END_KINDS))
+        backend.lost_answer_share = random.choice([0.0, 0.0, 0.5, 1.0])
     world.on_backend_called = lambda backend, machine: _disturb_order(world, backend, machine)
     if seed % 3:
-        _kills(world, 5.0, (1.0, 5.0) if seed % 3 == 1 else (6.0, 14.0))
+        _schedule_strikes(world, 5.0, (1.0, 5.0) if seed % 3 == 1 else (6.0, 14.0))
     if seed % 4 == 1:
         world.scheduler.at(random.uniform(8.0, 20.0), lambda: _cut_off(world))
     return world
 
 
-# 7: the load turns from one stage to the other and back, under the same troubles.
+# The load moves from one stage to the other and back, under the same faults.
 
 
-LOADS = (0.0, 0.1, 0.5, 2.0)  # erlangs that one proxy asks of a stage
+STAGE_LOADS = (0.0, 0.1, 0.5, 2.0)  # erlangs that one proxy offers to a stage
 
 
 def _loads(seed: int) -> World:
-    world = World(seed, faults_s=STAGES_S)
+    world = World(seed, faults_s=STAGES_FAULTS_S)
     random = world.random
     world.add_operators(1)
     world.operators[0].pause_s = (0.4, 1.2)
     for number in range(random.randint(4, 7)):
         stage = "decode" if number % 3 else "prefill"
-        end = random.uniform(6.0, LAST_LOSS_S) if random.random() < 0.2 else 10 * STAGES_S
-        backend = world.add_staged_backend(stage, random.uniform(0.5, 1.5), end, random.choice(ENDS))
-        backend.share_lost = random.choice([0.0, 0.0, 0.5])
+        end = random.uniform(6.0, LATEST_LOSS_S) if random.random() < 0.2 else 10 * STAGES_FAULTS_S
+        backend = world.add_staged_backend(stage, random.uniform(0.5, 1.5), end, random.choice(END_KINDS))
+        backend.lost_answer_share = random.choice([0.0, 0.0, 0.5])
     world.on_backend_called = lambda backend, machine: _disturb_order(world, backend, machine)
-    _turn_load(world)
+    _change_load(world)
     if seed % 4 != 2:
-        _kills(world, 5.0, ((4.0, 8.0), (1.0, 5.0), (0.0, 0.0), (6.0, 14.0))[seed % 4])
+        _schedule_strikes(world, 5.0, ((4.0, 8.0), (1.0, 5.0), (0.0, 0.0), (6.0, 14.0))[seed % 4])
     else:
         world.scheduler.at(random.uniform(8.0, 20.0), lambda: _cut_off(world))
     return world
 
 
-def _turn_load(world: World) -> None:
+def _change_load(world: World) -> None:
     random = world.random
-    world.loads_of_a_proxy = (StageLoad("s", random.choice(LOADS), random.choice(LOADS)),)
-    world.scheduler.after(random.uniform(2.0, 8.0), lambda: _turn_load(world))
+    world.loads_per_proxy = (StageLoad("s", random.choice(STAGE_LOADS), random.choice(STAGE_LOADS)),)
+    world.scheduler.after(random.uniform(2.0, 8.0), lambda: _change_load(world))
 
 
 def _disturb_order(world: World, backend: StagedBackend, machine: Machine) -> None:
-    """Something happens while an order is on its way, or has just been taken."""
-    if not world.takes_place("disturb order"):
+    """Inject a fault while an order is in transit, or has just been accepted."""
+    if not world.should_inject("disturb order"):
         return
-    if world.scheduler.now > STAGES_S - LAST_S:
+    if world.scheduler.now > STAGES_FAULTS_S - QUIET_END_S:
         return
     random = world.random
-    kind = _next_kind(world, "order", ORDER_TROUBLES)
+    kind = _next_kind(world, "order", ORDER_FAULT_KINDS)
     seconds = random.uniform(0.3, 6.0)
     if kind == "lost, and primary struck":
         world.network.cut(machine.ip, backend.loop.ip)
@@ -491,10 +508,10 @@
 
 
 def _replace_holder(world: World, machine: Machine) -> None:
-    """The holder stands still, or is down, for longer than a takeover takes: another one holds the lease then."""
-    if not world.takes_place("replace holder"):
+    """Freeze or stop the lease holder for longer than a takeover takes, so that another controller gets the lease."""
+    if not world.should_inject("replace holder"):
         return
-    if machine in world.in_trouble() or len(world.in_trouble()) >= world.tolerance:
+    if machine in world.machines_in_trouble() or len(world.machines_in_trouble()) >= world.tolerance:
         return
     _count(world, "a holder struck after its order")
     if world.random.random() < 0.4:
@@ -504,18 +521,18 @@
     world.scheduler.after(world.random.uniform(2.5, 6.0), lambda: world.start(machine))
 
 
-# 7: controllers are cut off from each other, and backends report to those that the others don't hear.
+# Controllers are cut off from each other, and backends send heartbeats to one that the others don't reach.
 
 
-PARTITIONS = ("one from the others", "each from all others", "one way", "one, and from most proxies")
-MEANWHILE = ("nothing", "restart of the one", "restart of another", "freeze of another", "restart of a proxy")
+PARTITION_KINDS = ("one from the others", "each from all others", "one way", "one, and from most proxies")
+SECOND_FAULT_KINDS = ("nothing", "restart of the one", "restart of another", "freeze of another", "restart of a proxy")
 
 
 def _heard(seed: int) -> World:
-    world = World(seed, proxies=4, faults_s=LONG_S)
+    world = World(seed, proxies=4, faults_s=LONG_FAULTS_S)
     world.add_operators(1)
     world.operators[0].pause_s = (0.2, 1.2)
-    _backends(world, 6, LONG_S, LONG_S + 2.0)
+    _add_backends(world, 6, LONG_FAULTS_S, LONG_FAULTS_S + 2.0)
     world.add_backend(6, 1.0, world.random.uniform(5.0, 12.0), crashes=True)
     world.add_backend(7, 1.0, world.random.uniform(5.0, 12.0))
     world.scheduler.at(world.random.uniform(4.5, 6.0), lambda: _partition(world))
@@ -523,9 +540,9 @@
 
 
 def _partition(world: World) -> None:
-    if not world.takes_place("partition"):
+    if not world.should_inject("partition"):
         return
-    random, kind = world.random, PARTITIONS[world.seed % len(PARTITIONS)]
+    random, kind = world.random, PARTITION_KINDS[world.seed % len(PARTITION_KINDS)]
     _count(world, f"partition: {kind}")
     ips, seconds = list(world.machines), random.uniform(17.0, 21.0)
     victim = random.choice(ips)
@@ -540,14 +557,14 @@
             pairs += [pair for proxy in far for pair in ((ip, proxy), (proxy, ip))]
         world.cut(world.machines[ip], pairs, seconds, kind)
     other = random.choice([one for one in ips if one != victim])
-    world.scheduler.after(random.uniform(1.0, 7.0), lambda: _meanwhile(world, victim, other))
+    world.scheduler.after(random.uniform(1.0, 7.0), lambda: _inject_second_fault(world, victim, other))
 
 
-def _meanwhile(world: World, victim: str, other: str) -> None:
-    """One more fault while controllers are cut off from each other."""
-    if not world.takes_place("meanwhile"):
+def _inject_second_fault(world: World, victim: str, other: str) -> None:
+    """Inject a second fault while controllers are cut off from each other."""
+    if not world.should_inject("meanwhile"):
         return
-    random, kind = world.random, MEANWHILE[world.seed // len(PARTITIONS) % len(MEANWHILE)]
+    random, kind = world.random, SECOND_FAULT_KINDS[world.seed // len(PARTITION_KINDS) % len(SECOND_FAULT_KINDS)]
     _count(world, f"in a partition: {kind}")
     if kind == "freeze of another":
         world.freeze(world.machines[other], random.uniform(1.0, 5.0))
@@ -559,39 +576,41 @@
         world.scheduler.after(random.uniform(0.1, 2.0), lambda: world.start(machine))
 
 
-# 8: zones are evacuated and taken back, under everything that befalls controllers and proxies.
+# Evacuations of zones are started and finished, under faults of controllers and proxies.
 
 
 def _evacuations(seed: int) -> World:
-    controllers, tolerance = SIZES[seed % len(SIZES)]
-    world = World(seed, controllers=controllers, proxies=3, tolerance=tolerance, faults_s=LONG_S)
+    controllers, tolerance = GROUP_SIZES[seed % len(GROUP_SIZES)]
+    world = World(seed, controllers=controllers, proxies=3, tolerance=tolerance, faults_s=LONG_FAULTS_S)
     world.add_operators(1)
     world.operators[0].pause_s = (0.1, 1.0)
-    is_slow = world.random.random() < 0.3  # what was missed shows only while no later change mends it
+    is_slow = world.random.random() < 0.3  # a missed change shows only until a later one repairs it
     for evacuator in world.add_evacuators(2):
-        evacuator.impatience = world.random.choice([0.0, 0.2])
+        evacuator.early_timeout_share = world.random.choice([0.0, 0.2])
         evacuator.pause_s = (11.0, 14.0) if is_slow else world.random.choice([(0.02, 0.3), (0.5, 7.0)])
-    rests = (8.0, 9.0) if is_slow else world.random.choice([(0.3, 1.0), (CATCH_UP_S, CATCH_UP_S + 1.0)])
+    strike_interval_s = (
+        (8.0, 9.0) if is_slow else world.random.choice([(0.3, 1.0), (CATCH_UP_TIMEOUT_S, CATCH_UP_TIMEOUT_S + 1.0)])
+    )
 
     def strike() -> None:
-        if world.scheduler.now > world.faults_s - LAST_S:
+        if world.scheduler.now > world.faults_s - QUIET_END_S:
             return
-        world.scheduler.after(world.random.uniform(*rests), strike)
+        world.scheduler.after(world.random.uniform(*strike_interval_s), strike)
         kind = world.random.random()
         if kind < 0.15:
             _disturb(world)
         elif kind < (0.8 if is_slow else 0.3):
             _disturb_proxy(world)
         else:
-            _soon(world, hit)
+            _strike_soon(world, hit)
 
     def hit() -> None:
-        victim = _victim(world, 0.7)
+        victim = _choose_victim(world, 0.7)
         if victim is not None:
-            (_lose if world.random.random() < 0.5 else _strike)(world, victim)
+            (_lose_machine if world.random.random() < 0.5 else _strike_machine)(world, victim)
 
     world.scheduler.at(3.0, strike)
-    _close(world)
+    _schedule_closing_fault(world)
     return world
 
 
@@ -606,22 +625,22 @@
             "evacuations sent in calm times",
             "evacuations looked for at a proxy in touch",
             "closing fault: some wiped, others without power",
-            *(f"struck: {kind}" for kind in STRIKES),
+            *(f"struck: {kind}" for kind in STRIKE_KINDS),
         ),
     ),
     "apart": Scenario(make_apart, APART_CASES),
     "heard": Scenario(
         _heard,
         (
-            *(f"partition: {kind}" for kind in PARTITIONS),
-            *(f"in a partition: {kind}" for kind in MEANWHILE[:3]),
+            *(f"partition: {kind}" for kind in PARTITION_KINDS),
+            *(f"in a partition: {kind}" for kind in SECOND_FAULT_KINDS[:3]),
             "crashed backends looked for at a proxy",
         ),
     ),
     "cut": Scenario(
         _cut,
         (
-            *(f"cut off: {kind}" for kind in ("primary", "another", *CUTS)),
+            *(f"cut off: {kind}" for kind in ("primary", "another", *CUT_KINDS)),
             "changes acknowledged while a controller had lost contact",
             "another struck while one is cut off",
             "answers 503 of a controller without a majority",
@@ -649,11 +668,13 @@
     "losses": Scenario(
         _losses,
         (
-            *(f"lost: {kind}" for kind in LOSSES),
+            *(f"lost: {kind}" for kind in LOSS_KINDS),
             "closing fault: some wiped, others without power",
         ),
     ),
-    "many": Scenario(_many, ("takeovers", "lost: replaced", "lost: wiped", "struck: kill", "resent after 100 changes")),
+    "many": Scenario(
+        _many_changes, ("takeovers", "lost: replaced", "lost: wiped", "struck: kill", "resent after 100 changes")
+    ),
     "resets": Scenario(
         _resets,
         (
@@ -662,7 +683,7 @@
             "silences between a machine and all others",
             "answers lost on their way",
             "takeovers",
-            *(f"a proxy: {kind}" for kind in PROXY_TROUBLES),
+            *(f"a proxy: {kind}" for kind in PROXY_FAULT_KINDS),
         ),
     ),
     "stages": Scenario(
@@ -674,9 +695,9 @@
             "services staffed again",
             "orders followed up by a successor",
             "a holder struck after its order",
-            *(f"order: {kind}" for kind in ORDER_TROUBLES),
+            *(f"order: {kind}" for kind in ORDER_FAULT_KINDS),
             "cut off: primary",
-            *(f"struck: {kind}" for kind in STRIKES),
+            *(f"struck: {kind}" for kind in STRIKE_KINDS),
         ),
     ),
     "loads": Scenario(
@@ -689,7 +710,7 @@
             "answers to orders and reports lost",
             "backends ordered by two holders",
             "a holder struck after its order",
-            *(f"order: {kind}" for kind in ORDER_TROUBLES),
+            *(f"order: {kind}" for kind in ORDER_FAULT_KINDS),
         ),
     ),
 }
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -1,4 +1,4 @@
-"""The whole control side in simulated time: schedules of every point hold, each case is reached, plants are found."""
+"""The whole control side in simulated time: schedules break no rule, reach each case, and find planted faults."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 from cranebank.programs.stage_balancer_driver import StageBalancerDriver
 from cranebank.transport.messages import Evacuations
 
-SCHEDULES = 10
-SCHEDULES_OF = {"loads": 30, "evacuations": 20}  # where a case is rarer
-MOST_SCHEDULES = 60  # until a planted fault is found
+DEFAULT_SCHEDULES = 10
+SCHEDULES_BY_POINT = {"loads": 30, "evacuations": 20}  # scenarios with rarer cases
+MAX_SCHEDULES = 60  # in which a planted fault must be found
 A, B = "10.0.0.1", "10.0.0.2"
 
 
@@ -44,7 +44,7 @@
 def test_schedules_hold_and_reach_every_case(point: str) -> None:
     counts: Counter[str] = Counter()
     broken: dict[int, str] = {}
-    for seed in range(SCHEDULES_OF.get(point, SCHEDULES)):
+    for seed in range(SCHEDULES_BY_POINT.get(point, DEFAULT_SCHEDULES)):
         played = play(point, seed)
         counts.update(played.counts)
         if played.breaches:
@@ -61,16 +61,16 @@
 # Planted faults.
 
 
-def _found(point: str, rules: set[str], seeds: range, but: frozenset[str] = frozenset()) -> str:
-    """The first breach of one of the rules, whatever else is broken."""
+def _first_breach(point: str, rules: set[str], seeds: range, tolerated_rules: frozenset[str] = frozenset()) -> str:
+    """Return the first breach of one of these rules, whatever else is broken; "" if there is none."""
     for seed in seeds:
-        for breach in play(point, seed, but).breaches:
+        for breach in play(point, seed, tolerated_rules).breaches:
             if breach.partition(":")[0] in rules:
                 return breach
     return ""
 
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+PlantFault = Callable[[pytest.MonkeyPatch], None]
 
 
 def _no_lease(patch: pytest.MonkeyPatch) -> None:
@@ -165,15 +165,15 @@
 
 
 def _successors_know_of_no_orders(patch: pytest.MonkeyPatch) -> None:
-    """They order at once, and do not look after what became of the former primary's orders."""
+    """Successors order at once, and do not follow up the orders of the former primary."""
     begin = OrderIntents.begin_term
     patch.setattr(OrderIntents, "begin_term", lambda self, now, recorded: begin(self, now, {}))
     patch.setattr(stage_balancer, "CONFIRM_S", 0.0)
 
 
 def _orders_without_a_lease(patch: pytest.MonkeyPatch) -> None:
-    """The primary of the newest record that this controller knows, whether its lease runs or not, and whether the
-    record names the order or not: without a lease nothing new is recorded."""
+    """The primary of the newest record that this controller knows orders, without a valid lease and without a record of
+    the order, as nothing new is recorded without a lease."""
 
     def authority(self: StageBalancerDriver) -> Authority:
         status = self._consensus.status(self._now())
@@ -186,12 +186,12 @@
     patch.setattr(stage_balancer, "CONFIRM_S", 0.0)
 
 
-def _orders_nobody(patch: pytest.MonkeyPatch) -> None:
+def _balancer_orders_nothing(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(stage_balancer, "needed_stage", lambda stages, load: None)
 
 
 def _unanswered_orders_count_as_taken(patch: pytest.MonkeyPatch) -> None:
-    """Nothing asks what became of them, and nothing ends them."""
+    """Such orders are neither followed up nor ended."""
     changed = StageBalancer._change
 
     def change(self: StageBalancer, now: float, order: BackendOrder, state: OrderState) -> None:
@@ -228,7 +228,7 @@
     patch.setattr(world_module, "ConsensusReplica", Forgetful)
 
 
-def _who_links_later_is_told_of_no_evacuation(patch: pytest.MonkeyPatch) -> None:
+def _late_links_get_no_evacuations(patch: pytest.MonkeyPatch) -> None:
     join = Delivery.join
 
     def silent(self: Delivery, *arguments: Any) -> Any:
@@ -240,7 +240,7 @@
     patch.setattr(Delivery, "join", silent)
 
 
-def _any_number_of_evacuations_is_taken(patch: pytest.MonkeyPatch) -> None:
+def _older_evacuations_are_accepted(patch: pytest.MonkeyPatch) -> None:
     def know(self: Delivery, number: int, zones: tuple[str, ...]) -> None:
         if number > self.evacuations.number:
             self.evacuations = Evacuations(1, zones)
@@ -249,7 +249,7 @@
     patch.setattr(Delivery, "update_evacuations", know)
 
 
-PLANTS: tuple[tuple[Plant, str, set[str]], ...] = (
+PLANTED_FAULTS: tuple[tuple[PlantFault, str, set[str]], ...] = (
     (_no_lease, "cut", {"lease", "reading", "two on one base"}),
     (_published_without_contact, "cut", {"contact"}),
     (_ending_without_majority, "cut", {"contact"}),
@@ -267,52 +267,58 @@
     (_no_hand_out, "many", {"in step", "recovery", "reading", "resend"}),
     (_successors_know_of_no_orders, "stages", {"one"}),
     (_orders_without_a_lease, "stages", {"one", "invariant"}),
-    (_orders_nobody, "stages", {"staffed"}),
+    (_balancer_orders_nothing, "stages", {"staffed"}),
     (_unanswered_orders_count_as_taken, "stages", {"staffed", "invariant"}),
     (_evacuations_answered_before_they_are_chosen, "evacuations", {"evacuation"}),
     (_a_takeover_forgets_evacuations, "evacuations", {"evacuation"}),
-    (_who_links_later_is_told_of_no_evacuation, "evacuations", {"evacuation"}),
-    (_any_number_of_evacuations_is_taken, "evacuations", {"evacuation"}),
+    (_late_links_get_no_evacuations, "evacuations", {"evacuation"}),
+    (_older_evacuations_are_accepted, "evacuations", {"evacuation"}),
 )
 
 
-FIRST_SEED: Mapping[Plant, int] = {_orders_without_a_lease: 100}
-"""Where a planted fault is found by one schedule in a hundred only: the search begins near one of these."""
+FIRST_SEEDS: Mapping[PlantFault, int] = {_orders_without_a_lease: 100}
+"""Planted faults that one schedule in a hundred finds, and the seed near such a schedule where the search starts."""
 
 
 @pytest.mark.violates_invariants
-@pytest.mark.parametrize(("plant", "point", "rules"), PLANTS, ids=lambda value: getattr(value, "__name__", None))
-def test_a_planted_fault_is_found(plant: Plant, point: str, rules: set[str], monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("plant", "point", "rules"), PLANTED_FAULTS, ids=lambda value: getattr(value, "__name__", None)
+)
+def test_a_planted_fault_is_found(
+    plant: PlantFault, point: str, rules: set[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
     plant(monkeypatch)
-    first = FIRST_SEED.get(plant, 0)
-    assert _found(point, rules, range(first, first + MOST_SCHEDULES), frozenset({"resend", "contact"}) - rules) != ""
+    first = FIRST_SEEDS.get(plant, 0)
+    assert (
+        _first_breach(point, rules, range(first, first + MAX_SCHEDULES), frozenset({"resend", "contact"}) - rules) != ""
+    )
 
 
 @pytest.mark.violates_invariants
 def test_a_broken_schedule_is_shrunk_to_the_faults_that_it_needs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a planted fault in place, no fault more can be left out, and the rule is still broken."""
+    """With a planted fault, the same rule is still broken, and no further fault of the schedule can be skipped."""
     _forgets_wipes(monkeypatch)
-    played = (play("losses", seed) for seed in range(MOST_SCHEDULES))
-    whole = next(one for one in played if one.breaches and one.faults >= 3)
-    shrunk, left_out = shrink("losses", whole.seed)
+    played = (play("losses", seed) for seed in range(MAX_SCHEDULES))
+    whole = next(one for one in played if one.breaches and one.fault_count >= 3)
+    shrunk, skipped_faults = shrink("losses", whole.seed)
     rules = {breach.partition(":")[0] for breach in whole.breaches}
     assert rules & {breach.partition(":")[0] for breach in shrunk.breaches}
-    assert len(set(range(shrunk.faults)) - left_out) <= whole.faults
-    for number in set(range(shrunk.faults)) - left_out:
-        again = play("losses", whole.seed, left_out=left_out | {number})
+    assert len(set(range(shrunk.fault_count)) - skipped_faults) <= whole.fault_count
+    for number in set(range(shrunk.fault_count)) - skipped_faults:
+        again = play("losses", whole.seed, skipped_faults=skipped_faults | {number})
         assert not rules & {breach.partition(":")[0] for breach in again.breaches}
 
 
 def test_a_schedule_without_its_faults_is_calm() -> None:
-    played = play("losses", 1, left_out=frozenset(range(100)))
-    assert not played.breaches and not played.counts.get("takeovers") and played.faults > 0
+    played = play("losses", 1, skipped_faults=frozenset(range(100)))
+    assert not played.breaches and not played.counts.get("takeovers") and played.fault_count > 0
 
 
-# The simulated network and loop themselves.
+# The simulated network and event loop.
 
 
 class Peer(asyncio.Protocol):
-    """Notes what it gets."""
+    """Records what it receives."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -329,8 +335,8 @@
         self.lost.append(exc)
 
 
-class Hasty(Peer):
-    """Resets each connection as soon as it stands."""
+class ResettingPeer(Peer):
+    """Resets each connection as soon as it is up."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -339,23 +345,23 @@
 
 
 class Pair:
-    """Two processes, a port at the second, and a connection of the first to it."""
+    """Two processes: the second one listens, and the first one connects to it."""
 
     def __init__(self, seed: int = 1) -> None:
         self.scheduler = Scheduler()
         self.network = Network(self.scheduler, seed)
         self.loops = {ip: process_loop(self.scheduler, self.network, ip, ip) for ip in (A, B)}
-        self.here, self.there = Peer(), Peer()
+        self.client, self.server = Peer(), Peer()
         self.failure: BaseException | None = None
-        self.network.listen(self.loops[B], lambda: self.there, B, 80)
+        self.network.listen(self.loops[B], lambda: self.server, B, 80)
 
     def dial(self, port: int = 80) -> None:
-        """Connect."""
+        """Connect to the second process."""
 
         async def connect() -> None:
             try:
                 async with asyncio.timeout(0.35):
-                    await self.loops[A].create_connection(lambda: self.here, B, port)
+                    await self.loops[A].create_connection(lambda: self.client, B, port)
             except OSError as error:
                 self.failure = error
 
@@ -363,36 +369,36 @@
         self.run(0.5)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run for this long."""
         self.scheduler.run_until(self.scheduler.now + seconds)
 
 
 def test_a_cut_holds_bytes_up_and_keeps_their_order() -> None:
     pair = Pair()
     pair.dial()
-    pair.here.transport.write(b"a")
+    pair.client.transport.write(b"a")
     pair.network.cut(A, B)
-    pair.here.transport.write(b"b")
-    pair.there.transport.write(b"back")
+    pair.client.transport.write(b"b")
+    pair.server.transport.write(b"back")
     pair.run(5.0)
-    assert (pair.there.data, pair.here.data, pair.here.transport.get_write_buffer_size()) == (b"a", b"back", 1)
+    assert (pair.server.data, pair.client.data, pair.client.transport.get_write_buffer_size()) == (b"a", b"back", 1)
     pair.network.heal(A, B)
-    pair.here.transport.write(b"c")
+    pair.client.transport.write(b"c")
     pair.run(0.1)
-    assert pair.there.data == b"abc" and pair.here.transport.get_write_buffer_size() == 0
+    assert pair.server.data == b"abc" and pair.client.transport.get_write_buffer_size() == 0
 
 
 def test_what_a_reset_sender_had_held_up_is_lost() -> None:
     pair = Pair()
     pair.dial()
     pair.network.cut(A, B)
-    pair.here.transport.write(b"b")
-    pair.here.transport.abort()
+    pair.client.transport.write(b"b")
+    pair.client.transport.abort()
     pair.run(1.0)
-    assert pair.there.lost == []
+    assert pair.server.lost == []
     pair.network.heal(A, B)
     pair.run(0.1)
-    assert pair.there.data == b"" and isinstance(pair.there.lost[0], ConnectionResetError)
+    assert pair.server.data == b"" and isinstance(pair.server.lost[0], ConnectionResetError)
 
 
 def test_dials_are_refused_at_dead_ports_and_hang_at_silent_machines() -> None:
@@ -413,12 +419,12 @@
             pair.network.without_power.add(B)
         pair.network.end_process(pair.loops[B], has_power)
         pair.run(1.0)
-        assert bool(pair.here.lost) is has_power
+        assert bool(pair.client.lost) is has_power
         pair.network.without_power.discard(B)
-        if not has_power:  # once the machine is up again, it knows nothing of the connection
-            pair.here.transport.write(b"?")
+        if not has_power:  # a machine that is up again has lost the connection
+            pair.client.transport.write(b"?")
             pair.run(1.0)
-        assert isinstance(pair.here.lost[0], ConnectionResetError)
+        assert isinstance(pair.client.lost[0], ConnectionResetError)
 
 
 def test_a_frozen_process_gets_what_came_when_it_is_thawed_and_a_killed_one_runs_nothing() -> None:
@@ -434,12 +440,12 @@
             ran.append("finally")
 
     pair.loops[B].freeze()
-    pair.here.transport.write(b"x")
+    pair.client.transport.write(b"x")
     pair.run(1.0)
-    assert pair.there.data == b""
+    assert pair.server.data == b""
     pair.loops[B].thaw()
     pair.run(0.1)
-    assert pair.there.data == b"x"
+    assert pair.server.data == b"x"
     pair.loops[B].call_soon(lambda: pair.loops[B].create_task(waits()))
     pair.run(0.5)
     pair.loops[B].kill()
@@ -449,25 +455,25 @@
 
 
 def test_what_a_peer_sends_at_once_is_not_kept_from_whoever_dialled() -> None:
-    """It may arrive before the dialling process is told that its connection stands."""
+    """It may arrive before the dialling process learns that its connection is up."""
     for seed in range(20):
         pair = Pair(seed)
-        pair.there = Hasty()
+        pair.server = ResettingPeer()
         pair.dial()
-        assert isinstance(pair.here.lost[0], ConnectionResetError)
+        assert isinstance(pair.client.lost[0], ConnectionResetError)
 
 
 def test_paused_reading_keeps_what_comes() -> None:
     pair = Pair()
     pair.dial()
-    pair.there.transport.pause_reading()
-    pair.here.transport.write(b"x")
-    pair.here.transport.close()
+    pair.server.transport.pause_reading()
+    pair.client.transport.write(b"x")
+    pair.client.transport.close()
     pair.run(1.0)
-    assert (pair.there.data, pair.there.lost) == (b"", [])
-    pair.there.transport.resume_reading()
+    assert (pair.server.data, pair.server.lost) == (b"", [])
+    pair.server.transport.resume_reading()
     pair.run(1.0)
-    assert (pair.there.data, pair.there.lost) == (b"x", [None])
+    assert (pair.server.data, pair.server.lost) == (b"x", [None])
 
 
 # The judge.
