--- a/tests/controlsim/actors.py
+++ b/tests/controlsim/actors.py
@@ -178,11 +178,13 @@
             base = ledger.newest
         revision = base + self.random.choice([1, 1, 2, 3])
         self._number += 1
-        mark = f"{self.name}-{self._number}"
+        route_name = f"{self.name}-{self._number}"
         current = ledger.by_revision.get(base)
         is_valid = self.random.random() >= self.invalid_share
         if current is not None and is_valid and self.random.random() < 0.4:
-            body = json.dumps({"revision": revision, "upsert": {"routes": [_route(mark, "s")]}, "remove": {}}).encode()
+            body = json.dumps(
+                {"revision": revision, "upsert": {"routes": [_route(route_name, "s")]}, "remove": {}}
+            ).encode()
             try:
                 document = amend(current.document, body).document
             except InvalidConfiguration:
@@ -193,7 +195,7 @@
         body = json.dumps(
             {
                 "revision": revision,
-                "routes": [_route(mark, service)],
+                "routes": [_route(route_name, service)],
                 "services": [self.world.service],
                 "limits": {},
                 "padding": "x" * self.padding_bytes,
@@ -344,5 +346,11 @@
         world.expect_ended(self.name, answer.controller)
 
 
-def _route(mark: str, service: str) -> dict[str, object]:
-    return {"name": mark, "hostname": f"{mark}.example", "path_prefix": "/", "timeout_ms": 1000, "target": service}
+def _route(route_name: str, service: str) -> dict[str, object]:
+    return {
+        "name": route_name,
+        "hostname": f"{route_name}.example",
+        "path_prefix": "/",
+        "timeout_ms": 1000,
+        "target": service,
+    }
--- a/tests/controlsim/apart.py
+++ b/tests/controlsim/apart.py
@@ -40,8 +40,8 @@
     """A partition between zones, which starts at ``begins_at``."""
 
     kind: str
-    near: frozenset[str]  # zones
-    far: frozenset[str]
+    near: frozenset[str]  # the zones on one side
+    far: frozenset[str]  # the zones on the other side
     begins_at: float
     seconds: float
     takeovers: int  # number before the partition
--- a/tests/controlsim/evacuations.py
+++ b/tests/controlsim/evacuations.py
@@ -56,7 +56,7 @@
     def __init__(self, world: World) -> None:
         self._world, self._judge = world, world.judge
         self._sent: dict[str, int] = {}  # number of changes by zone
-        self._settled: dict[
+        self._acknowledged: dict[
             str, tuple[bool, float]
         ] = {}  # by zone: last change acknowledged, and when, if none was sent since
 
@@ -65,7 +65,7 @@
 
         ``expects_answer``: no answer gets lost, so in calm times the acknowledgement is due soon.
         """
-        self._settled.pop(zone, None)
+        self._acknowledged.pop(zone, None)
         number = self._sent[zone] = self._sent.get(zone, 0) + 1
         self._judge.note(f"evacuation of {zone}: {'start' if is_start else 'finish'} is sent")
         if not expects_answer or not self._world.is_calm():
@@ -73,7 +73,7 @@
         event = self._world.last_event
 
         def check() -> None:
-            if self._world.last_event == event and self._sent[zone] == number and zone not in self._settled:
+            if self._world.last_event == event and self._sent[zone] == number and zone not in self._acknowledged:
                 self._judge.breach(
                     "evacuation", f"{zone}: not acknowledged within {EVACUATION_ACK_TIMEOUT_S} s of a calm time"
                 )
@@ -91,7 +91,7 @@
         self._judge.counts[f"evacuations acknowledged: {'start' if is_start else 'finish'}"] += 1
         if tries > 1:
             self._judge.counts["evacuations acknowledged when sent again"] += 1
-        self._settled[zone] = is_start, self._world.scheduler.now
+        self._acknowledged[zone] = is_start, self._world.scheduler.now
         self._world.evacuation_acknowledged()
 
     def check(self) -> None:
@@ -105,7 +105,7 @@
                 continue
             quiet_since = min(now, self._world.last_event + PROPAGATION_TIMEOUT_S)
             if now > quiet_since:
-                self._judge.counts["evacuations looked for at a proxy in touch"] += bool(self._settled)
+                self._judge.counts["evacuations looked for at a proxy in touch"] += bool(self._acknowledged)
                 self._compare(str(life), set(life.plane.evacuated), now - PROPAGATION_TIMEOUT_S)
 
     def check_end_state(self) -> None:
@@ -119,7 +119,7 @@
                 self._compare(str(proxy.life), set(proxy.life.plane.evacuated), now)
 
     def _compare(self, who: str, evacuated: set[str], acknowledged_by: float) -> None:
-        for zone, (is_start, at) in self._settled.items():
+        for zone, (is_start, at) in self._acknowledged.items():
             if at <= acknowledged_by and (zone in evacuated) != is_start:
                 state = "evacuated" if is_start else "restored"
                 self._judge.breach("evacuation", f"{who}: {zone} is not {state}, acknowledged at {at:.2f}")
--- a/tests/controlsim/judge.py
+++ b/tests/controlsim/judge.py
@@ -45,7 +45,7 @@
     """Changes by document, base and revision, and the newest acknowledged revision."""
 
     by_document: dict[bytes, Change] = field(default_factory=dict)
-    on_base: dict[int, Change] = field(default_factory=dict)
+    by_base: dict[int, Change] = field(default_factory=dict)
     by_revision: dict[int, Change] = field(default_factory=dict)
     newest: int = 0
 
@@ -64,7 +64,7 @@
         self.shortest: dict[str, float] = {}  # seconds
         self.breaches: list[str] = []
         self.trace: deque[str] = deque(maxlen=MAX_TRACE_LINES)
-        self._handed: dict[object, tuple[int, float]] = {}  # by proxy process: newest revision, and since when
+        self._newest_pushed: dict[object, tuple[int, float]] = {}  # by proxy process: newest revision, and since when
 
     def now(self) -> float:
         """Return the simulated time."""
@@ -122,7 +122,7 @@
 
     def _refused(self, change: Change, status: int) -> None:
         self.counts[f"changes refused with {status}"] += 1
-        if change in self.ledger.on_base.values():
+        if change in self.ledger.by_base.values():
             self.breach("resend", f"{change} was applied and is refused with {status}")
         change.is_refused = True
 
@@ -131,7 +131,7 @@
             self.breach("refused", f"{change} is in force though it was refused")
         if not change.is_valid:
             self.breach("invalid", f"{change} is in force though it is invalid")
-        taken = self.ledger.on_base.setdefault(change.base, change)
+        taken = self.ledger.by_base.setdefault(change.base, change)
         if taken is not change:
             self.breach("two on one base", f"{taken} and {change}")
         same = self.ledger.by_revision.setdefault(change.revision, change)
@@ -156,7 +156,7 @@
         if change.revision < newest_at_start:
             self.breach("reading", f"{controller} answered {change} though {newest_at_start} was acknowledged before")
 
-    def handed(self, proxy: object, controller: str, document: bytes, lost_contact_s: float) -> None:
+    def pushed(self, proxy: object, controller: str, document: bytes, lost_contact_s: float) -> None:
         """Judge a configuration that a controller pushed to a proxy process."""
         self.counts["configurations handed out"] += 1
         change = self.ledger.by_document.get(document)
@@ -169,9 +169,9 @@
                 "contact", f"{controller}, without a majority for {lost_contact_s:.1f} s, handed {proxy} {change}"
             )
         self._check_in_force(change)
-        newest, since = self._handed.get(proxy, (0, 0.0))
+        newest, since = self._newest_pushed.get(proxy, (0, 0.0))
         if change.revision >= newest:
-            self._handed[proxy] = change.revision, self._now()
+            self._newest_pushed[proxy] = change.revision, self._now()
         elif self._now() - since > STALE_PUSH_GRACE_S:
             self.breach(
                 "handing out", f"{controller} handed {proxy} {change} though it has had {newest} beyond the grace"
@@ -181,9 +181,9 @@
 
     def record_pause(self, proxy: object, seconds: float) -> None:
         """Extend the grace of a proxy process that was frozen: earlier messages reach it only now."""
-        if proxy in self._handed:
-            newest, since = self._handed[proxy]
-            self._handed[proxy] = newest, since + seconds
+        if proxy in self._newest_pushed:
+            newest, since = self._newest_pushed[proxy]
+            self._newest_pushed[proxy] = newest, since + seconds
 
     # Backends.
 
--- a/tests/controlsim/scenarios.py
+++ b/tests/controlsim/scenarios.py
@@ -104,14 +104,14 @@
     return kind
 
 
-def _choose_victim(world: World, share_primary: float = 0.5) -> Machine | None:
-    """Return a machine that may be lost within the tolerance, if any; the primary with ``share_primary``."""
+def _choose_victim(world: World, primary_share: float = 0.5) -> Machine | None:
+    """Return a machine that may be lost within the tolerance, if any; the primary at least at ``primary_share``."""
     lost = world.machines_in_trouble()
     if len(lost) >= world.tolerance:
         return None
     candidates = [one for one in world.machines.values() if not one.is_removed and one not in lost]
     primary = world.primary()
-    if primary in candidates and world.random.random() < share_primary:
+    if primary in candidates and world.random.random() < primary_share:
         return primary
     return world.random.choice(candidates) if candidates else None
 
@@ -140,11 +140,11 @@
     _add_backends(world, 4, 6.0, 24.0)
     world.scheduler.at(world.random.uniform(4.5, 6.0), lambda: _cut_off(world))
     if is_large:
-        world.scheduler.at(world.random.uniform(8.0, 16.0), lambda: _strike_another(world))
+        world.scheduler.at(world.random.uniform(8.0, 16.0), lambda: _strike_second_machine(world))
     return world
 
 
-def _strike_another(world: World) -> None:
+def _strike_second_machine(world: World) -> None:
     victim = _choose_victim(world, 0.7)
     if victim is not None:
         _count(world, "another struck while one is cut off")
@@ -166,18 +166,18 @@
         world.freeze(victim, seconds)
         return
     others = [ip for ip in world.machines if ip != victim.ip]
-    beside = random.sample(world.proxies, random.choice([0, 1, 1, 2]))
-    far = [*others, *(proxy.ip for proxy in world.proxies if proxy not in beside)]
+    same_side_proxies = random.sample(world.proxies, random.choice([0, 1, 1, 2]))
+    other_side = [*others, *(proxy.ip for proxy in world.proxies if proxy not in same_side_proxies)]
     if kind == "partly":
-        far = random.choice([others[:1], others])
-    near = [victim.ip, *(proxy.ip for proxy in beside)]
-    pairs = [(one, other) for one in near for other in far]
+        other_side = random.choice([others[:1], others])
+    same_side = [victim.ip, *(proxy.ip for proxy in same_side_proxies)]
+    pairs = [(one, other) for one in same_side for other in other_side]
     if kind == "in":
         pairs = [(other, one) for one, other in pairs]
     elif kind != "out":
         pairs += [(other, one) for one, other in pairs]
-    world.cut(victim, pairs, seconds, f"{kind}, with {[proxy.ip for proxy in beside]}")
-    for proxy in beside:
+    world.cut(victim, pairs, seconds, f"{kind}, with {[proxy.ip for proxy in same_side_proxies]}")
+    for proxy in same_side_proxies:
         world.scheduler.after(random.uniform(1.0, seconds - 3.0), partial(_restart_proxy, world, proxy))
 
 
@@ -553,8 +553,8 @@
         if kind != "one way":
             pairs += [(other, one) for one, other in pairs]
         if kind == "one, and from most proxies":
-            far = random.sample([proxy.ip for proxy in world.proxies], len(world.proxies) - 1)
-            pairs += [pair for proxy in far for pair in ((ip, proxy), (proxy, ip))]
+            cut_proxies = random.sample([proxy.ip for proxy in world.proxies], len(world.proxies) - 1)
+            pairs += [pair for proxy in cut_proxies for pair in ((ip, proxy), (proxy, ip))]
         world.cut(world.machines[ip], pairs, seconds, kind)
     other = random.choice([one for one in ips if one != victim])
     world.scheduler.after(random.uniform(1.0, 7.0), lambda: _inject_second_fault(world, victim, other))
@@ -602,9 +602,9 @@
         elif kind < (0.8 if is_slow else 0.3):
             _disturb_proxy(world)
         else:
-            _strike_soon(world, hit)
+            _strike_soon(world, lose_or_strike)
 
-    def hit() -> None:
+    def lose_or_strike() -> None:
         victim = _choose_victim(world, 0.7)
         if victim is not None:
             (_lose_machine if world.random.random() < 0.5 else _strike_machine)(world, victim)
--- a/tests/controlsim/world.py
+++ b/tests/controlsim/world.py
@@ -55,7 +55,7 @@
         self.replica: ConsensusReplica | None = None
         self.lives = 0
         self.is_removed = False
-        self.recovered_at = 0.0  # time of its last fault, start or end of a fault
+        self.recovered_at = 0.0  # time of its last start or stop, or begin or end of a fault
         self.troubles = 0  # number of active faults
         self.bridges = 0  # active cuts to one other zone, which leave it in contact with a majority
 
@@ -131,7 +131,7 @@
         """Handle a controller's message."""
         if isinstance(message, ConfigPush):
             world = self.life.proxy.world
-            world.judge.handed(self.life, link.peer, message.document, world.lost_contact_s(link.peer))
+            world.judge.pushed(self.life, link.peer, message.document, world.lost_contact_s(link.peer))
         super().link_message(link, message)
 
 
@@ -244,7 +244,7 @@
         self.stage_rules = StageRules(self.judge)
         self.evacuation_rules = EvacuationRules(self)
         self.loads_per_proxy: tuple[StageLoad, ...] = ()
-        self.is_winding_down = self.is_finished = False  # no new changes are sent; none is sent again
+        self.is_winding_down = self.is_finished = False  # no new change is sent; no change is sent again
         self.takeovers = 0
         self.majority_s = 0.0  # how long a majority of the members has been in contact so far
         self._takeovers_at: dict[Change, int] = {}
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -73,23 +73,23 @@
 PlantFault = Callable[[pytest.MonkeyPatch], None]
 
 
-def _no_lease(patch: pytest.MonkeyPatch) -> None:
+def _leases_never_expire(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ConsensusReplica, "holds_lease", lambda self, now: self._leadership is not None)
 
 
-def _no_push(patch: pytest.MonkeyPatch) -> None:
+def _records_are_not_pushed(patch: pytest.MonkeyPatch) -> None:
     push = Delivery.push_backends
     patch.setattr(Delivery, "push_backends", lambda self, records: push(self, ()))
 
 
-def _forgets_wipes(patch: pytest.MonkeyPatch) -> None:
+def _every_start_counts_as_the_first(patch: pytest.MonkeyPatch) -> None:
     def settings(ip: str, seeds: tuple[str, ...], _: bool, tolerance: int, **more: Any) -> ConsensusSettings:
         return ConsensusSettings(ip, seeds, True, tolerance, **more)
 
     patch.setattr(world_module, "ConsensusSettings", settings)
 
 
-def _unsynced(patch: pytest.MonkeyPatch) -> None:
+def _writes_return_before_they_persist(patch: pytest.MonkeyPatch) -> None:
     put = ProcessDisk.put
 
     async def early(self: ProcessDisk, values: Mapping[str, bytes]) -> None:
@@ -99,7 +99,7 @@
     patch.setattr(ProcessDisk, "put", early)
 
 
-def _no_resends(patch: pytest.MonkeyPatch) -> None:
+def _repeated_calls_are_not_recognised(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ConsensusReplica, "known_call", lambda self, digest: None)
 
 
@@ -134,7 +134,7 @@
     patch.setattr(world_module, "ConsensusReplica", Outdated)
 
 
-def _wrong_caller(patch: pytest.MonkeyPatch) -> None:
+def _request_numbers_are_reused(patch: pytest.MonkeyPatch) -> None:
     write = ConsensusDriver.write
 
     async def same_number(self: ConsensusDriver, *arguments: Any) -> Any:
@@ -144,7 +144,7 @@
     patch.setattr(ConsensusDriver, "write", same_number)
 
 
-def _no_hand_out(patch: pytest.MonkeyPatch) -> None:
+def _some_revisions_are_not_published(patch: pytest.MonkeyPatch) -> None:
     committed = Delivery.committed
 
     def dropped(self: Delivery, now: float, revision: int, document: bytes) -> bool:
@@ -164,7 +164,7 @@
     patch.setattr(primary, "next_members", grown)
 
 
-def _successors_know_of_no_orders(patch: pytest.MonkeyPatch) -> None:
+def _successors_ignore_former_orders(patch: pytest.MonkeyPatch) -> None:
     """Successors order at once, and do not follow up the orders of the former primary."""
     begin = OrderIntents.begin_term
     patch.setattr(OrderIntents, "begin_term", lambda self, now, recorded: begin(self, now, {}))
@@ -241,31 +241,35 @@
 
 
 def _older_evacuations_are_accepted(patch: pytest.MonkeyPatch) -> None:
-    def know(self: Delivery, number: int, zones: tuple[str, ...]) -> None:
+    def update(self: Delivery, number: int, zones: tuple[str, ...]) -> None:
         if number > self.evacuations.number:
             self.evacuations = Evacuations(1, zones)
             self.send_to_proxies(self.evacuations)
 
-    patch.setattr(Delivery, "update_evacuations", know)
+    patch.setattr(Delivery, "update_evacuations", update)
 
 
 PLANTED_FAULTS: tuple[tuple[PlantFault, str, set[str]], ...] = (
-    (_no_lease, "cut", {"lease", "reading", "two on one base"}),
+    (_leases_never_expire, "cut", {"lease", "reading", "two on one base"}),
     (_published_without_contact, "cut", {"contact"}),
     (_ending_without_majority, "cut", {"contact"}),
-    (_no_push, "resets", {"drain"}),
-    (_no_resends, "orders", {"resend"}),
+    (_records_are_not_pushed, "resets", {"drain"}),
+    (_repeated_calls_are_not_recognised, "orders", {"resend"}),
     (_table_dropped_at_takeover, "orders", {"resend"}),
     (_forgotten_calls_refused, "many", {"resend"}),
     (_no_check_of_the_base, "orders", {"two on one base", "two of one number", "refused"}),
-    (_forgets_wipes, "losses", {"reading", "two on one base", "in step", "lease", "error", "two of one number"}),
-    (_unsynced, "losses", {"reading", "two on one base", "two of one number", "lease"}),
+    (
+        _every_start_counts_as_the_first,
+        "losses",
+        {"reading", "two on one base", "in step", "lease", "error", "two of one number"},
+    ),
+    (_writes_return_before_they_persist, "losses", {"reading", "two on one base", "two of one number", "lease"}),
     (_grows_to_even_groups, "losses", {"majority", "recovery"}),
     (_controllers_are_sent_nothing, "losses", {"in step"}),
     (_restarts_without_its_value, "orders", {"reading", "two on one base", "in step", "two of one number", "error"}),
-    (_wrong_caller, "resets", {"two on one base", "refused", "two of one number"}),
-    (_no_hand_out, "many", {"in step", "recovery", "reading", "resend"}),
-    (_successors_know_of_no_orders, "stages", {"one"}),
+    (_request_numbers_are_reused, "resets", {"two on one base", "refused", "two of one number"}),
+    (_some_revisions_are_not_published, "many", {"in step", "recovery", "reading", "resend"}),
+    (_successors_ignore_former_orders, "stages", {"one"}),
     (_orders_without_a_lease, "stages", {"one", "invariant"}),
     (_balancer_orders_nothing, "stages", {"staffed"}),
     (_unanswered_orders_count_as_taken, "stages", {"staffed", "invariant"}),
@@ -297,7 +301,7 @@
 @pytest.mark.violates_invariants
 def test_a_broken_schedule_is_shrunk_to_the_faults_that_it_needs(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a planted fault, the same rule is still broken, and no further fault of the schedule can be skipped."""
-    _forgets_wipes(monkeypatch)
+    _every_start_counts_as_the_first(monkeypatch)
     played = (play("losses", seed) for seed in range(MAX_SCHEDULES))
     whole = next(one for one in played if one.breaches and one.fault_count >= 3)
     shrunk, skipped_faults = shrink("losses", whole.seed)
@@ -512,18 +516,18 @@
     ]  # fmt: skip
 
 
-def test_the_judge_knows_each_breach_of_a_hand_out() -> None:
+def test_the_judge_knows_each_breach_of_a_push() -> None:
     one, later = _change(1, 0), _change(3, 1)
     judge = _judge(one, later)
     now = [0.0]
     judge._now = lambda: now[0]
-    judge.handed("a proxy", A, one.document, 0.0)
-    judge.handed("a proxy", A, later.document, 0.0)
+    judge.pushed("a proxy", A, one.document, 0.0)
+    judge.pushed("a proxy", A, later.document, 0.0)
     now[0] = 0.5
-    judge.handed("a proxy", B, one.document, 0.0)
+    judge.pushed("a proxy", B, one.document, 0.0)
     assert judge.breaches == []
     now[0] = 5.0
-    judge.handed("a proxy", B, one.document, 0.0)
-    judge.handed("another", B, b"nobody's", 0.0)
-    judge.handed("another", B, later.document, 9.0)
+    judge.pushed("a proxy", B, one.document, 0.0)
+    judge.pushed("another", B, b"nobody's", 0.0)
+    judge.pushed("another", B, later.document, 9.0)
     assert [breach.partition(":")[0] for breach in judge.breaches] == ["handing out", "handing out", "contact"]
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -78,7 +78,7 @@
     play(tmp_path, scenario, UpstreamHost(), MaxAttempts=6)
 
 
-def test_a_swallowed_call_gets_a_second_copy_and_the_loser_is_ended(tmp_path: Path) -> None:
+def test_an_unanswered_call_gets_a_second_copy_and_the_loser_is_cancelled(tmp_path: Path) -> None:
     unanswered: list[int] = []
     hosts = UpstreamHost(lambda n: None if n in unanswered else OK), UpstreamHost()
     names = itertools.count()
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -15,7 +15,7 @@
     assert capsys.readouterr().out == "send r-1 to one of four: True\n"
 
 
-def test_the_module_stays_readable_aloud() -> None:
+def test_the_balancer_module_stays_short() -> None:
     module = Path(__file__).parent.parent / "cranebank/decisions/balance.py"
     lines = module.read_text(encoding="utf-8").splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 590
