--- a/cranebank/lab/judge.py
+++ b/cranebank/lab/judge.py
@@ -1,7 +1,7 @@
-"""The judge: what both sides wrote down against the rules, each breach by name and count. Pure.
+"""Check the records of a run against the rules, and report each rule broken with its count. No I/O.
 
-It knows nothing of how the proxies work: only what callers asked and got, what hosts saw, and what discovery
-told to whom. A breach by the laboratory's own lateness is allowed for by ``judge.slack_ms`` of the scenario.
+The judge doesn't depend on how the proxies work: it compares what callers sent and received, what hosts received,
+and what discovery sent to each proxy. ``judge.slack_ms`` of the scenario allows for delays of the laboratory itself.
 """
 
 from __future__ import annotations
@@ -18,27 +18,28 @@
 from cranebank.lab.scenario import Scenario
 
 RULES = {
-    "unanswered": "a request that was taken got no final answer in time",
+    "unanswered": "a request that a proxy accepted got no final answer in time",
     "answered-twice": "a request got more than one answer",
-    "drain": "a leg was begun at a host later than the grace after its drain or end was told",
-    "repeat": "a leg was sent again though its class forbids it, or after its window",
-    "second-copy": "two legs of a request were out at once where that is not allowed",
-    "attempts": "a request had more legs than the limit",
-    "decline": "a request was declined though a leg may have run and its class forbids a repeat",
-    "cold": "a cold host was sent more than its budget by proxies that knew of its start",
-    "bytes": "an answer was not byte for byte one that a host made for that request",
-    "crash": "a proxy ended by itself",
+    "drain": "a leg started at a host later than the grace period after the host's drain or removal was announced",
+    "repeat": "a request was sent again although its class forbids repeats, or after its repeat window",
+    "second-copy": "two legs of a request were in flight at once although second copies are not allowed",
+    "attempts": "a request had more legs than max_attempts allows",
+    "decline": "a request was declined although a leg had run and its class forbids repeats",
+    "cold": "a cold host got more work than its budget from proxies that knew of its start",
+    "bytes": "an answer differs from every answer that a host produced for the request",
+    "crash": "a proxy exited unexpectedly",
 }
-SOCKETS_SLACK = 50_000  # PROTOCOL: on sockets each time limit is so much longer
-COLD_ROOM = 1.1  # a little slack for chance
-AT_ONCE = 2_000  # two hosts' records of one moment
-FRONT_STOPS, STOPS_WITHIN = 400_000, 4_000_000  # after SIGTERM: new connections; the process
-EXAMPLES = 5
+SOCKETS_SLACK_US = 50_000  # PROTOCOL extends each time limit by this much on sockets
+COLD_BUDGET_TOLERANCE = 1.1  # random arrivals may exceed the budget by this factor
+CLOCK_TOLERANCE_US = 2_000  # records that two hosts write of the same moment may differ by this much
+# After SIGTERM, the front stops sending new connections after the first delay, and the proxy exits within the second.
+FRONT_STOP_DELAY_US, PROXY_STOP_TIMEOUT_US = 400_000, 4_000_000
+MAX_EXAMPLES = 5
 DECLINES = (429, 503)
 
 
 class Breach(msgspec.Struct, frozen=True):
-    """One rule broken: how often, and the first few."""
+    """A broken rule: the number of breaches and the first examples."""
 
     rule: str
     count: int
@@ -46,7 +47,7 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What the judge found, and how much it looked at."""
+    """The breaches found, and the numbers of requests and legs examined."""
 
     breaches: tuple[Breach, ...]
     requests: int
@@ -54,29 +55,29 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no rule broke."""
+        """Whether no rule was broken."""
         return not self.breaches
 
 
 def judge(scenario: Scenario, plan: Plan, found: Iterable[records.Record]) -> Verdict:
-    """Judge a run by its records."""
-    bench = _Bench(scenario, plan)
+    """Check all records of a run."""
+    judgement = _Judgement(scenario, plan)
     for record in found:
-        bench.take(record)
-    return bench.verdict()
+        judgement.take(record)
+    return judgement.verdict()
 
 
-class _Bench:
+class _Judgement:
     def __init__(self, scenario: Scenario, plan: Plan) -> None:
         self._scenario, self._plan = scenario, plan
-        self._slack = SOCKETS_SLACK + us(scenario.judge.slack_ms / 1000)
+        self._slack = SOCKETS_SLACK_US + us(scenario.judge.slack_ms / 1000)
         self._asked: dict[str, records.Asked] = {}
         self._legs: dict[str, list[records.Seen]] = defaultdict(list)
-        self._told: dict[tuple[str, str], list[records.Told]] = defaultdict(list)  # by proxy and host
-        self._known: dict[str, set[str]] = defaultdict(set)
-        self._lives: dict[str, list[records.Life]] = defaultdict(list)
-        self._starts: list[records.Started] = []
-        self._spares: list[str] = []
+        self._notices: dict[tuple[str, str], list[records.Told]] = defaultdict(list)  # by proxy and host, in order
+        self._known_hosts: dict[str, set[str]] = defaultdict(set)
+        self._proxy_states: dict[str, list[records.Life]] = defaultdict(list)
+        self._host_starts: list[records.Started] = []
+        self._extra_answers: list[str] = []
         self._breaches: dict[str, list[str]] = defaultdict(list)
 
     def take(self, record: records.Record) -> None:
@@ -86,42 +87,44 @@
             case records.Seen():
                 self._legs[record.id].append(record)
             case records.Spare(name):
-                self._spares.append(name)
+                self._extra_answers.append(name)
             case records.Told():
-                self._news(record)
+                self._record_notice(record)
             case records.Life():
-                self._lives[record.proxy].append(record)
+                self._proxy_states[record.proxy].append(record)
             case records.Started():
-                self._starts.append(record)
+                self._host_starts.append(record)
 
-    def _news(self, told: records.Told) -> None:
-        if told.host != "*":
-            self._told[told.proxy, told.host].append(told)
-            self._known[told.proxy].add(told.host)
+    def _record_notice(self, notice: records.Told) -> None:
+        if notice.host != "*":
+            self._notices[notice.proxy, notice.host].append(notice)
+            self._known_hosts[notice.proxy].add(notice.host)
             return
-        named = set(told.state.split(","))  # a whole list: who is not named is gone
-        for host in self._known[told.proxy] - named:
-            self._told[told.proxy, host].append(records.Told(told.at, told.proxy, host, "DELETED", 0))
+        named = set(notice.state.split(","))  # a full list: hosts that it leaves out were removed
+        for host in self._known_hosts[notice.proxy] - named:
+            self._notices[notice.proxy, host].append(records.Told(notice.at, notice.proxy, host, "DELETED", 0))
 
     def verdict(self) -> Verdict:
         for asked in self._asked.values():
-            self._answer(asked)
-        for name in self._spares:
+            self._check_answer(asked)
+        for name in self._extra_answers:
             self._breach("answered-twice", name)
         for name, legs in self._legs.items():
             legs.sort(key=lambda leg: leg.first)
-            self._repeats(name, legs)
+            self._check_repeats(name, legs)
             for leg in legs:
-                self._drain(name, leg)
-        for start in self._starts:
-            self._cold(start)
-        for lives in self._lives.values():
+                self._check_drain(name, leg)
+        for start in self._host_starts:
+            self._check_cold_budget(start)
+        for lives in self._proxy_states.values():
             for life in lives:
                 if life.state == "crashed":
                     self._breach("crash", f"{life.proxy} at {life.at / 1e6:.3f} s")
         order = [rule for rule in RULES if rule in self._breaches]
         return Verdict(
-            tuple(Breach(rule, len(self._breaches[rule]), tuple(self._breaches[rule][:EXAMPLES])) for rule in order),
+            tuple(
+                Breach(rule, len(self._breaches[rule]), tuple(self._breaches[rule][:MAX_EXAMPLES])) for rule in order
+            ),
             len(self._asked),
             sum(map(len, self._legs.values())),
         )
@@ -129,7 +132,7 @@
     def _breach(self, rule: str, what: str) -> None:
         self._breaches[rule].append(what)
 
-    def _answer(self, asked: records.Asked) -> None:
+    def _check_answer(self, asked: records.Asked) -> None:
         legs, kind = self._legs.get(asked.id, []), self._scenario.classes[asked.kind]
         if asked.status == 200:
             made = {leg.digest for leg in legs if leg.status == 200}
@@ -138,49 +141,54 @@
         elif asked.status in DECLINES:
             if kind.effect == "unsafe" and any(leg.ran for leg in legs):
                 self._breach("decline", f"{asked.id} by {asked.proxy}")
-        elif self._owed(asked) and not self._killed(asked.proxy, asked.sent, asked.done):
-            why = "the connection was ended" if asked.broke else "nothing came"
+        elif self._is_unanswered(asked) and not self._proxy_died(asked.proxy, asked.sent, asked.done):
+            why = "the connection was closed" if asked.broke else "no answer arrived"
             self._breach("unanswered", f"{asked.id} by {asked.proxy}: {why} by {asked.done / 1e6:.3f} s")
 
     @staticmethod
-    def _owed(asked: records.Asked) -> bool:
-        """Taken and never answered. Hosts wait no longer than to their deadline, so that only clients can tell
-        that nothing came."""
-        taken = asked.status == 0 and asked.sent >= 0 and not asked.gone
-        return taken and (asked.broke or asked.caller == "client")
-
-    def _killed(self, proxy: str, since: int, until: int) -> bool:
-        """Whether a proxy was killed outright while a request was out. One that is told to stop ends what it has, but
-        after 0.4 s the front brings it no more (PROTOCOL), and whoever comes all the same may find it gone."""
+    def _is_unanswered(asked: records.Asked) -> bool:
+        """Return whether a proxy accepted a request and never answered it.
+
+        Hosts stop waiting at their deadline, so only clients can observe a missing answer.
+        """
+        is_accepted = asked.status == 0 and asked.sent >= 0 and not asked.gone
+        return is_accepted and (asked.broke or asked.caller == "client")
+
+    def _proxy_died(self, proxy: str, since: int, until: int) -> bool:
+        """Return whether a proxy died while a request was in flight.
+
+        A proxy that is stopped finishes its requests, but 0.4 s after SIGTERM the front sends it no more connections
+        (PROTOCOL), and a request that arrives later may find the proxy gone.
+        """
         return any(
             (life.state in ("killed", "crashed") and since - self._slack <= life.at <= until + self._slack)
-            or (life.state == "stopping" and life.at + FRONT_STOPS <= since <= life.at + STOPS_WITHIN)
-            for life in self._lives.get(proxy, [])
+            or (life.state == "stopping" and life.at + FRONT_STOP_DELAY_US <= since <= life.at + PROXY_STOP_TIMEOUT_US)
+            for life in self._proxy_states.get(proxy, [])
         )
 
-    def _drain(self, name: str, leg: records.Seen) -> None:
+    def _check_drain(self, name: str, leg: records.Seen) -> None:
         asked = self._asked.get(name)
         if asked is None:
             return
-        told = self._told.get((asked.proxy, leg.host), [])
-        last = bisect_right(told, leg.first, key=lambda t: t.at) - 1
-        if last < 0 or told[last].state == "SERVING":
+        notices = self._notices.get((asked.proxy, leg.host), [])
+        last = bisect_right(notices, leg.first, key=lambda t: t.at) - 1
+        if last < 0 or notices[last].state == "SERVING":
             return
-        while last > 0 and told[last - 1].state != "SERVING":  # it drained, then it was gone: the first binds
+        while last > 0 and notices[last - 1].state != "SERVING":  # drained, then removed: the grace starts at the first
             last -= 1
-        late = leg.first - told[last].at - us(self._scenario.limits.drain_grace_ms / 1000)
+        late = leg.first - notices[last].at - us(self._scenario.limits.drain_grace_ms / 1000)
         if late > self._slack:
-            self._breach("drain", f"{name} by {asked.proxy} to {leg.host}: {late / 1e6:.3f} s after the grace")
+            self._breach("drain", f"{name} by {asked.proxy} to {leg.host}: {late / 1e6:.3f} s after the grace period")
 
-    def _repeats(self, name: str, legs: list[records.Seen]) -> None:
+    def _check_repeats(self, name: str, legs: list[records.Seen]) -> None:
         scenario, kind = self._scenario, self._scenario.classes[legs[0].kind]
         if len(legs) > scenario.limits.max_attempts:
             self._breach("attempts", f"{name}: {len(legs)} legs")
         ran = next((leg for leg in legs if leg.ran), None)
         for before, leg in pairwise(legs):
-            # One that was called off is seen to end a little later; any other has ended before the next begins.
-            room = self._slack if before.ended_by == "cancelled" else AT_ONCE
-            if before.done > leg.first + room and not scenario.limits.second_copies:
+            # The host sees the end of a cancelled leg late; any other leg ends before the next one starts.
+            tolerance = self._slack if before.ended_by == "cancelled" else CLOCK_TOLERANCE_US
+            if before.done > leg.first + tolerance and not scenario.limits.second_copies:
                 self._breach("second-copy", f"{name} at {before.host} and {leg.host}")
             if ran is None or leg.first <= ran.first:
                 continue
@@ -189,12 +197,12 @@
             elif kind.effect == "keyed":
                 late = leg.first - ran.first - us(kind.window_ms / 1000)
                 if late > self._slack:
-                    self._breach("repeat", f"{name} at {leg.host}: {late / 1e6:.3f} s after the window")
+                    self._breach("repeat", f"{name} at {leg.host}: {late / 1e6:.3f} s after the repeat window")
 
-    def _cold(self, start: records.Started) -> None:
-        """A budget for every window: multiple x present capacity x window, as the host's model has it."""
+    def _check_cold_budget(self, start: records.Started) -> None:
+        """Check that a cold host got at most multiple x present capacity x window of work per window (HostModel)."""
         if start.fell:
-            self._breach("cold", f"{start.host} fell over at {start.at / 1e6:.3f} s")
+            self._breach("cold", f"{start.host} failed under load at {start.at / 1e6:.3f} s")
             return
         cold, host = self._scenario.cold, next(h for h in self._plan.hosts if h.name == start.host)
         warm, window = us(cold.warm_s), us(cold.fall_s)
@@ -208,20 +216,20 @@
             ),
             key=lambda leg: leg.first,
         )
-        first, in_window, in_the_know = 0, 0.0, 0.0
+        first, window_work, informed_work = 0, 0.0, 0.0
         for leg in sent:
-            knew = self._knew(leg, start)
-            in_window, in_the_know = in_window + leg.work, in_the_know + leg.work * knew
+            knew = self._proxy_knew_start(leg, start)
+            window_work, informed_work = window_work + leg.work, informed_work + leg.work * knew
             while sent[first].first <= leg.first - window:
-                in_window -= sent[first].work
-                in_the_know -= sent[first].work * self._knew(sent[first], start)
+                window_work -= sent[first].work
+                informed_work -= sent[first].work * self._proxy_knew_start(sent[first], start)
                 first += 1
             share = cold.share + (1 - cold.share) * (leg.first - start.at) / max(1, warm)
-            if in_window > COLD_ROOM * full * share * window and in_the_know > in_window * 2 / 3:
+            if window_work > COLD_BUDGET_TOLERANCE * full * share * window and informed_work > window_work * 2 / 3:
                 self._breach("cold", f"{host.name} {(leg.first - start.at) / 1e6:.3f} s after its start")
                 return
 
-    def _knew(self, leg: records.Seen, start: records.Started) -> bool:
+    def _proxy_knew_start(self, leg: records.Seen, start: records.Started) -> bool:
         asked = self._asked.get(leg.id)
-        told = self._told.get((asked.proxy, leg.host), []) if asked is not None else []
-        return any(t.at <= leg.first and t.started and abs(t.started - start.at) < 1_000_000 for t in told)
+        notices = self._notices.get((asked.proxy, leg.host), []) if asked is not None else []
+        return any(t.at <= leg.first and t.started and abs(t.started - start.at) < 1_000_000 for t in notices)
