--- a/cranebank/lab/host.py
+++ b/cranebank/lab/host.py
@@ -12,8 +12,8 @@
 import xxhash
 
 from cranebank.lab import records
-from cranebank.lab.model import HostModel, Job, Phase, Verdict
-from cranebank.lab.plan import AFTER, DOWN_FOR, NEVER, HostFault, HostPlan, spec_of
+from cranebank.lab.model import Admission, HostModel, Job, Phase
+from cranebank.lab.plan import NEVER, RESTART_DOWNTIME_US, STOP_LINGER_US, HostFault, HostPlan, spec_of
 from cranebank.lab.stage import Ask, Link, Out, Reply, Stage, Timer
 from cranebank.lab.streams import stream
 
@@ -133,11 +133,11 @@
             return
         leg = Leg(link, seen, ask, now + ask.left, Job(max(1.0, own), calls), calls)
         leg.job.content = leg
-        verdict = Verdict.FULL if self.stopping else self.model.offer(now, leg.job)
-        if verdict is Verdict.FELL:
+        admission = Admission.FULL if self.stopping else self.model.offer(now, leg.job)
+        if admission is Admission.FELL:
             stage.write(records.Started(now, self.host.name, fell=True))
             self.kill()
-        elif verdict is Verdict.FULL:
+        elif admission is Admission.FULL:
             stage.write(seen)
             link.answer(503, load=self._told(), not_run=True)
         else:
@@ -335,7 +335,7 @@
                     later(until, self.start)
             case "cold":
                 later(at, self.kill)
-                later(at + DOWN_FOR, self.start)
+                later(at + RESTART_DOWNTIME_US, self.start)
             case "stop":
                 later(at, self._hush, until, False)
             case "half-open":
@@ -394,7 +394,7 @@
         """A drained host ends: it refuses connections and requests, ends what it holds, and is gone."""
         self.stopping = True
         self.gate(True)
-        self.stage.at(self.host.stop + AFTER, self.kill)
+        self.stage.at(self.host.stop + STOP_LINGER_US, self.kill)
 
     def last(self) -> None:
         """Write down what is only known at the end."""
--- a/cranebank/lab/plan.py
+++ b/cranebank/lab/plan.py
@@ -1,7 +1,7 @@
-"""From a scenario and its seed to all that will happen: hosts, proxies, faults, what discovery learns when.
+"""Draw the plan of a run from a scenario and its seed: hosts, proxies, faults, and when discovery learns of them.
 
-Pure: the same scenario gives the same plan. Every process of a run gets it whole and plays its own part, so
-nothing needs to be told while a run is on. Times are microseconds after the start; -1 stands for never.
+No I/O, and the same scenario gives the same plan. Every process of a run gets the whole plan and carries out its own
+part, so the processes don't communicate about it during a run. Times are microseconds after the start; -1 means never.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from cranebank.lab.streams import stream
 
 NEVER = -1
-DOWN_FOR = 300_000  # a host that restarts in place is away for so long
-AFTER = 1_000_000  # a drained host that is stopped still ends what it holds for so long
-SILENT = 3.0  # discovery notices a silent host so many times later than one that has ended
+RESTART_DOWNTIME_US = 300_000  # downtime of a host that restarts in place
+STOP_LINGER_US = 1_000_000  # time that a drained host has after its stop to finish its requests
+SILENT_NOTICE_FACTOR = 3.0  # discovery detects a silent host this many times later than an ended one
 
 
 class HostPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """One host from its start to its end."""
+    """One host, from its start to its stop."""
 
     name: str
     tier: int
     kind: int
     zone: int
     speed: float
-    start: int = 0  # 0: there from before
+    start: int = 0  # 0: running before the run starts
     drain: int = NEVER
     stop: int = NEVER
 
 
 class HostFault(msgspec.Struct, frozen=True, kw_only=True):
-    """Something that befalls one host."""
+    """A fault of one host; ``size`` depends on the kind of fault."""
 
     host: str
     what: str
@@ -47,7 +47,7 @@
 
 
 class Notice(msgspec.Struct, frozen=True, kw_only=True):
-    """Discovery learns of a host; ``started`` is the host's start, 0 for long ago."""
+    """The moment when discovery learns a host's state; ``started`` is the host's start, 0 if before the run."""
 
     at: int
     host: str
@@ -62,11 +62,11 @@
     name: str
     tier: int
     zone: int
-    slot: int = 0  # its number among the tier's
+    slot: int = 0  # index among the proxies of the tier
 
 
 class ProxyFault(msgspec.Struct, frozen=True, kw_only=True):
-    """A proxy is killed (``hard``) or told to stop, and starts again ``until``."""
+    """A proxy is killed (``hard``) or terminated at ``at``, and started again at ``until``."""
 
     proxy: str
     at: int
@@ -75,21 +75,21 @@
 
 
 class Outage(msgspec.Struct, frozen=True, kw_only=True):
-    """Discovery does not answer."""
+    """A time during which discovery doesn't answer."""
 
     at: int
     until: int
 
 
 class Cut(msgspec.Struct, frozen=True, kw_only=True):
-    """Zones do not reach each other; discovery is in the first."""
+    """A time during which zones can't reach each other; discovery is in the first zone."""
 
     at: int
     until: int
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """All that will happen, but for the arrivals."""
+    """Everything that happens in a run, except for the arrivals."""
 
     hosts: tuple[HostPlan, ...]
     proxies: tuple[ProxyPlan, ...]
@@ -101,18 +101,18 @@
 
 
 def us(seconds: float) -> int:
-    """Seconds in whole microseconds."""
+    """Convert seconds to whole microseconds."""
     return round(seconds * 1e6)
 
 
 def spec_of(scenario: Scenario, host: HostPlan) -> model.HostSpec:
-    """What the model of a host is told."""
+    """Return the model parameters of a host."""
     tier, cold, reports = scenario.tiers[host.tier], scenario.cold, scenario.reports
     kind, choke = tier.kind[host.kind], tier.choke
     slow = (
         None
         if choke is None
-        else model.Slow(choke.at, us(choke.over_s), choke.slower, us(choke.rest_s), choke.below, us(choke.most_s))
+        else model.SlowMode(choke.at, us(choke.over_s), choke.slower, us(choke.rest_s), choke.below, us(choke.most_s))
     )
     return model.HostSpec(
         cores=kind.cores,
@@ -121,37 +121,37 @@
         queue=kind.queue,
         thrash=kind.thrash,
         cold_share=cold.share,
-        warm=us(cold.warm_s),
+        warm_up_us=us(cold.warm_s),
         fall_multiple=cold.fall_multiple,
-        fall_window=us(cold.fall_s),
+        fall_window_us=us(cold.fall_s),
         slow=slow,
-        period=us(reports.period_ms / 1000),
-        delay=us(reports.delay_ms / 1000),
+        report_period_us=us(reports.period_ms / 1000),
+        report_delay_us=us(reports.delay_ms / 1000),
     )
 
 
 def plan(scenario: Scenario) -> Plan:
     """Draw the plan of a scenario."""
-    maker = _Maker(scenario)
+    builder = _PlanBuilder(scenario)
     for number, fault in enumerate(scenario.faults):
-        maker.add(number, fault)
-    return maker.plan()
+        builder.add(number, fault)
+    return builder.plan()
 
 
-class _Maker:
+class _PlanBuilder:
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
         self._hosts: dict[str, HostPlan] = {}
-        self._first: list[list[str]] = []  # by tier: the hosts there from before
+        self._initial_hosts: list[list[str]] = []  # by tier: hosts running before the run starts
         self._notices: list[Notice] = []
         self._faults: list[HostFault] = []
         self._proxy_faults: list[ProxyFault] = []
         self._outages: list[Outage] = []
         self._cuts: list[Cut] = []
         for index, tier in enumerate(scenario.tiers):
-            self._first.append(
+            self._initial_hosts.append(
                 [
-                    self._host(index, kind, f"{tier.name}-{k.name}-{n}", n)
+                    self._add_host(index, kind, f"{tier.name}-{k.name}-{n}", n)
                     for kind, k in enumerate(tier.kind)
                     for n in range(k.count)
                 ]
@@ -159,10 +159,10 @@
         self._proxies = [
             ProxyPlan(name=f"{tier.name}-p{n}", tier=index, zone=n % len(scenario.zones), slot=n)
             for index, tier in enumerate(scenario.tiers)
-            for n in range(tier.proxies or len(self._first[index - 1]))
+            for n in range(tier.proxies or len(self._initial_hosts[index - 1]))
         ]
 
-    def _host(self, tier: int, kind: int, name: str, zone: int, start: int = 0) -> str:
+    def _add_host(self, tier: int, kind: int, name: str, zone: int, start: int = 0) -> str:
         spec = self._scenario.tiers[tier].kind[kind]
         draw = stream(self._scenario.seed, "speed", name)
         speed = spec.speed * max(0.2, 1.0 + spec.speed_cv * float(draw.standard_normal()))
@@ -172,13 +172,13 @@
         return name
 
     def plan(self) -> Plan:
-        late = [
+        delays = [
             (us(f.at_s), us(f.at_s + f.for_s), us(f.size)) for f in self._scenario.faults if f.what == "discovery-late"
         ]
         notices = []
         for notice in self._notices:
-            more = max((size for at, until, size in late if at <= notice.at < until), default=0)
-            notices.append(msgspec.structs.replace(notice, at=notice.at + (0 if notice.lie else more)))
+            delay = max((size for at, until, size in delays if at <= notice.at < until), default=0)
+            notices.append(msgspec.structs.replace(notice, at=notice.at + (0 if notice.lie else delay)))
         return Plan(
             hosts=tuple(self._hosts.values()),
             proxies=tuple(self._proxies),
@@ -190,9 +190,9 @@
         )
 
     def add(self, number: int, fault: Fault) -> None:
-        """Lay one fault of the scenario over the plan."""
+        """Add one fault of the scenario to the plan."""
         if fault.what in PROXY_FAULTS:
-            for name in self._chosen(number, fault, [p.name for p in self._proxies if p.tier == self._tier(fault)]):
+            for name in self._choose(number, fault, [p.name for p in self._proxies if p.tier == self._tier(fault)]):
                 self._proxy_faults.append(
                     ProxyFault(
                         proxy=name,
@@ -206,24 +206,24 @@
         elif fault.what == "partition":
             self._cuts.append(Cut(at=us(fault.at_s), until=us(fault.at_s + fault.for_s)))
         elif fault.what == "lose-zone":
-            self._lose(fault)
+            self._lose_zone(fault)
         elif fault.what == "discovery-lie":
-            self._lie(fault)
+            self._lie_about_hosts(fault)
         elif fault.what == "deploy":
             self._deploy(number, fault)
         elif fault.what == "shared-slow":
             for name in self._hosts:
-                self._befall(name, "slow", fault)
+                self._add_host_fault(name, "slow", fault)
         elif fault.what not in DISCOVERY_FAULTS:
             names = [name for name in self._hosts if self._hosts[name].tier == self._tier(fault)]
-            for name in self._chosen(number, fault, names):
-                self._one(name, fault)
+            for name in self._choose(number, fault, names):
+                self._fault_host(name, fault)
 
     def _tier(self, fault: Fault) -> int:
         names = [tier.name for tier in self._scenario.tiers]
         return names.index(fault.tier) if fault.tier else 0
 
-    def _chosen(self, number: int, fault: Fault, names: list[str]) -> list[str]:
+    def _choose(self, number: int, fault: Fault, names: list[str]) -> list[str]:
         for name in fault.hosts:
             if name not in names:
                 raise ValueError(f"fault.{number}.hosts: expected some of {', '.join(names)}, got {name}")
@@ -233,7 +233,7 @@
         picked = stream(self._scenario.seed, "fault", number).permutation(len(names))[:count]
         return [names[i] for i in sorted(picked)]
 
-    def _befall(self, name: str, what: str, fault: Fault) -> None:
+    def _add_host_fault(self, name: str, what: str, fault: Fault) -> None:
         self._faults.append(
             HostFault(
                 host=name,
@@ -245,76 +245,76 @@
             )
         )
 
-    def _one(self, name: str, fault: Fault) -> None:
+    def _fault_host(self, name: str, fault: Fault) -> None:
         assert fault.what in HOST_FAULTS
-        at, until, wait = us(fault.at_s), us(fault.at_s + fault.for_s), us(self._scenario.discovery.notice_s)
-        self._befall(name, fault.what, fault)
+        at, until, delay = us(fault.at_s), us(fault.at_s + fault.for_s), us(self._scenario.discovery.notice_s)
+        self._add_host_fault(name, fault.what, fault)
         if fault.what == "cold":
-            self._tell(at + DOWN_FOR + wait, name, "SERVING", at + DOWN_FOR)
+            self._add_notice(at + RESTART_DOWNTIME_US + delay, name, "SERVING", at + RESTART_DOWNTIME_US)
         elif fault.what == "kill":
             back = until if fault.for_s else NEVER
-            if back == NEVER or back > at + wait:
-                self._tell(at + wait, name, "DELETED")
+            if back == NEVER or back > at + delay:
+                self._add_notice(at + delay, name, "DELETED")
             if back != NEVER:
-                self._tell(back + us(self._scenario.discovery.add_s), name, "SERVING", back)
-        elif fault.what in ("stop", "half-open") and until > at + round(SILENT * wait):
-            self._tell(at + round(SILENT * wait), name, "DELETED")
-            self._tell(until + us(self._scenario.discovery.add_s), name, "SERVING")
+                self._add_notice(back + us(self._scenario.discovery.add_s), name, "SERVING", back)
+        elif fault.what in ("stop", "half-open") and until > at + round(SILENT_NOTICE_FACTOR * delay):
+            self._add_notice(at + round(SILENT_NOTICE_FACTOR * delay), name, "DELETED")
+            self._add_notice(until + us(self._scenario.discovery.add_s), name, "SERVING")
 
-    def _tell(self, at: int, name: str, state: str, started: int = 0, lie: bool = False) -> None:
+    def _add_notice(self, at: int, name: str, state: str, started: int = 0, lie: bool = False) -> None:
         self._notices.append(Notice(at=at, host=name, state=state, started=started, lie=lie))
 
     def _deploy(self, number: int, fault: Fault) -> None:
-        """Batches of hosts drain and stop; a successor of each starts cold, under a name of its own."""
+        """Drain and stop hosts in batches; a successor of each host starts cold under a new name."""
         index, discovery = self._tier(fault), self._scenario.discovery
-        names = self._chosen(number, fault, [n for n in self._first[index] if self._hosts[n].drain == NEVER])
-        size = max(1, round(fault.batch * len(self._first[index])))
+        names = self._choose(number, fault, [n for n in self._initial_hosts[index] if self._hosts[n].drain == NEVER])
+        size = max(1, round(fault.batch * len(self._initial_hosts[index])))
         batches = [names[i : i + size] for i in range(0, len(names), size)]
         for turn, batch in enumerate(batches):
             at = us(fault.at_s) + turn * us(fault.for_s) // len(batches)
             for name in batch:
                 old, stop = self._hosts[name], at + us(fault.drain_s)
                 self._hosts[name] = msgspec.structs.replace(old, drain=at, stop=stop)
-                new = self._host(index, old.kind, f"{name}.{number}", old.zone, at)
-                self._tell(at + us(discovery.notice_s), name, "DRAINING")
-                self._tell(stop + us(discovery.notice_s), name, "DELETED")
-                self._tell(at + us(discovery.add_s), new, "SERVING", at)
+                new = self._add_host(index, old.kind, f"{name}.{number}", old.zone, at)
+                self._add_notice(at + us(discovery.notice_s), name, "DRAINING")
+                self._add_notice(stop + us(discovery.notice_s), name, "DELETED")
+                self._add_notice(at + us(discovery.add_s), new, "SERVING", at)
 
-    def _lose(self, fault: Fault) -> None:
-        """All hosts and proxies of a zone die at once, and come back together, the hosts cold."""
+    def _lose_zone(self, fault: Fault) -> None:
+        """Kill all hosts and proxies of a zone at once, and restart them together, the hosts cold."""
         zone = self._scenario.zones.index(fault.zone)
         kill = Fault(what="kill", at_s=fault.at_s, for_s=fault.for_s, hosts=("the zone",))
         for name in [name for name, host in self._hosts.items() if host.zone == zone]:
-            self._one(name, kill)
+            self._fault_host(name, kill)
         for proxy in self._proxies:
             if proxy.zone == zone:
                 self._proxy_faults.append(
                     ProxyFault(proxy=proxy.name, at=us(fault.at_s), until=us(fault.at_s + fault.for_s), hard=True)
                 )
 
-    def _lie(self, fault: Fault) -> None:
-        """Discovery says that hosts which drain or have ended serve, and names one that never was."""
+    def _lie_about_hosts(self, fault: Fault) -> None:
+        """Let discovery report draining and stopped hosts as serving, and list a host that never existed."""
         at, until = us(fault.at_s), us(fault.at_s + fault.for_s)
         for name in [name for name, host in self._hosts.items() if NEVER < host.drain < at]:
-            self._tell(at, name, "SERVING", lie=True)
-            self._tell(until, name, "DELETED", lie=True)
+            self._add_notice(at, name, "SERVING", lie=True)
+            self._add_notice(until, name, "DELETED", lie=True)
         for index, tier in enumerate(self._scenario.tiers):
             if not fault.tier or index == self._tier(fault):
-                self._tell(at, _phantom(tier), "SERVING", lie=True)
-                self._tell(until, _phantom(tier), "DELETED", lie=True)
+                self._add_notice(at, _phantom_name(tier), "SERVING", lie=True)
+                self._add_notice(until, _phantom_name(tier), "DELETED", lie=True)
 
 
-def _phantom(tier: Tier) -> str:
+def _phantom_name(tier: Tier) -> str:
     return f"{tier.name}-phantom"
 
 
 def phantoms(scenario: Scenario) -> dict[str, int]:
-    """Hosts that only a lying discovery knows, and their tiers."""
-    return {_phantom(tier): index for index, tier in enumerate(scenario.tiers)}
+    """Return the tiers of the hosts that exist only in false reports of discovery, by name."""
+    return {_phantom_name(tier): index for index, tier in enumerate(scenario.tiers)}
 
 
 def read_scenario(path: Path) -> Scenario:
-    """Read and check a scenario file, the names in its faults as well."""
+    """Read and check a scenario file, including the host names in its faults."""
     scenario = convert_checked(read_toml(path), Scenario, str(path))
     try:
         plan(scenario)
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -1,4 +1,4 @@
-"""The model of a host, by hand: no sockets, no clock."""
+"""Tests of the host model against results computed by hand: no sockets, no clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranebank.lab.model import HostModel, HostSpec, Job, Phase, Repeats, Slow, Verdict
+from cranebank.lab.model import Admission, HostModel, HostSpec, Job, Phase, Repeats, SlowMode
 
 MS = 1000
 
@@ -18,10 +18,10 @@
     return [job.ended for job in model.advance(until)]
 
 
-def test_cores_are_shared_evenly_and_the_waiting_room_is_bounded() -> None:
+def test_cores_are_shared_evenly_and_the_queue_is_bounded() -> None:
     model = HostModel(HostSpec(cores=2, slots=4, queue=2))
-    verdicts = [model.offer(0, Job(100 * MS)) for _ in range(7)]
-    assert verdicts == [Verdict.STARTED] * 4 + [Verdict.WAITING] * 2 + [Verdict.FULL]
+    admissions = [model.offer(0, Job(100 * MS)) for _ in range(7)]
+    assert admissions == [Admission.STARTED] * 4 + [Admission.WAITING] * 2 + [Admission.FULL]
     assert (model.inflight, model.waiting) == (6, 2)
     assert ends(model, 10**7) == [200 * MS] * 4 + [300 * MS] * 2
     assert model.next_due() is None
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.FIRST, Phase.CALLING, Phase.WAITING])
-def test_dropped_work_stops_and_its_place_is_free(phase: Phase) -> None:
+def test_dropping_a_job_stops_its_work_and_frees_its_place(phase: Phase) -> None:
     model = HostModel(HostSpec(cores=1, slots=2 if phase is Phase.CALLING else 1, queue=9))
     jobs = [Job(100 * MS, calls=1 if phase is Phase.CALLING else 0) for _ in range(3)]
     for job in jobs:
@@ -59,21 +59,23 @@
     assert dropped not in model.advance(10**7)
 
 
-def test_a_cold_host_rises_evenly_and_falls_over_when_pushed() -> None:
-    spec = HostSpec(cores=1, cold_share=0.25, warm=4000 * MS, fall_multiple=3.0, fall_window=1000 * MS)
+def test_a_cold_host_gains_capacity_linearly_and_fails_under_too_much_work() -> None:
+    spec = HostSpec(cores=1, cold_share=0.25, warm_up_us=4000 * MS, fall_multiple=3.0, fall_window_us=1000 * MS)
     model = HostModel(spec, started=5000 * MS)
     assert [model.share(5000 * MS + t * MS) for t in (0, 2000, 4000)] == [0.25, 0.625, 1.0]
     model.offer(5000 * MS, Job(100 * MS))
     (end,) = ends(model, 9000 * MS)
-    assert 340 * MS < end - 5000 * MS < 400 * MS  # a quarter of the speed, a little more by then
-    room = [model.offer(5000 * MS, Job(100 * MS)) for _ in range(9)]
-    assert room[:6] == [Verdict.STARTED] * 6
-    assert room[-1] is Verdict.FELL
+    assert 340 * MS < end - 5000 * MS < 400 * MS  # a quarter of the speed at the start, a little more by the end
+    cold_admissions = [model.offer(5000 * MS, Job(100 * MS)) for _ in range(9)]
+    assert cold_admissions[:6] == [Admission.STARTED] * 6
+    assert cold_admissions[-1] is Admission.FELL
     assert model.fallen
 
 
-def test_a_crowded_host_turns_slow_and_recovers_when_mostly_idle() -> None:
-    slow = Slow(at=2.0, over=500 * MS, slower=4.0, rest=300 * MS, below=0.5, most=10**8)
+def test_an_overloaded_host_enters_slow_mode_and_recovers_when_mostly_idle() -> None:
+    slow = SlowMode(
+        queued_per_core=2.0, queued_for_us=500 * MS, slowdown=4.0, idle_for_us=300 * MS, idle_below=0.5, max_us=10**8
+    )
     model = HostModel(HostSpec(cores=1, slots=1, queue=50, slow=slow))
     for _ in range(10):
         model.offer(0, Job(100 * MS))
@@ -83,7 +85,7 @@
     assert not model.slow_mode
 
 
-def test_a_pause_and_a_slowdown_delay_what_is_in_work() -> None:
+def test_a_pause_and_a_slowdown_delay_running_jobs() -> None:
     model = HostModel(HostSpec(cores=1))
     model.offer(0, Job(100 * MS))
     model.advance(50 * MS)
@@ -92,8 +94,8 @@
     assert ends(model, 10**6) == [350 * MS]
 
 
-def test_reports_are_refreshed_now_and_then_and_told_late() -> None:
-    model = HostModel(HostSpec(cores=1, slots=99, period=100 * MS, delay=50 * MS))
+def test_load_reports_are_sampled_periodically_and_delivered_late() -> None:
+    model = HostModel(HostSpec(cores=1, slots=99, report_period_us=100 * MS, report_delay_us=50 * MS))
     for at in range(0, 1000, 10):
         model.advance(at * MS)
         model.offer(at * MS, Job(10**9))
@@ -102,33 +104,35 @@
 
 
 def test_a_repeat_within_the_window_has_no_effect_and_keys_are_forgotten() -> None:
-    seen = Repeats(3000 * MS)
-    assert [seen.first(t * MS, 0, "k", 3000 * MS) for t in (0, 2900, 3100)] == [True, False, True]
+    keys = Repeats(3000 * MS)
+    assert [keys.first(t * MS, 0, "k", 3000 * MS) for t in (0, 2900, 3100)] == [True, False, True]
     for number in range(5000):
-        seen.first((4000 + 10 * number) * MS, 0, f"k{number}", 3000 * MS)
-    assert len(seen._seen) < 400
+        keys.first((4000 + 10 * number) * MS, 0, f"k{number}", 3000 * MS)
+    assert len(keys._seen) < 400
 
 
-CASES = st.lists(st.tuples(st.integers(0, 400), st.integers(1, 300), st.integers(0, 2)), min_size=1, max_size=40)
+ARRIVALS = st.lists(st.tuples(st.integers(0, 400), st.integers(1, 300), st.integers(0, 2)), min_size=1, max_size=40)
 
 
 @settings(max_examples=120, deadline=None, derandomize=True)
-@given(CASES, st.integers(1, 4), st.booleans())
-def test_work_is_conserved_whenever_it_is_looked_at(cases: list[tuple[int, int, int]], cores: int, often: bool) -> None:
-    """Called at each millisecond or once at the end: the same jobs end at the same times."""
+@given(ARRIVALS, st.integers(1, 4), st.booleans())
+def test_work_is_conserved_however_often_the_model_advances(
+    arrivals: list[tuple[int, int, int]], cores: int, each_ms: bool
+) -> None:
+    """Advancing each millisecond or only at arrivals ends the same jobs at the same times."""
 
     def run(step: Callable[[HostModel, int], list[Any]]) -> list[int]:
         model, done, now = HostModel(HostSpec(cores=cores, slots=3, queue=99)), [], 0
-        for gap, work, _ in cases:
-            for at in range(now, now + gap, 1 if often else 50):
+        for gap, work, _ in arrivals:
+            for at in range(now, now + gap, 1 if each_ms else 50):
                 done += step(model, at * MS)
             now += gap
             done += model.advance(now * MS)
             model.offer(now * MS, Job(work * MS))
         return [job.ended for job in done + model.advance(10**9)]
 
-    seen, blind = run(lambda model, at: model.advance(at)), run(lambda model, at: [])
-    assert len(seen) == len(cases)
-    assert all(abs(a - b) <= 100 for a, b in zip(seen, blind, strict=True))
-    busy = sum(work for _, work, _ in cases) * MS / cores
-    assert max(seen) >= busy
+    frequent, sparse = run(lambda model, at: model.advance(at)), run(lambda model, at: [])
+    assert len(frequent) == len(arrivals)
+    assert all(abs(a - b) <= 100 for a, b in zip(frequent, sparse, strict=True))
+    busy = sum(work for _, work, _ in arrivals) * MS / cores
+    assert max(frequent) >= busy
