--- a/cranebank/lab/exchange.py
+++ b/cranebank/lab/exchange.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 for the laboratory's own ends: a listening connection and a pool of asking ones, on httptools.
+"""HTTP/1.1 for the laboratory: a server connection and a pool of client connections, on httptools.
 
-Both stand on asyncio protocols and callbacks, without a task for each request: the generator's own cost
-decides how much load one core can offer.
+Both use asyncio protocols and callbacks without a task per request, because the cost of the load generator limits
+the load that one core can offer.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from cranebank.lab.scenario import Scenario
 from cranebank.lab.stage import Ask, Reply
 
-NAMED_BYTES = 16 << 10  # the beginning of a body is kept, where it names its request
+BODY_START_BYTES = 16 << 10  # the start of a body is kept, because it holds the request id
 
 
 METHODS = {"safe": "GET", "keyed": "POST", "unsafe": "POST"}
 
 
 def now_us() -> int:
-    """The machine's monotonic clock, which all processes of a run share."""
+    """Return the machine's monotonic clock, which all processes of a run share."""
     return time.monotonic_ns() // 1000
 
 
 def request_bytes(ask: Ask, scenario: Scenario) -> bytes:
-    """One request of PROTOCOL as bytes. ``X-Extras`` carries the work and the lineage."""
+    """Encode a request as PROTOCOL defines it; ``X-Extras`` carries the work, the root request and the tenant."""
     kind = scenario.classes[ask.kind]
     method = METHODS[kind.effect]
     fields = [
@@ -58,9 +58,9 @@
 
 @dataclass(slots=True)
 class Heard:
-    """A request as a listening end has heard it."""
+    """A request as received by a server connection."""
 
-    first: int  # when its first byte came
+    first: int  # time of its first byte
     method: str = ""
     target: str = ""
     headers: dict[str, str] = field(default_factory=dict)
@@ -68,100 +68,112 @@
 
 
 class Listener(Protocol):
-    """Who answers what comes in on connections."""
+    """Handles the events of server connections."""
 
     def connected(self, connection: Incoming) -> bool:
-        """A connection was made; returns whether it is taken."""
+        """A connection was made; return whether it is accepted."""
 
     def heard(self, connection: Incoming, request: Heard) -> None:
-        """A whole request has come."""
+        """A whole request was received."""
 
     def closed(self, connection: Incoming) -> None:
-        """A connection has ended."""
+        """A connection was closed."""
 
     def deaf(self) -> bool:
-        """Whether nothing is to be read at present."""
+        """Whether received data must stay unread at present."""
 
 
 class Incoming(asyncio.Protocol):
-    """One connection to a listening end: one request at a time."""
+    """A server connection: one request at a time."""
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
         self._parser = httptools.HttpRequestParser(self)
-        self._heard: Heard | None = None
-        self._kept: list[bytes] = []
+        self._request: Heard | None = None
+        self._unread: list[bytes] = []
         self.transport: asyncio.Transport
-        self.owner: Any = None  # what the listener keeps for this connection
+        self.owner: Any = None  # state that the listener keeps with the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Register the connection with the listener, or close it if the listener rejects it."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if not self._listener.connected(self):
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request; a listener that is deaf keeps them unread."""
+        """Parse bytes of a request, or keep them unread while the listener is deaf."""
         if self._listener.deaf():
-            self._kept.append(data)
+            self._unread.append(data)
             return
-        if self._heard is None:
-            self._heard = Heard(now_us())
+        if self._request is None:
+            self._request = Heard(now_us())
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
-    def awake(self) -> None:
-        """The listener hears again: take what was kept."""
-        kept, self._kept = self._kept, []
-        if kept:
-            self.data_received(b"".join(kept))
+    def resume_reading(self) -> None:
+        """Process the data that arrived while the listener was deaf."""
+        unread, self._unread = self._unread, []
+        if unread:
+            self.data_received(b"".join(unread))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Tell the listener that the connection was closed."""
         self._listener.closed(self)
 
     def answer(self, head: bytes, body: bytes = b"") -> None:
-        """Write an answer; ``head`` ends with its last field's line end."""
+        """Write an answer; ``head`` ends with the line end of its last field."""
         if not self.transport.is_closing():
             self.transport.write(b"%sContent-Length: %d\r\n\r\n%s" % (head, len(body), body))
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """A request begins, maybe right behind another."""
-        if self._heard is None:
-            self._heard = Heard(now_us())
+        """Start a request; pipelined requests start within the same data."""
+        if self._request is None:
+            self._request = Heard(now_us())
 
     def on_url(self, url: bytes) -> None:
-        """The target."""
-        if self._heard is not None:
-            self._heard.target = url.decode("latin-1")
+        """Store the request target."""
+        if self._request is not None:
+            self._request.target = url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field."""
-        if self._heard is not None:
-            self._heard.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
+        """Store a header field."""
+        if self._request is not None:
+            self._request.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, body: bytes) -> None:
-        """Part of the body."""
-        if self._heard is not None:
-            self._heard.body += body
+        """Append a part of the body."""
+        if self._request is not None:
+            self._request.body += body
 
     def on_message_complete(self) -> None:
-        """The request's last byte is in."""
-        heard, self._heard = self._heard, None
-        if heard is not None:
-            heard.method = self._parser.get_method().decode()
-            self._listener.heard(self, heard)
-
-
-class Asking:
-    """One request that is out; ``leave`` gives it up and closes its connection."""
-
-    __slots__ = ("_connection", "address", "begins", "data", "done", "fresh", "left", "name", "reply", "spare", "t0")
+        """Pass the whole request to the listener."""
+        request, self._request = self._request, None
+        if request is not None:
+            request.method = self._parser.get_method().decode()
+            self._listener.heard(self, request)
+
+
+class PendingRequest:
+    """A request in flight; ``leave`` cancels it and closes its connection."""
+
+    __slots__ = (
+        "_connection",
+        "address",
+        "body_start",
+        "data",
+        "done",
+        "is_cancelled",
+        "is_on_new_connection",
+        "name",
+        "reply",
+        "spare",
+        "t0",
+    )
 
     def __init__(
         self,
@@ -173,106 +185,106 @@
         spare: Callable[[], None],
     ) -> None:
         self.address, self.data, self.name, self.t0, self.done, self.spare = address, data, name, t0, done, spare
-        self.reply, self.begins = Reply(), b""
-        self.left = self.fresh = False
+        self.reply, self.body_start = Reply(), b""
+        self.is_cancelled = self.is_on_new_connection = False
         self._connection: Outgoing | None = None
 
     def leave(self) -> None:
-        """Wait no longer: nothing more is called."""
-        self.left = True
+        """Cancel the request; no callback is called after this."""
+        self.is_cancelled = True
         if self._connection is not None:
             self._connection.transport.abort()
 
 
 class Outgoing(asyncio.Protocol):
-    """One connection of a pool."""
+    """A client connection of a pool."""
 
     def __init__(self, pool: Pool, address: tuple[str, int]) -> None:
         self._pool, self._address = pool, address
-        self._asking: Asking | None = None
-        self._last: Asking | None = None
-        self._got = self._whole = False
-        self._messages = 0  # answers begun since the request
+        self._pending: PendingRequest | None = None
+        self._answered: PendingRequest | None = None  # the previous request, for extra answers
+        self._has_data = self._is_complete = False
+        self._answer_count = 0  # answers started since the request was sent
         self.transport: asyncio.Transport
 
-    def ask(self, asking: Asking) -> None:
-        """Send a request."""
-        self._asking, self._got, self._whole, self._messages = asking, False, False, 0
-        asking._connection = self
+    def ask(self, pending: PendingRequest) -> None:
+        """Send a request on this connection."""
+        self._pending, self._has_data, self._is_complete, self._answer_count = pending, False, False, 0
+        pending._connection = self
         self._parser = httptools.HttpResponseParser(self)
-        self._hash, self._begins, self._status, self._retry_after = xxhash.xxh64(), b"", 0, 0
-        self.transport.write(asking.data)
-        asking.reply.sent = now_us() - asking.t0
+        self._hash, self._body_start, self._status, self._retry_after = xxhash.xxh64(), b"", 0, 0
+        self.transport.write(pending.data)
+        pending.reply.sent = now_us() - pending.t0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Part of an answer, or one too many."""
-        if self._asking is None:
-            if self._last is not None and data.startswith(b"HTTP/1.1 200"):
-                self._last.spare()
+        """Parse a part of an answer, and report an extra answer."""
+        if self._pending is None:
+            if self._answered is not None and data.startswith(b"HTTP/1.1 200"):
+                self._answered.spare()
             self.transport.abort()
             return
-        self._got = True
+        self._has_data = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            if not self._whole:
-                self._end("broke")
+            if not self._is_complete:
+                self._finish("broke")
             self.transport.abort()
-        if self._whole:  # only now: whoever hears of it may use this connection again at once
+        if self._is_complete:  # after parsing, because the callback may reuse this connection at once
             self._complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over."""
+        """Fail the request in flight, or send it once more if it was sent on a connection closed while idle."""
         self._pool.closed(self, self._address)
-        asking = self._asking
-        if asking is not None and not self._got and not asking.fresh and not asking.left:
-            # It crossed the close of an idle connection: sent once more, on a new one (PROTOCOL).
-            self._asking = None
-            self._pool.fresh(asking)
+        pending = self._pending
+        if pending is not None and not self._has_data and not pending.is_on_new_connection and not pending.is_cancelled:
+            # The request crossed the close of an idle connection: send it once more, on a new connection (PROTOCOL).
+            self._pending = None
+            self._pool.send_on_new_connection(pending)
             return
-        self._end("broke")
+        self._finish("broke")
 
-    def _end(self, trouble: str = "") -> None:
-        asking, self._asking = self._asking, None
-        self._last = asking
-        if asking is None:
+    def _finish(self, trouble: str = "") -> None:
+        pending, self._pending = self._pending, None
+        self._answered = pending
+        if pending is None:
             return
-        asking._connection = None
-        if not asking.left:
-            asking.reply.trouble = trouble
-            asking.done(asking.reply)
+        pending._connection = None
+        if not pending.is_cancelled:
+            pending.reply.trouble = trouble
+            pending.done(pending.reply)
 
     def _complete(self) -> None:
-        asking = self._asking
-        assert asking is not None
-        self._whole = False
-        reply = asking.reply
-        reply.status, reply.digest, asking.begins = self._status, self._hash.hexdigest(), self._begins
-        reply.named = reply.status != 200 or asking.name.encode() in self._begins
+        pending = self._pending
+        assert pending is not None
+        self._is_complete = False
+        reply = pending.reply
+        reply.status, reply.digest, pending.body_start = self._status, self._hash.hexdigest(), self._body_start
+        reply.named = reply.status != 200 or pending.name.encode() in self._body_start
         reply.retry_after = self._retry_after
-        if self._messages > 1:
-            asking.spare()
+        if self._answer_count > 1:
+            pending.spare()
             self.transport.abort()
-        elif self._keep and not self.transport.is_closing():
-            self._pool.give_back(self, self._address)
+        elif self._keeps_connection and not self.transport.is_closing():
+            self._pool.release(self, self._address)
         else:
             self.transport.close()
-        self._end()
+        self._finish()
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """An answer begins, the first or one too many."""
-        self._messages += 1
+        """Count the answers started; more than one is an error of the proxy."""
+        self._answer_count += 1
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One field."""
-        if self._whole:
+        """Store Retry-After."""
+        if self._is_complete:
             return
         if name.lower() == b"retry-after":
             try:
@@ -281,33 +293,33 @@
                 self._retry_after = 0
 
     def on_headers_complete(self) -> None:
-        """The head is there."""
-        if not self._whole:
+        """Store the status code."""
+        if not self._is_complete:
             self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Part of the body."""
-        if self._whole:
+        """Hash a part of the body and keep its start."""
+        if self._is_complete:
             return
         self._hash.update(body)
-        if len(self._begins) < NAMED_BYTES:
-            self._begins += body
+        if len(self._body_start) < BODY_START_BYTES:
+            self._body_start += body
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
-        if self._whole or self._asking is None:
+        """Mark the answer as complete; 1xx answers don't count."""
+        if self._is_complete or self._pending is None:
             return
         if self._status < 200:
-            self._messages -= 1
+            self._answer_count -= 1
         else:
-            self._whole, self._keep = True, self._parser.should_keep_alive()
+            self._is_complete, self._keeps_connection = True, self._parser.should_keep_alive()
 
 
 class Pool:
-    """Connections to addresses, kept and used again; ``most`` at once, over all of them."""
+    """Client connections, kept open for reuse; at most ``max_open`` at once over all addresses."""
 
-    def __init__(self, most: int = 1 << 30) -> None:
-        self._most, self.open, self.opened = most, 0, 0
+    def __init__(self, max_open: int = 1 << 30) -> None:
+        self._max_open, self.open, self.opened = max_open, 0, 0
         self._idle: dict[tuple[str, int], list[Outgoing]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -319,63 +331,63 @@
         t0: int,
         done: Callable[[Reply], None],
         spare: Callable[[], None] = lambda: None,
-    ) -> Asking:
-        """Send a request; ``done`` is called once, unless it is given up before; ``spare`` on a second answer.
+    ) -> PendingRequest:
+        """Send a request; ``done`` is called once unless it is cancelled before, ``spare`` on a second answer.
 
-        ``name`` must be in the body of a 200; times are told from ``t0`` on.
+        The body of a 200 must contain ``name``; times are relative to ``t0``.
         """
-        asking = Asking(address, data, name, t0, done, spare)
+        pending = PendingRequest(address, data, name, t0, done, spare)
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
             if not connection.transport.is_closing():
-                connection.ask(asking)
-                return asking
-        self.fresh(asking)
-        return asking
-
-    def fresh(self, asking: Asking) -> None:
-        """Send a request on a connection of its own."""
-        asking.fresh = True
-        task = asyncio.get_running_loop().create_task(self._dial(asking))
+                connection.ask(pending)
+                return pending
+        self.send_on_new_connection(pending)
+        return pending
+
+    def send_on_new_connection(self, pending: PendingRequest) -> None:
+        """Send a request on a new connection."""
+        pending.is_on_new_connection = True
+        task = asyncio.get_running_loop().create_task(self._connect(pending))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, asking: Asking) -> None:
-        if self.open >= self._most:
-            asking.reply.trouble = "no connection left"
-            asking.done(asking.reply)
+    async def _connect(self, pending: PendingRequest) -> None:
+        if self.open >= self._max_open:
+            pending.reply.trouble = "no connection left"
+            pending.done(pending.reply)
             return
         self.open += 1
         try:
             _, connection = await asyncio.get_running_loop().create_connection(
-                lambda: Outgoing(self, asking.address), *asking.address
+                lambda: Outgoing(self, pending.address), *pending.address
             )
         except OSError:
             self.open -= 1
-            if not asking.left:
-                asking.reply.trouble = "refused"
-                asking.done(asking.reply)
+            if not pending.is_cancelled:
+                pending.reply.trouble = "refused"
+                pending.done(pending.reply)
             return
         self.opened += 1
-        if asking.left:
+        if pending.is_cancelled:
             connection.transport.abort()
         else:
-            connection.ask(asking)
+            connection.ask(pending)
 
-    def give_back(self, connection: Outgoing, address: tuple[str, int]) -> None:
-        """Keep a connection for its next request."""
+    def release(self, connection: Outgoing, address: tuple[str, int]) -> None:
+        """Keep a connection for reuse."""
         self._idle.setdefault(address, []).append(connection)
 
     def closed(self, connection: Outgoing, address: tuple[str, int]) -> None:
-        """Forget a connection."""
+        """Forget a closed connection."""
         self.open -= 1
         idle = self._idle.get(address)
         if idle and connection in idle:
             idle.remove(connection)
 
     def close(self) -> None:
-        """Close all that is idle."""
+        """Close all idle connections."""
         for idle in self._idle.values():
             for connection in list(idle):
                 connection.transport.abort()
--- a/cranebank/lab/hosts.py
+++ b/cranebank/lab/hosts.py
@@ -185,7 +185,7 @@
     def _heard_again(self) -> None:
         for link in list(self.links):
             assert isinstance(link, SocketLink)
-            link.connection.awake()
+            link.connection.resume_reading()
 
 
 async def run(part: Part, lines: Lines) -> None:
--- a/cranebank/lab/run.py
+++ b/cranebank/lab/run.py
@@ -310,14 +310,14 @@
         """Status and the beginning of the body; 0 where nothing came."""
         got: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
         data = f"GET {target} HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n".encode()
-        asking = Pool().ask(proxy.address, data, "", 0, got.set_result)
+        pending = Pool().ask(proxy.address, data, "", 0, got.set_result)
         try:
             async with asyncio.timeout(READY_S):
-                return (await got).status, asking.begins
+                return (await got).status, pending.body_start
         except TimeoutError:
             return 0, b""
         finally:  # also where the run was cancelled: nobody waits any more
-            asking.leave()
+            pending.leave()
 
     async def _counters(self) -> None:
         """Keep what each proxy has counted."""
--- a/tests/faulty_proxy.py
+++ b/tests/faulty_proxy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from cranebank.lab.exchange import Asking, Heard, Incoming, Pool
+from cranebank.lab.exchange import Heard, Incoming, PendingRequest, Pool
 from cranebank.lab.stage import Reply
 
 
@@ -67,11 +67,13 @@
         fields = "".join(f"{name}: {value}\r\n" for name, value in request.headers.items())
         data = f"{request.method} {request.target} HTTP/1.1\r\n{fields}\r\n".encode() + request.body
         host, _, port = entry["addr"].rpartition(":")
-        found: list[Asking] = []
+        found: list[PendingRequest] = []
         done = partial(self.done, connection, request, connection.owner, found)
         found.append(self.pool.ask((host, int(port)), data, "", 0, done))
 
-    def done(self, connection: Incoming, request: Heard, opened: list[str], found: list[Asking], reply: Reply) -> None:
+    def done(
+        self, connection: Incoming, request: Heard, opened: list[str], found: list[PendingRequest], reply: Reply
+    ) -> None:
         if connection.owner is not opened:
             return
         kind = opened[0]
@@ -81,7 +83,7 @@
             asyncio.get_running_loop().call_later(wait, self.leg, connection, request, self.first)
             return
         connection.owner = None
-        body = found[0].begins
+        body = found[0].body_start
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         if reply.status != 200:
             answer = b"HTTP/1.1 502 Bad\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_lab_faults.py
+++ b/tests/test_lab_faults.py
@@ -59,7 +59,7 @@
             try:
                 async with asyncio.timeout(wait):
                     reply = await got
-                    BODIES[id(reply)] = asking.begins
+                    BODIES[id(reply)] = asking.body_start
                     return reply
             except TimeoutError:
                 asking.leave()
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -109,7 +109,7 @@
 
     def wake(self) -> None:
         for connection in list(self.connections):
-            connection.awake()
+            connection.resume_reading()
 
 
 def offer(told: Scenario, proxy: Proxy, block: float = 0.0) -> tuple[list[records.Asked], Result]:
