--- a/cranebank/lab/arrivals.py
+++ b/cranebank/lab/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals, drawn ahead or read from a trace: the same seed gives the same requests, whatever is tried on them."""
+"""Arrivals, drawn in advance or read from a trace: a seed gives the same requests to every policy."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from cranebank.lab.scenario import Load, Scenario
 from cranebank.lab.streams import stream
 
-HINT_CV = 0.3  # how rough the hint of a request's cost is
-TRACE_ROWS = 5_000_000
+HINT_CV = 0.3  # coefficient of variation of the cost hints
+MAX_TRACE_LINES = 5_000_000
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """One request's first try: microseconds after the start, indices, work for the whole chain."""
+    """First try of a request; ``at`` and ``work`` in microseconds, ``work`` for all tiers, ``kind`` a class index."""
 
     at: int
     kind: int
@@ -30,7 +30,7 @@
 
 
 class TraceRow(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A line of a trace after its head."""
+    """A line of a trace after the first."""
 
     at_ms: float
     kind: str = msgspec.field(name="class")
@@ -47,7 +47,7 @@
 
 
 def times_of(load: Load, seconds: float, draw: np.random.Generator) -> NDArray[np.int64]:
-    """Arrival times in microseconds, in order, over ``seconds``."""
+    """Draw arrival times in microseconds, in order, over ``seconds``."""
     if load.shape == "steady":
         count = int(load.rate * seconds)
         return (np.arange(count) * 1e6 / load.rate).astype(np.int64)
@@ -65,7 +65,7 @@
 
 
 def work_of(mean_us: float, cv: float, count: int, draw: np.random.Generator) -> NDArray[np.float64]:
-    """Work, lognormal with this mean and coefficient of variation, in microseconds."""
+    """Draw lognormal work with this mean and coefficient of variation, in microseconds."""
     if cv <= 0.0:
         return np.full(count, mean_us)
     spread = np.log(1 + cv * cv)
@@ -73,17 +73,19 @@
 
 
 def arrivals(scenario: Scenario, beside: Path | None = None) -> list[Arrival]:
-    """All first tries of a scenario, in order of time. ``beside`` is the folder that a trace is named from."""
+    """Return all first tries of a scenario by time; the path of a trace is relative to ``beside``."""
     if scenario.load.shape == "trace":
         return read_trace((beside or Path()) / scenario.load.file, scenario)
     seed, load = scenario.seed, scenario.load
     at = times_of(load, scenario.seconds, stream(seed, "arrivals"))
     count = len(at)
-    kinds = stream(seed, "classes").choice(len(scenario.classes), count, p=_parts(c.share for c in scenario.classes))
+    kinds = stream(seed, "classes").choice(
+        len(scenario.classes), count, p=_normalised(c.share for c in scenario.classes)
+    )
     tenants = np.zeros(count, dtype=np.int64)
     if scenario.tenants:
-        parts = _parts(t.share for t in scenario.tenants)
-        tenants = stream(seed, "tenants").choice(len(scenario.tenants), count, p=parts)
+        shares = _normalised(t.share for t in scenario.tenants)
+        tenants = stream(seed, "tenants").choice(len(scenario.tenants), count, p=shares)
     work = np.zeros(count)
     for index, kind in enumerate(scenario.classes):
         drawn = work_of(kind.work_ms * 1000.0, kind.cv, count, stream(seed, "work", kind.name))
@@ -96,25 +98,25 @@
     ]
 
 
-def _parts(shares: Iterable[float]) -> NDArray[np.float64]:
-    parts: NDArray[np.float64] = np.array(list(shares), dtype=np.float64)
-    parts /= parts.sum()
-    return parts
+def _normalised(weights: Iterable[float]) -> NDArray[np.float64]:
+    shares: NDArray[np.float64] = np.array(list(weights), dtype=np.float64)
+    shares /= shares.sum()
+    return shares
 
 
 def write_trace(path: Path, rows: Iterable[Arrival], scenario: Scenario) -> None:
-    """Write arrivals as a trace: a head line, then one JSON object a line in order of time."""
+    """Write arrivals as a trace: a head line, then one JSON object per line, ordered by time."""
     with open(path, "wb") as file:
         file.write(msgspec.json.encode(TraceHead()) + b"\n")
         for row in rows:
-            told: dict[str, Any] = {"at_ms": row.at / 1000.0, "class": scenario.classes[row.kind].name}
+            line: dict[str, Any] = {"at_ms": row.at / 1000.0, "class": scenario.classes[row.kind].name}
             if scenario.tenants:
-                told["tenant"] = scenario.tenants[row.tenant].name
-            file.write(msgspec.json.encode(told | {"work_ms": row.work / 1000.0, "key": row.key}) + b"\n")
+                line["tenant"] = scenario.tenants[row.tenant].name
+            file.write(msgspec.json.encode(line | {"work_ms": row.work / 1000.0, "key": row.key}) + b"\n")
 
 
 def read_trace(path: Path, scenario: Scenario) -> list[Arrival]:
-    """Read a trace; a line that can't be used is a ``ConfigError`` with its number. Work that is left out is drawn."""
+    """Read a trace, drawing work that is left out; raise ``ConfigError`` with the number of an invalid line."""
     kinds = {kind.name: index for index, kind in enumerate(scenario.classes)}
     tenants = {tenant.name: index for index, tenant in enumerate(scenario.tenants)}
     draw, found, last = stream(scenario.seed, "work", "trace"), list[Arrival](), 0.0
@@ -122,15 +124,15 @@
         with open(path, "rb") as file:
             for number, line in enumerate(file, 1):
                 where = f"{path}: line {number}"
-                if number > TRACE_ROWS:
-                    raise ConfigError(f"{where}: expected at most {TRACE_ROWS} lines")
-                told = msgspec.json.decode(line)
+                if number > MAX_TRACE_LINES:
+                    raise ConfigError(f"{where}: expected at most {MAX_TRACE_LINES} lines")
+                decoded = msgspec.json.decode(line)
                 if number == 1:
-                    head = convert_checked(told, TraceHead, where)
+                    head = convert_checked(decoded, TraceHead, where)
                     if (head.format, head.version) != ("cranebank-trace", 1):
                         raise ConfigError(f"{where}: expected format cranebank-trace, version 1")
                     continue
-                row = convert_checked(told, TraceRow, where)
+                row = convert_checked(decoded, TraceRow, where)
                 if row.kind not in kinds:
                     raise ConfigError(f"{where}: class: expected one of {', '.join(kinds)}, got {row.kind[:60]!r}")
                 if row.tenant and row.tenant not in tenants:
--- a/cranebank/lab/clients.py
+++ b/cranebank/lab/clients.py
@@ -1,6 +1,6 @@
-"""The clients and the front without I/O: open-loop arrivals, tries, patience, and which proxy gets a request.
+"""Clients and front without I/O: open-loop arrivals, retries, timeouts, and the choice of a proxy per request.
 
-``load.py`` plays them on sockets, ``simulated/world.py`` in simulated time.
+``load.py`` runs them on sockets, ``simulated/world.py`` in simulated time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Request:
-    """A client's request over all of its tries."""
+    """A client's request with all of its tries."""
 
     __slots__ = ("arrival", "asked", "deadline", "first_sent", "number", "out", "timer", "tries", "zone")
 
@@ -29,7 +29,7 @@
 
 
 class Clients:
-    """Plays requests against the first tier's proxies; writes a record for each try."""
+    """Sends requests to the proxies of the first tier and writes a record for each try."""
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
         proxies: dict[str, int],
         idle: Callable[[], None],
     ) -> None:
-        """``proxies``: names and zones; ``idle`` is called whenever no request is open."""
+        """``proxies`` gives the zone of each proxy by name; ``idle`` is called whenever no request is open."""
         self._stage, self._scenario, self._rows, self._idle = stage, scenario, rows, idle
         self._zones = proxies
         self._names = sorted(proxies)
-        self._dead: dict[str, int] = {}  # until then the front leaves it out
+        self._avoided_until: dict[str, int] = {}  # by proxy: the front avoids it until then
         self._draws = stream(scenario.seed, "clients").random((max(1, len(rows)), 9)).tolist()
         slack = scenario.limits.answer_slack_ms + scenario.judge.slack_ms
-        self._slack = round(slack * 1000)  # an answer may be so late: what comes then still counts as an answer
+        self._slack = round(slack * 1000)  # an answer that is late by up to this still counts as an answer
         self.open = self.offered = self.served = self.unserved = 0
 
     def launch(self, number: int) -> None:
@@ -61,8 +61,8 @@
     def _try(self, request: Request) -> None:
         scenario, row, now = self._scenario, request.arrival, self._stage.now()
         kind, draws = scenario.classes[row.kind], self._draws[request.number]
-        begins = row.at if not request.tries else now
-        wait = min(round(scenario.clients.try_part * kind.deadline_ms * 1000), request.deadline - begins)
+        started_at = row.at if not request.tries else now
+        wait = min(round(scenario.clients.try_part * kind.deadline_ms * 1000), request.deadline - started_at)
         proxy = self._pick(draws[request.tries % 4], request.zone)
         name = f"c{request.number}-{request.tries}"
         key = row.key if kind.effect != "safe" else ""
@@ -76,16 +76,16 @@
             kind=row.kind,
             tenant=row.tenant,
             key=key,
-            intended=begins,
+            intended=started_at,
             sent=-1,
-            deadline=begins + wait,
+            deadline=started_at + wait,
             done=now,
             status=0,
             digest="",
         )
         until = asked.deadline + self._slack
         if draws[4 + request.tries % 4] < scenario.clients.impatient:
-            until, asked.gone = begins + round(wait * (0.1 + 0.8 * draws[request.tries % 4])), True
+            until, asked.gone = started_at + round(wait * (0.1 + 0.8 * draws[request.tries % 4])), True
         request.timer = self._stage.at(until, self._give_up, request)
         ask = Ask(
             name, asked.root, row.kind, row.tenant, key, row.work, asked.deadline - now, row.hint, request.tries > 0
@@ -99,26 +99,26 @@
         )
 
     def _pick(self, draw: float, zone: int) -> str:
-        """The front: any proxy of the client's zone that is not known as dead, else any other."""
+        """Return the front's choice: a proxy of the client's zone that isn't known as dead, else any other."""
         now = self._stage.now()
-        alive = [name for name in self._names if self._dead.get(name, -1) <= now] or self._names
+        alive = [name for name in self._names if self._avoided_until.get(name, -1) <= now] or self._names
         near = [name for name in alive if self._zones[name] == zone] or alive
         return near[int(draw * len(near))]
 
     def _give_up(self, request: Request) -> None:
         assert request.out is not None
         request.out.leave()
-        self._ended(request, request.out.reply)
+        self._end_try(request, request.out.reply)
 
     def _done(self, request: Request, reply: Reply) -> None:
         if request.timer is not None:
             request.timer.cancel()
         request.asked.gone = False
         if reply.trouble == "refused":
-            self._dead[request.asked.proxy] = self._stage.now() + round(self._scenario.clients.notice_s * 1e6)
-        self._ended(request, reply)
+            self._avoided_until[request.asked.proxy] = self._stage.now() + round(self._scenario.clients.notice_s * 1e6)
+        self._end_try(request, reply)
 
-    def _ended(self, request: Request, reply: Reply) -> None:
+    def _end_try(self, request: Request, reply: Reply) -> None:
         asked, now = request.asked, self._stage.now()
         asked.done, asked.sent = now, reply.sent
         asked.status, asked.digest, asked.retry_after = reply.status, reply.digest, reply.retry_after
@@ -128,7 +128,7 @@
         self._stage.write(asked)
         if reply.status == 200:
             self.served += 1
-        elif (at := self._again_at(request, reply, now)) is not None:
+        elif (at := self._retry_at(request, reply, now)) is not None:
             request.tries += 1
             self._stage.at(at, self._try, request)
             return
@@ -138,13 +138,13 @@
         if not self.open:
             self._idle()
 
-    def _again_at(self, request: Request, reply: Reply, now: int) -> int | None:
-        """When the client tries again, if it does: as the class allows, later with each try."""
+    def _retry_at(self, request: Request, reply: Reply, now: int) -> int | None:
+        """Return when the client retries, with exponential backoff, or None if the class or the deadline forbids it."""
         clients, kind = self._scenario.clients, self._scenario.classes[request.arrival.kind]
         if request.tries >= clients.retries or request.asked.gone:
             return None
-        harmless = reply.status in (429, 503) or reply.trouble in ("refused", "no connection left")
-        if kind.effect == "unsafe" and not harmless:
+        is_safe_to_retry = reply.status in (429, 503) or reply.trouble in ("refused", "no connection left")
+        if kind.effect == "unsafe" and not is_safe_to_retry:
             return None
         draws = self._draws[request.number]
         wait = clients.backoff_ms * 1000 * 2**request.tries * (0.5 + draws[request.tries % 4])
--- a/cranebank/lab/discovery.py
+++ b/cranebank/lab/discovery.py
@@ -1,6 +1,7 @@
-"""The stand-in of discovery on sockets: late, of bounded capacity, whole list and watch, and it may lie.
+"""Stand-in for discovery on sockets: delayed, of bounded capacity, with list and watch calls, and possibly false.
 
-One port for each proxy, so that what was told to whom and when is known. ``python -m cranebank.lab.discovery PART``.
+Each proxy has a port of its own, so that the records show what was sent to which proxy and when.
+The runner starts this module as ``python -m cranebank.lab.discovery PART``.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 from cranebank.lab.exchange import Heard, Incoming, now_us
 from cranebank.lab.plan import HostPlan, Notice, phantoms
 
-EMPTY_S = 2.0  # an empty line comes so often while nothing changes
-HISTORY = 100_000
+KEEPALIVE_INTERVAL_S = 2.0  # interval of the empty lines that keep a watch alive
+MAX_CHANGES = 100_000
 
 
 class Registry:
-    """What discovery knows of one tier: a version, the entries, the changes. No I/O."""
+    """Discovery's state of one tier: version, entries and recent changes. No I/O."""
 
     def __init__(self, hosts: list[HostPlan], zones: tuple[str, ...], kinds: list[str]) -> None:
         self._zones, self._kinds = zones, kinds
@@ -35,32 +36,32 @@
         self._changes: list[tuple[int, str]] = []
 
     def learn(self, notice: Notice) -> bool:
-        """Take news of a host; whether anything has changed."""
-        told = (notice.state, notice.started)
+        """Apply a notice of a host; return whether anything changed."""
+        entry = (notice.state, notice.started)
         if notice.state == "DELETED":
             if self._entries.pop(notice.host, None) is None:
                 return False
-        elif self._entries.get(notice.host) == told:
+        elif self._entries.get(notice.host) == entry:
             return False
         else:
-            self._entries[notice.host] = told
+            self._entries[notice.host] = entry
         self.version += 1
         self._changes.append((self.version, notice.host))
-        del self._changes[:-HISTORY]
+        del self._changes[:-MAX_CHANGES]
         return True
 
     def since(self, version: int) -> tuple[bool, list[str]]:
-        """The hosts to name to who has this version: (True, all of them) where the changes don't reach back."""
+        """Return the hosts changed since a version, or (True, all hosts) if the changes don't reach back that far."""
         if version < 1 or version > self.version or (self._changes and version < self._changes[0][0] - 1):
             return True, list(self._entries)
         return False, list(dict.fromkeys(name for at, name in self._changes if at > version))
 
     def state(self, name: str) -> tuple[str, int]:
-        """What is known of a host: its state, and its start on the run's clock."""
+        """Return the state of a host and its start on the run's clock."""
         return self._entries.get(name, ("DELETED", 0))
 
     def entry(self, name: str, address: str, epoch_ms: float) -> dict[str, object]:
-        """One host in discovery's form."""
+        """Return the entry of one host in discovery's format."""
         state, started = self.state(name)
         host = self._plans.get(name)
         return {
@@ -76,69 +77,69 @@
 
 
 class Desk:
-    """Calls are handled one after another; one that has waited for too long gets 503."""
+    """Handles calls one after another; a call that would wait for too long gets 503."""
 
     def __init__(self, call_s: float, timeout_s: float) -> None:
-        self._call, self._timeout = call_s, timeout_s
+        self._call_s, self._timeout_s = call_s, timeout_s
         self._free_at = 0.0
 
     def wait(self, now: float) -> float | None:
-        """Seconds until this call is answered, or None if it would wait for too long."""
-        begins = max(now, self._free_at)
-        if begins - now > self._timeout:
+        """Return the seconds until a call is answered, or None if it would wait for too long."""
+        starts_at = max(now, self._free_at)
+        if starts_at - now > self._timeout_s:
             return None
-        self._free_at = begins + self._call
+        self._free_at = starts_at + self._call_s
         return self._free_at - now
 
 
 class Port:
-    """Where one proxy asks."""
+    """The port at which one proxy calls discovery."""
 
     def __init__(self, service: Service, proxy: str, tier: int, address: Address) -> None:
         self._service, self.proxy, self.tier, self.address = service, proxy, tier, address
         self.connections: set[Incoming] = set()
-        self.watches: dict[Incoming, int] = {}  # the version last told
+        self.watches: dict[Incoming, int] = {}  # the version last sent
         self._server: asyncio.Server | None = None
-        self._ending: asyncio.Task[None] | None = None
+        self._closing: asyncio.Task[None] | None = None
 
     async def listen(self) -> None:
-        """Accept."""
-        if self._ending is not None:
-            await self._ending
+        """Accept connections."""
+        if self._closing is not None:
+            await self._closing
         self._server = await asyncio.get_running_loop().create_server(
             lambda: Incoming(self), *self.address, reuse_address=True
         )
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def down(self) -> None:
-        """Refuse, and end what is open."""
+        """Refuse new connections and close open ones."""
         if self._server is not None:
-            self._ending = asyncio.get_running_loop().create_task(self._end(self._server))
+            self._closing = asyncio.get_running_loop().create_task(self._close(self._server))
             self._server = None
         for connection in list(self.connections):
             connection.transport.abort()
 
     @staticmethod
-    async def _end(server: asyncio.Server) -> None:
+    async def _close(server: asyncio.Server) -> None:
         await stop_accepting(server)
         server.close()
 
     def connected(self, connection: Incoming) -> bool:
-        """A proxy connects; one that was let in as discovery went down is turned away."""
+        """Register a connection; reject one that was accepted while discovery went down."""
         self.connections.add(connection)
         return self._server is not None
 
     def deaf(self) -> bool:
-        """Never."""
+        """Return False: discovery always reads."""
         return False
 
     def closed(self, connection: Incoming) -> None:
-        """A connection is over, and its watch with it."""
+        """Forget a connection and its watch."""
         self.connections.discard(connection)
         self.watches.pop(connection, None)
 
     def heard(self, connection: Incoming, request: Heard) -> None:
-        """A call for the list or a watch."""
+        """Handle a call for the list or for a watch."""
         wait = self._service.desk.wait(time.monotonic())
         if wait is None or urlsplit(request.target).path != "/api/targets":
             connection.answer(b"HTTP/1.1 503 Busy\r\n" if wait is None else b"HTTP/1.1 404 No\r\n")
@@ -150,14 +151,14 @@
             return
         asked = parse_qs(urlsplit(target).query)
         if asked.get("watch") != ["1"]:
-            connection.answer(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n", self._line(0)[:-1])
+            connection.answer(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n", self._update_line(0)[:-1])
             return
         since = asked.get("from", ["0"])[0]
         connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.watches[connection] = self._service.registries[self.tier].version
-        self._write(connection, self._line(int(since) if since.isdigit() else 0))
+        self._write(connection, self._update_line(int(since) if since.isdigit() else 0))
 
-    def _line(self, since: int) -> bytes:
+    def _update_line(self, since: int) -> bytes:
         service, registry = self._service, self._service.registries[self.tier]
         full, names = registry.since(since)
         entries = [registry.entry(name, service.address(name), service.epoch_ms) for name in names]
@@ -165,10 +166,10 @@
         for entry in entries:
             service.writer.write(
                 records.Told(
-                    now, self.proxy, str(entry["id"]), str(entry["state"]), registry_start(entry, service.epoch_ms)
+                    now, self.proxy, str(entry["id"]), str(entry["state"]), entry_start(entry, service.epoch_ms)
                 )
             )
-        if full:  # what is not named is gone
+        if full:  # hosts that a full list leaves out were removed
             service.writer.write(records.Told(now, self.proxy, "*", ",".join(names), 0))
         return msgspec.json.encode({"version": registry.version, "full": full, "servers": entries}) + b"\n"
 
@@ -177,28 +178,28 @@
             connection.transport.write(b"%x\r\n%s\r\n" % (len(line), line))
 
     def push(self) -> None:
-        """Tell all that watch what is new to them."""
+        """Send the changes to all watches that don't have them yet."""
         version = self._service.registries[self.tier].version
-        for connection, told in list(self.watches.items()):
-            if told < version:
-                self._write(connection, self._line(told))
+        for connection, sent_version in list(self.watches.items()):
+            if sent_version < version:
+                self._write(connection, self._update_line(sent_version))
                 self.watches[connection] = version
 
-    def breathe(self) -> None:
-        """An empty line, for as long as nothing changes."""
+    def send_keepalive(self) -> None:
+        """Send an empty line to each watch."""
         for connection in list(self.watches):
             self._write(connection, b"\n")
 
 
-def registry_start(entry: dict[str, object], epoch_ms: float) -> int:
-    """An entry's start on the run's clock, 0 for long ago."""
+def entry_start(entry: dict[str, object], epoch_ms: float) -> int:
+    """Return the start of an entry's host on the run's clock, 0 if it was before the run."""
     started = entry["started_ms"]
     assert isinstance(started, int)
     return round((started - epoch_ms) * 1000) if started else 0
 
 
 class Service:
-    """All of discovery."""
+    """Discovery for all tiers."""
 
     def __init__(self, part: Part) -> None:
         scenario, plan = part.scenario, part.plan
@@ -215,16 +216,16 @@
         self._addresses = part.addresses
 
     def now(self) -> int:
-        """Microseconds after the start; -1 before it."""
+        """Return the microseconds since the start, or -1 before it."""
         return now_us() - self.t0 if self.t0 else records.NEVER
 
     def address(self, name: str) -> str:
-        """Where a host is; one that never was is at a port that nobody has."""
+        """Return the address of a host; a host that never existed gets a port where nothing listens."""
         ip, port = self._addresses.get(name, ("127.0.0.1", 9))
         return f"{ip}:{port}"
 
     def live(self, go: Go) -> None:
-        """Play the plan from its start."""
+        """Schedule the notices and outages of the plan."""
         self.t0 = go.at
         self.epoch_ms = time.time() * 1000 + (go.at - now_us()) / 1000
         loop = asyncio.get_running_loop()
@@ -237,7 +238,7 @@
         for outage in self.plan.outages:
             later(outage.at, self._down)
             later(outage.until, self._up)
-        self._breathe()
+        self._send_keepalives()
 
     def _learn(self, notice: Notice) -> None:
         tier = self._tiers[notice.host]
@@ -255,22 +256,22 @@
             task = asyncio.get_running_loop().create_task(port.listen())
             task.add_done_callback(lambda t: t.exception())
 
-    def _breathe(self) -> None:
+    def _send_keepalives(self) -> None:
         for port in self.ports:
-            port.breathe()
-        asyncio.get_running_loop().call_later(EMPTY_S, self._breathe)
+            port.send_keepalive()
+        asyncio.get_running_loop().call_later(KEEPALIVE_INTERVAL_S, self._send_keepalives)
 
 
 async def run(part: Part, lines: Lines) -> None:
-    """Play discovery."""
+    """Run discovery."""
     service = Service(part)
     for port in service.ports:
         await port.listen()
     say({port.proxy: port.address for port in service.ports})
-    told = await lines.next()
-    if told is None:
+    line = await lines.next()
+    if line is None:
         return
-    service.live(msgspec.json.decode(told, type=Go))
+    service.live(msgspec.json.decode(line, type=Go))
     with contextlib.suppress(asyncio.CancelledError):
         await lines.next()
     service.writer.close()
--- a/cranebank/lab/hosts.py
+++ b/cranebank/lab/hosts.py
@@ -1,6 +1,6 @@
 """The stand-in hosts of one tier on sockets: PROTOCOL around ``host.StandIn``.
 
-``python -m cranebank.lab.hosts PART``, started by the runner.
+The runner starts this module as ``python -m cranebank.lab.hosts PART``.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from cranebank.lab.plan import HostPlan
 from cranebank.lab.stage import Ask, Out, Reply
 
-FLUSH_S = 0.5
-NOISE = b"\x16\x03\x01 this is no answer \xff\xfe\r\n\r\n" * 3
+FLUSH_INTERVAL_S = 0.5
+INVALID_ANSWER = b"\x16\x03\x01 this is no answer \xff\xfe\r\n\r\n" * 3
 REASONS = {200: b"OK", 400: b"No", 404: b"No", 500: b"Failed", 503: b"Busy"}
 
 
 class SocketStage:
-    """The world of a process's hosts, in one event loop."""
+    """Stage of the hosts of one process, on one event loop."""
 
     def __init__(self, part: Part) -> None:
         self.scenario, self.plan = part.scenario, part.plan
@@ -44,26 +44,26 @@
         self.proxies: dict[str, Address] = {}
 
     def now(self) -> int:
-        """Microseconds after the start."""
+        """Return the microseconds since the start."""
         return now_us() - self.t0
 
     def at(self, when: int, do: Callable[..., Any], *arguments: Any) -> asyncio.TimerHandle:
-        """Call at a time after the start."""
+        """Call ``do`` at a time after the start."""
         return asyncio.get_running_loop().call_later(max(0, when - self.now()) / 1e6, do, *arguments)
 
     def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
-        """Ask a proxy; zones add no delay on sockets."""
+        """Send a request to a proxy; zones add no delay on sockets."""
         return self.pool.ask(self.proxies[proxy], request_bytes(ask, self.scenario), ask.id, self.t0, done, spare)
 
 
 class SocketLink:
-    """A connection as the host sees it."""
+    """A proxy's connection, as a host sees it."""
 
     def __init__(self, connection: Incoming) -> None:
         self.connection, self.request = connection, None
 
     def answer(self, status: int, body: bytes = b"", load: str = "", not_run: bool = False) -> None:
-        """A whole answer."""
+        """Send a whole answer."""
         head = b"HTTP/1.1 %d %s\r\n" % (status, REASONS[status])
         if not_run:
             head += b"X-Not-Run: 1\r\n"
@@ -72,45 +72,45 @@
         self.connection.answer(head, body)
 
     def spoil(self, cut: bool) -> None:
-        """An answer cut in the middle, or what is none."""
+        """Send half an answer and reset the connection (``cut``), or send bytes that are no HTTP."""
         if cut:
             half = b"HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + b"half" * 50
             self.connection.transport.write(half)
             self.connection.transport.abort()
         else:
-            self.connection.transport.write(NOISE)
+            self.connection.transport.write(INVALID_ANSWER)
 
     def abort(self) -> None:
-        """End the connection."""
+        """Reset the connection."""
         self.connection.transport.abort()
 
 
 class SocketHost(StandIn):
-    """A host that listens at an address, which is kept for good once it is known."""
+    """A host that listens on sockets; it keeps its address over restarts."""
 
     def __init__(self, stage: SocketStage, host: HostPlan, address: Address) -> None:
         super().__init__(stage, host)
-        self.address, self._sockets = address, stage
+        self.address, self._socket_stage = address, stage
         self._server: asyncio.Server | None = None
-        self._blocked: list[socket.socket] = []
-        self._turning: asyncio.Task[None] | None = None
+        self._blocking_sockets: list[socket.socket] = []
+        self._gate_change: asyncio.Task[None] | None = None
 
     async def listen(self) -> None:
         """Accept connections."""
-        for block in self._blocked:
+        for block in self._blocking_sockets:
             block.close()
-        self._blocked.clear()
+        self._blocking_sockets.clear()
         self._server = await asyncio.get_running_loop().create_server(
             lambda: Incoming(self), *self.address, reuse_address=True, backlog=1024
         )
         self.address = self._server.sockets[0].getsockname()[:2]
 
     def gate(self, refuse: bool, silent: bool = False) -> None:
-        """Refuse connections, leave them unanswered, or take them again."""
-        self._turning = asyncio.get_running_loop().create_task(self._turn_to(self._turning, refuse, silent))
+        """Refuse new connections, leave them unanswered, or accept them again."""
+        self._gate_change = asyncio.get_running_loop().create_task(self._change_gate(self._gate_change, refuse, silent))
 
-    async def _turn_to(self, before: asyncio.Task[None] | None, refuse: bool, silent: bool) -> None:
-        """One after the other: the address is free for the next only when the one before has let go of it."""
+    async def _change_gate(self, before: asyncio.Task[None] | None, refuse: bool, silent: bool) -> None:
+        """Apply a gate change after the one before, which must have released the address first."""
         if before is not None:
             await before
         if self._server is not None:
@@ -123,49 +123,49 @@
             self._block()
 
     def _block(self) -> None:
-        """Let new connections neither come up nor be refused: a full backlog that nobody empties."""
+        """Leave new connections unanswered: the listen backlog is full and never accepted from."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(self.address)
         sock.listen(0)
-        self._blocked.append(sock)
+        self._blocking_sockets.append(sock)
         for _ in range(2):
             filler = socket.socket()
             filler.setblocking(False)
             with contextlib.suppress(OSError):
                 filler.connect(self.address)
-            self._blocked.append(filler)
+            self._blocking_sockets.append(filler)
 
-    # What a connection calls.
+    # Callbacks of connections.
 
     def connected(self, connection: Incoming) -> bool:
-        """A proxy connects."""
+        """Accept or reject a connection."""
         connection.owner = SocketLink(connection)
         return self.opened(connection.owner)
 
     def deaf(self) -> bool:
-        """Whether bytes that come are left unread."""
+        """Return whether received data must stay unread."""
         return self.hushed
 
     def closed(self, connection: Incoming) -> None:
-        """A connection is over."""
+        """Forget a closed connection."""
         self.lost(connection.owner)
 
     def heard(self, connection: Incoming, request: Heard) -> None:
-        """A whole request has come."""
+        """Handle a probe or a leg."""
         link: SocketLink = connection.owner
-        if link.request is not None:  # one at a time on each connection
+        if link.request is not None:  # a connection carries one request at a time
             link.abort()
         elif request.target in ("/-/load", "/-/healthy"):
             self.probe(link, request.target == "/-/load")
         elif isinstance(ask := self._ask(request.headers), Ask):
-            self.request(link, ask, request.first - self._sockets.t0)
+            self.request(link, ask, request.first - self._socket_stage.t0)
         else:
             link.answer(ask)
 
     def _ask(self, headers: dict[str, str]) -> Ask | int:
-        """What a request asks for, or the status that refuses it."""
-        name, kind = headers.get("x-request-id", ""), self._sockets.kinds.get(headers.get("x-class", ""))
+        """Return the parsed request, or the status that rejects it."""
+        name, kind = headers.get("x-request-id", ""), self._socket_stage.kinds.get(headers.get("x-class", ""))
         extras = dict(pair.partition("=")[::2] for pair in headers.get("x-extras", "").split(","))
         if not name:
             return 404
@@ -189,19 +189,19 @@
 
 
 async def run(part: Part, lines: Lines) -> None:
-    """Play the hosts of one tier, or a share of them."""
+    """Run the hosts of one tier, or a share of them."""
     stage = SocketStage(part)
     mine = [h for h in part.plan.hosts if h.tier == part.tier][part.share :: part.of]
     hosts = [SocketHost(stage, host, part.addresses[host.name]) for host in mine]
     for host in hosts:
         await host.listen()
-        if host.host.start:  # its address is known from now on; it is refused until it starts
+        if host.host.start:  # the address is known from now on, but refuses connections until the host starts
             host.gate(True)
     say({host.host.name: host.address for host in hosts})
-    told = await lines.next()
-    if told is None:
+    line = await lines.next()
+    if line is None:
         return
-    go = msgspec.json.decode(told, type=Go)
+    go = msgspec.json.decode(line, type=Go)
     stage.t0, stage.proxies = go.at, go.proxies
     for host in hosts:
         host.up = not host.host.start
@@ -209,7 +209,7 @@
 
     async def flush() -> None:
         while True:
-            await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             stage.writer.flush()
 
     task = asyncio.get_running_loop().create_task(flush())
--- a/cranebank/lab/load.py
+++ b/cranebank/lab/load.py
@@ -1,8 +1,8 @@
-"""Open-loop load on sockets: each request goes out at its intended time, whatever became of those before it.
+"""Open-loop load on sockets: each request is sent at its intended time, whatever happened to earlier requests.
 
-Latency counts from the intended time, so a proxy that stalls can't hide its stall by holding the generator up
-(coordinated omission; Tene, wrk2). How late the generator itself was is written down; the runner gives no
-result where that was too much. ``python -m cranebank.lab.load PART``, started by the runner.
+Latency counts from the intended time, so a proxy can't hide a stall by delaying the generator (coordinated omission;
+Tene, wrk2). The generator records its own lateness, and a run whose generator was too late gives no result.
+The runner starts this module as ``python -m cranebank.lab.load PART``.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 from cranebank.lab.scenario import Scenario
 from cranebank.lab.stage import Ask, Out, Reply
 
-BATCH = 32  # requests launched before the loop gets its turn
+LAUNCHES_PER_YIELD = 32  # requests sent before yielding to the event loop
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """Where a run is: seconds, first tries offered, requests served, requests ended otherwise."""
+    """Progress of a run: seconds, first tries sent, requests served, requests ended without service."""
 
     at: float
     offered: int
@@ -40,7 +40,7 @@
 
 
 class Generator:
-    """The clients' stage on sockets."""
+    """Stage of the clients on sockets."""
 
     def __init__(
         self,
@@ -55,61 +55,61 @@
         self.repeats = Repeats(1)
         self._rows, self._proxies = rows, proxies
         self._pool = Pool(scenario.load.connections)
-        self._over = asyncio.Event()
-        self._late: list[int] = []
+        self._all_done = asyncio.Event()
+        self._lateness: list[int] = []
         self._t0 = 0
-        self.clients = Clients(self, scenario, rows, zones or dict.fromkeys(proxies, 0), self._over.set)
+        self.clients = Clients(self, scenario, rows, zones or dict.fromkeys(proxies, 0), self._all_done.set)
 
     def now(self) -> int:
-        """Microseconds after the start."""
+        """Return the microseconds since the start."""
         return now_us() - self._t0
 
     def at(self, when: int, do: Callable[..., Any], *arguments: Any) -> asyncio.TimerHandle:
-        """Call at a time after the start."""
+        """Call ``do`` at a time after the start."""
         return asyncio.get_running_loop().call_later(max(0, when - self.now()) / 1e6, do, *arguments)
 
     def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
-        """Ask a proxy."""
+        """Send a request to a proxy."""
         return self._pool.ask(self._proxies[proxy], request_bytes(ask, self.scenario), ask.id, self._t0, done, spare)
 
     async def play(self, t0: int) -> records.Generator:
-        """Offer everything, from ``t0`` on; return how late the generator itself was."""
+        """Send all requests, with times relative to ``t0``, and return the lateness of the generator."""
         self._t0, began = t0, resource.getrusage(resource.RUSAGE_SELF)
         for number, row in enumerate(self._rows):
             wait = row.at - self.now()
             if wait > 0:
                 await asyncio.sleep(wait / 1e6)
-            elif number % BATCH == 0:
+            elif number % LAUNCHES_PER_YIELD == 0:
                 await asyncio.sleep(0)
-            self._late.append(self.now() - row.at)
+            self._lateness.append(self.now() - row.at)
             self.clients.launch(number)
         while self.clients.open:
-            self._over.clear()
-            await self._over.wait()
+            self._all_done.clear()
+            await self._all_done.wait()
         self._pool.close()
         used = resource.getrusage(resource.RUSAGE_SELF)
         cpu = used.ru_utime + used.ru_stime - began.ru_utime - began.ru_stime
-        late = np.array(self._late or [0])
+        lateness = np.array(self._lateness or [0])
         return records.Generator(
             len(self._rows),
-            int(np.percentile(late, 50)),
-            int(np.percentile(late, 99)),
-            int(late.max()),
+            int(np.percentile(lateness, 50)),
+            int(np.percentile(lateness, 99)),
+            int(lateness.max()),
             cpu,
             self.now() / 1e6,
         )
 
 
 async def run(part: Part, lines: Lines) -> None:
-    """Play the clients."""
+    """Run the clients."""
     scenario = part.scenario
     rows = arrivals(scenario, Path(part.beside))
     writer = records.Writer(Path(part.records))
     say({"arrivals": len(rows)})
-    told = await lines.next()
-    if told is None:
+    line = await lines.next()
+    if line is None:
         return
-    go = msgspec.json.decode(told, type=Go)
+    go = msgspec.json.decode(line, type=Go)
     zones = {proxy.name: proxy.zone for proxy in part.plan.proxies if proxy.tier == 0}
     generator = Generator(scenario, rows, {name: go.proxies[name] for name in zones}, writer.write, zones)
     clients = generator.clients
