--- a/cranebank/lab/scenario.py
+++ b/cranebank/lab/scenario.py
@@ -1,6 +1,6 @@
-"""Scenario and experiment files: what they may say, typed and checked. No I/O.
+"""Typed and checked contents of scenario and experiment files. No I/O.
 
-Units are in the names: ``_ms``, ``_s``; work is the time that a request takes on one core of speed 1.
+Names end in their units, ``_ms`` or ``_s``; work is the time that a request takes on one core of speed 1.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from msgspec import Meta, Struct
 
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,59}$")]
-Part = Annotated[float, Meta(ge=0.0, le=1.0)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
-Span = Annotated[float, Meta(ge=0.0, le=1e6)]
+NonNegative = Annotated[float, Meta(ge=0.0, le=1e6)]
 Count = Annotated[int, Meta(ge=0, le=100_000)]
 
 POLICIES = Literal["cranebank", "random", "least-outstanding", "oracle"]
@@ -58,17 +58,17 @@
 
 
 class Load(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Open-loop arrivals of first tries, in requests a second. ``file`` is a trace (see docs/lab.md)."""
+    """Open-loop arrivals of first tries, in requests per second; ``file`` is a trace (see docs/lab.md)."""
 
     shape: Literal["poisson", "steady", "wave", "step", "trace"] = "poisson"
     rate: Positive = 50.0
-    swing: Part = 0.3  # wave: so much of the rate up and down
-    period_s: Positive = 10.0  # wave
-    step_at_s: Span = 0.0  # step: from here on
-    step_to: Positive = 100.0  # step: the rate then
+    swing: Fraction = 0.3  # wave: amplitude as a fraction of the rate
+    period_s: Positive = 10.0  # wave: length of a period
+    step_at_s: NonNegative = 0.0  # step: when the rate changes
+    step_to: Positive = 100.0  # step: the rate after the change
     file: str = ""
-    keys: Annotated[int, Meta(ge=1, le=1_000_000_000)] = 1_000_000  # keyed requests draw from so many
-    connections: Annotated[int, Meta(ge=1, le=20_000)] = 1000  # clients' connections to all proxies, at most
+    keys: Annotated[int, Meta(ge=1, le=1_000_000_000)] = 1_000_000  # number of keys that keyed requests draw from
+    connections: Annotated[int, Meta(ge=1, le=20_000)] = 1000  # maximum of client connections to all proxies
 
     def __post_init__(self) -> None:
         if (self.shape == "trace") != bool(self.file):
@@ -76,30 +76,30 @@
 
 
 class Clients(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How clients behave: a try is given up after ``try_part`` of the class's deadline, then tried again."""
+    """Behaviour of clients: a try times out after ``try_part`` of the class's deadline, and is then repeated."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 2
     try_part: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.6
-    backoff_ms: Span = 60.0  # mean, doubled with each try
-    honour: Part = 1.0  # so many heed Retry-After
-    notice_s: Span = 1.0  # until the front tries a dead proxy again
-    impatient: Part = 0.0  # so many tries are left before their time
+    backoff_ms: NonNegative = 60.0  # mean delay before a retry, doubled with each try
+    honour: Fraction = 1.0  # fraction of clients that obey Retry-After
+    notice_s: NonNegative = 1.0  # time for which the front avoids a dead proxy
+    impatient: Fraction = 0.0  # fraction of tries that the client abandons before the timeout
 
 
 class Class(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A class of request."""
+    """A class of requests."""
 
     name: Name
-    share: Part
+    share: Fraction
     work_ms: Positive
-    cv: Span = 0.4  # of the work, lognormal; 0 is fixed
-    attempt_noise: Span = 0.1  # how much two legs of one request differ
+    cv: NonNegative = 0.4  # coefficient of variation of the work (lognormal); 0: constant
+    attempt_noise: NonNegative = 0.1  # coefficient of variation between the legs of one request
     aim_ms: Positive
     deadline_ms: Positive
-    worth: Span = 1.0
-    late_worth: Part = 0.0
+    worth: NonNegative = 1.0
+    late_worth: Fraction = 0.0
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
-    window_ms: Span = 0.0  # keyed: for how long hosts drop a repeat
+    window_ms: NonNegative = 0.0  # keyed: time for which hosts ignore the effect of a repeat
 
     def __post_init__(self) -> None:
         if self.aim_ms > self.deadline_ms:
@@ -109,152 +109,152 @@
 
 
 class Tenant(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A tenant: its part of the traffic, and the rate that is within its share (0: no quota)."""
+    """A tenant: its fraction of the traffic, and its quota as a rate per second (0: no quota)."""
 
     name: Name
-    share: Part
-    quota: Span = 0.0
+    share: Fraction
+    quota: NonNegative = 0.0
 
 
 class Kind(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A kind of host."""
+    """A kind of hosts."""
 
     name: Name
     count: Annotated[int, Meta(ge=1, le=100_000)]
     cores: Annotated[int, Meta(ge=1, le=1024)] = 2
     speed: Positive = 1.0
-    speed_cv: Span = 0.1
-    slots: Annotated[int, Meta(ge=1, le=100_000)] = 24  # requests in work at once
-    queue: Count = 40  # requests waiting
-    thrash: Part = 0.0  # capacity lost for each doubling of the slots in use beyond the cores
-    error_rate: Part = 0.0
+    speed_cv: NonNegative = 0.1
+    slots: Annotated[int, Meta(ge=1, le=100_000)] = 24  # maximum of requests in progress
+    queue: Count = 40  # maximum of queued requests
+    thrash: Fraction = 0.0  # loss of capacity per doubling of the slots in use beyond the cores
+    error_rate: Fraction = 0.0
 
 
 class Choke(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Slow mode: entered after ``over_s`` with more than ``at`` waiting a core, left when mostly idle."""
+    """Slow mode: starts after ``over_s`` with more than ``at`` requests queued per core, ends when mostly idle."""
 
     at: Positive
-    over_s: Positive = 2.0
-    slower: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.5
-    rest_s: Positive = 3.0
-    below: Part = 0.4  # of the cores busy: mostly idle
-    most_s: Positive = 20.0
+    over_s: Positive = 2.0  # time above ``at`` before slow mode starts
+    slower: Annotated[float, Meta(ge=1.0, le=100.0)] = 2.5  # slowdown factor
+    rest_s: Positive = 3.0  # time mostly idle before slow mode ends
+    below: Fraction = 0.4  # mostly idle means less than this fraction of the cores busy
+    most_s: Positive = 20.0  # longest duration of slow mode
 
 
 class Tier(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One tier of hosts and the proxies in front of it, before each its callers."""
+    """One tier of hosts and the proxies in front of it, which the tier above (or the clients) calls."""
 
     name: Name
     kind: Annotated[tuple[Kind, ...], Meta(min_length=1)]
-    work: Part = 1.0  # its part of a request's work
-    calls: Annotated[float, Meta(ge=0.0, le=10.0)] = 1.0  # to the next tier for each request, on average
-    proxies: Annotated[int, Meta(ge=0, le=1000)] = 2  # 0: one for each host of the tier above
-    processes: Annotated[int, Meta(ge=1, le=64)] = 1  # that play the hosts
+    work: Fraction = 1.0  # its fraction of a request's work
+    calls: Annotated[float, Meta(ge=0.0, le=10.0)] = 1.0  # mean number of calls to the next tier per request
+    proxies: Annotated[int, Meta(ge=0, le=1000)] = 2  # 0: one per host of the tier above
+    processes: Annotated[int, Meta(ge=1, le=64)] = 1  # number of processes that run the hosts
     choke: Choke | None = None
 
 
 class Cold(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How hosts start: from ``share`` of their capacity, evenly up over ``warm_s``; when they fall over."""
+    """Cold starts: capacity rises linearly from ``share`` to 1 over ``warm_s``; too much work fails a cold host."""
 
     share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.4
-    warm_s: Span = 5.0
-    fall_multiple: Annotated[float, Meta(ge=1.0, le=1000.0)] = 4.0
-    fall_s: Annotated[float, Meta(gt=0.0, le=1000.0)] = 3.0
+    warm_s: NonNegative = 5.0
+    fall_multiple: Annotated[float, Meta(ge=1.0, le=1000.0)] = 4.0  # a host fails above this multiple of its capacity
+    fall_s: Annotated[float, Meta(gt=0.0, le=1000.0)] = 3.0  # window over which the work is counted
 
 
 class Connections(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Connections to hosts."""
+    """Connections from proxies to hosts."""
 
-    handshake_ms: Span = 2.0  # work that a new one costs the host
-    cap: Annotated[int, Meta(ge=1, le=100_000)] = 1200  # for each host
+    handshake_ms: NonNegative = 2.0  # work of the host for a new connection
+    cap: Annotated[int, Meta(ge=1, le=100_000)] = 1200  # maximum per host
     idle_s: Positive = 15.0
     dial_timeout_ms: Positive = 250.0
 
 
 class Reports(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Load reports: ``inflight`` and ``queue``, on probes or with answers, refreshed now and then, late."""
+    """Load reports (``inflight`` and ``queue``), on probes or with answers: sampled periodically, delivered late."""
 
     source: Literal["probe", "answers", "none"] = "probe"
     period_ms: Positive = 100.0
-    delay_ms: Span = 50.0
-    probe_ms: Span = 1.0  # work that a probe costs the host
+    delay_ms: NonNegative = 50.0
+    probe_ms: NonNegative = 1.0  # work of the host for a probe
 
 
 class Discovery(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Discovery: how late it knows, and how many calls it stands."""
+    """Delays and capacity of discovery."""
 
     mode: Literal["ask", "push"] = "ask"
-    notice_s: Span = 1.0  # until it knows that a host drains or is gone
-    add_s: Span = 0.5  # until it knows a new host
-    call_ms: Span = 5.0  # one call after another, each for so long
-    timeout_ms: Positive = 3000.0  # a call that has waited for so long gets 503
+    notice_s: NonNegative = 1.0  # delay until it knows that a host drains or ended
+    add_s: NonNegative = 0.5  # delay until it knows a new host
+    call_ms: NonNegative = 5.0  # duration of a call; calls are handled one after another
+    timeout_ms: Positive = 3000.0  # a call that would wait for longer gets 503
 
 
 class Net(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One-way delays, in simulated time; on sockets the machine gives its own."""
+    """One-way network delays in simulated time; on sockets the machine's own delays apply."""
 
-    same_ms: Span = 0.1  # within a zone
-    cross_ms: Span = 1.0  # between zones
-    client_ms: Span = 0.1
-    proxy_ms: Span = 0.5  # that a proxy takes for a request or an answer
-    jitter: Part = 0.1  # up to so much more, as a part
+    same_ms: NonNegative = 0.1  # within a zone
+    cross_ms: NonNegative = 1.0  # between zones
+    client_ms: NonNegative = 0.1
+    proxy_ms: NonNegative = 0.5  # time that a proxy takes for a request or an answer
+    jitter: Fraction = 0.1  # maximum extra delay, as a fraction
 
 
 class Subset(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """As the table of the same name in a proxy's own settings."""
+    """Same as the table ``subset`` of a proxy's own settings, except for ``told_copies``."""
 
     size: Count = 0
     from_hosts: Annotated[int, Meta(ge=1, le=1_000_000)] = 100
     cover: Annotated[int, Meta(ge=1, le=1000)] = 8
-    told_copies: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # the told count over the true one: stale
+    told_copies: Annotated[float, Meta(ge=0.01, le=100.0)] = 1.0  # configured over true count of proxies: stale
 
 
 class Limits(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What the proxies are told and given."""
+    """Limits in the proxies' settings."""
 
     max_attempts: Annotated[int, Meta(ge=1, le=20)] = 3
     second_copies: bool = True
     cancel: bool = True
     retry_after: bool = True
-    max_retry_after_ms: Span = 1000.0
+    max_retry_after_ms: NonNegative = 1000.0
     passes_deadline: bool = True
     memory_mb: Annotated[float, Meta(ge=16.0, le=1e6)] = 192.0
     sockets: Annotated[int, Meta(ge=64, le=100_000)] = 1024
-    drain_grace_ms: Span = 1000.0
-    answer_slack_ms: Span = 20.0
+    drain_grace_ms: NonNegative = 1000.0
+    answer_slack_ms: NonNegative = 20.0
 
 
 class Prices(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Points of service in 100 that the proxies are told things cost."""
+    """Prices in the proxies' settings, in points of service out of 100."""
 
-    cross_zone: Part = 0.0
-    probe: Part = 0.01
-    waste: Part = 0.05
-    handshake: Part = 0.08
-    over_share_worth: Part = 0.1
+    cross_zone: Fraction = 0.0
+    probe: Fraction = 0.01
+    waste: Fraction = 0.05
+    handshake: Fraction = 0.08
+    over_share_worth: Fraction = 0.1
 
 
 class Judge(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How much the judge allows for a machine that is busy with the laboratory itself."""
+    """Allowances of the judge for a machine that is busy with the laboratory itself."""
 
-    slack_ms: Span = 100.0  # beyond what the rules allow
-    late_ms: Positive = 20.0  # a generator whose p99 lateness is above this gives no result
+    slack_ms: NonNegative = 100.0  # added to the time limits of the rules
+    late_ms: Positive = 20.0  # a run gives no result if the generator's p99 lateness is above this
 
 
 class Fault(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What goes wrong, when, for how long, where and how much. Meanings of ``size``: docs/lab.md."""
+    """A fault: kind, time, duration, place and size. docs/lab.md describes ``size`` for each kind."""
 
     what: FAULTS
-    at_s: Span
-    for_s: Span = 0.0
-    tier: str = ""  # hosts or proxies of this tier; the first where it is left out
-    part: Part = 0.0  # so many of them, drawn by the seed
-    hosts: tuple[str, ...] = ()  # or these, by name: TIER-KIND-NUMBER; proxies: TIER-pNUMBER
-    size: Span = 0.0
-    batch: Part = 0.2  # deploy: so much of the tier at a time
-    drain_s: Span = 3.0  # deploy: from draining to gone
-    zone: str = ""  # lose-zone: this one
-    every_s: Positive = 2.0  # pause: a stall of ``size`` milliseconds so often
+    at_s: NonNegative
+    for_s: NonNegative = 0.0
+    tier: str = ""  # tier of the hosts or proxies; default: the first tier
+    part: Fraction = 0.0  # fraction of them, drawn by the seed
+    hosts: tuple[str, ...] = ()  # or names of hosts (TIER-KIND-NUMBER) or proxies (TIER-pNUMBER)
+    size: NonNegative = 0.0
+    batch: Fraction = 0.2  # deploy: fraction of the tier per batch
+    drain_s: NonNegative = 3.0  # deploy: time from the drain to the stop
+    zone: str = ""  # lose-zone: the zone
+    every_s: Positive = 2.0  # pause: interval between stalls of ``size`` milliseconds
 
     def __post_init__(self) -> None:
         if self.what in HOST_FAULTS + PROXY_FAULTS and bool(self.part) == bool(self.hosts):
@@ -272,11 +272,11 @@
 
 
 class Scenario(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One day in small."""
+    """Contents of a scenario file."""
 
     name: Name
     seconds: Annotated[float, Meta(gt=0.0, le=36_000.0)]
-    warmup_s: Span = 0.0  # not counted, but judged
+    warmup_s: NonNegative = 0.0  # requests of this time are judged but not counted in the figures
     seed: Annotated[int, Meta(ge=0, le=2**62)] = 1
     policy: POLICIES = "cranebank"
     load: Load = Load()
@@ -325,21 +325,21 @@
 
 
 class Cell(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One setting of an experiment's grid: a path into the scenario and the values that it takes."""
+    """One dimension of an experiment's grid: a path into the scenario and its values."""
 
     path: str  # such as load.rate or tier.0.proxies
     values: Annotated[tuple[bool | int | float | str, ...], Meta(min_length=1)]
 
 
 class Experiment(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Scenarios, settings to vary and seeds: every combination is run."""
+    """Contents of an experiment file: every combination of scenarios, grid settings and seeds is run."""
 
     name: Name
-    scenarios: Annotated[tuple[str, ...], Meta(min_length=1)]  # files, beside the experiment's own
+    scenarios: Annotated[tuple[str, ...], Meta(min_length=1)]  # paths relative to the experiment file
     seeds: Annotated[tuple[int, ...], Meta(min_length=1)] = (1, 2, 3)
-    repeats: Annotated[int, Meta(ge=1, le=1000)] = 1  # of each run with each seed
+    repeats: Annotated[int, Meta(ge=1, le=1000)] = 1  # number of runs per seed
     grid: tuple[Cell, ...] = ()
-    at_once: Annotated[int, Meta(ge=1, le=64)] = 1  # runs side by side; they share the machine
+    at_once: Annotated[int, Meta(ge=1, le=64)] = 1  # runs in parallel; they share the machine
 
     def __post_init__(self) -> None:
         paths = [cell.path for cell in self.grid]
