--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -14,7 +14,7 @@
 import tomli_w
 
 from cranebank.config.checks import ConfigError
-from cranebank.lab.sites import BESIDE, changed, main
+from cranebank.lab.sites import SIDE_FILES, changed, main
 
 SITE: dict[str, Any] = {
     "name": "one",
@@ -140,7 +140,7 @@
     kit.mkdir(parents=True)
     folder.mkdir()
     (kit / "one.toml").write_text(tomli_w.dumps(SITE | {"wire": "wire.json"}), encoding="utf-8")
-    for name in BESIDE:
+    for name in SIDE_FILES:
         (kit / name).write_text(name, encoding="utf-8")
     (folder / "two.changes.toml").write_text('base = "sites/one.toml"\nset = {name = "two"}\n', encoding="utf-8")
     assert main(str(tmp_path / "kit"), str(folder)) == 0
@@ -148,7 +148,7 @@
         "name": "two",
         "wire": "wire.json",
     }
-    assert [(folder / name).read_text(encoding="utf-8") for name in BESIDE] == list(BESIDE)
+    assert [(folder / name).read_text(encoding="utf-8") for name in SIDE_FILES] == list(SIDE_FILES)
 
 
 @pytest.mark.parametrize(
