--- a/cranebank/lab/experiment.py
+++ b/cranebank/lab/experiment.py
@@ -1,7 +1,7 @@
-"""Experiments: scenarios x settings x seeds, run, kept, gone on with after an end of any kind, compared.
+"""Experiments: run scenarios x settings x seeds, save the results, resume after an interruption, and compare.
 
-A folder holds ``experiment.toml`` as it was, ``results.jsonl`` with one finished run a line, and a folder of
-records for each run. What is finished is readable at every moment; ``resume`` runs what is missing.
+A folder holds a copy of ``experiment.toml``, ``results.jsonl`` with one finished run per line, and a folder of records
+for each run. Finished runs are readable at any time; ``resume`` runs the missing ones.
 """
 
 from __future__ import annotations
@@ -29,37 +29,37 @@
 from cranebank.lab.run import Run
 from cranebank.lab.scenario import Experiment, Scenario
 
-TRIES = 3  # a run whose generator was late is made again so often in all
+MAX_TRIES = 3  # total tries of a run whose generator was late
 FIGURES: dict[str, Callable[[Result], float]] = {
     "service": lambda r: r.service,
     "in_time": lambda r: r.in_time,
-    "p50_ms": lambda r: _over_classes(r, "p50"),
-    "p99_ms": lambda r: _over_classes(r, "p99"),
+    "p50_ms": lambda r: _mean_quantile(r, "p50"),
+    "p99_ms": lambda r: _mean_quantile(r, "p99"),
     "legs_per_request": lambda r: r.legs_per_request,
     "breaches": lambda r: float(sum(b.count for b in r.verdict.breaches)),
 }
-BETTER_HIGH = ("service", "in_time")
+HIGHER_IS_BETTER = ("service", "in_time")
 
 
-def _over_classes(result: Result, name: str) -> float:
-    """A quantile over the classes, each by how much it was asked."""
+def _mean_quantile(result: Result, name: str) -> float:
+    """Return the mean of a quantile over the classes, weighted by their requests."""
     asked = sum(c.asked for c in result.classes) or 1
     return sum(c.latency_ms[name] * c.asked for c in result.classes) / asked
 
 
 class Case(msgspec.Struct, frozen=True):
-    """One run that is to be made."""
+    """One run of an experiment."""
 
     id: str
     scenario: Scenario
     cell: dict[str, bool | int | float | str]
     seed: int
-    turn: int  # 0 for the first run with this seed
+    turn: int  # index of the repeat with this seed
     beside: str
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One line of results."""
+    """One line of the results file."""
 
     id: str
     scenario: str
@@ -79,7 +79,7 @@
 
 
 def set_path(told: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
-    """A scenario as read, with one value set by its path, such as ``tier.0.proxies``."""
+    """Return a decoded scenario with one value set by its path, such as ``tier.0.proxies``."""
     changed = copy.deepcopy(told)
     node: Any = changed
     *above, last = path.split(".")
@@ -93,14 +93,14 @@
 
 
 def read(path: Path) -> Experiment:
-    """Read and check an experiment, its scenarios under every setting of its grid included."""
+    """Read and check an experiment, including its scenarios with each setting of the grid."""
     experiment = convert_checked(read_toml(path), Experiment, str(path))
     cases(experiment, path)
     return experiment
 
 
 def cases(experiment: Experiment, path: Path) -> list[Case]:
-    """Every run of an experiment, in order."""
+    """Return all runs of an experiment, in order."""
     found = []
     grids = [[(cell.path, value) for value in cell.values] for cell in experiment.grid]
     for name in experiment.scenarios:
@@ -131,7 +131,7 @@
 
 
 def rows(folder: Path) -> list[Row]:
-    """The finished runs of a folder; a torn last line is passed over."""
+    """Return the finished runs of a folder; a truncated last line is skipped."""
     found = []
     with contextlib.suppress(FileNotFoundError), open(folder / "results.jsonl", "rb") as file:
         for line in file:
@@ -141,70 +141,70 @@
 
 
 def run(path: Path, folder: Path, resume: bool, say: Callable[[str], None], on: str = "sockets") -> int:
-    """Run an experiment, or what is missing of it, ``on`` sockets or simulated; return how many runs can't be used."""
+    """Run an experiment or its missing runs ``on`` sockets or simulated; return the number of unusable runs."""
     experiment = read(path)
     folder.mkdir(parents=True, exist_ok=True)
     copied = folder / "experiment.toml"
     text = path.read_bytes()
     done = rows(folder)
     if done and not resume:
-        raise ConfigError(f"{folder}: holds results; expected --resume, or another folder")
+        raise ConfigError(f"{folder}: contains results; expected --resume, or another folder")
     if done and copied.exists() and copied.read_bytes() != text:
-        raise ConfigError(f"{folder}: its results are of another experiment than {path}")
+        raise ConfigError(f"{folder}: its results belong to another experiment than {path}")
     copied.write_bytes(text)
-    _mend(folder / "results.jsonl")
+    _drop_truncated_line(folder / "results.jsonl")
     finished = {row.id for row in done}
     wanted = [case for case in cases(experiment, path) if case.id not in finished]
-    say(f"{len(finished)} of {len(finished) + len(wanted)} runs are there")
+    say(f"{len(finished)} of {len(finished) + len(wanted)} runs are finished")
     if on == "simulated":
-        return _simulated(wanted, folder, say)
-    return asyncio.run(_all(wanted, folder, experiment.at_once, say))
+        return _run_simulated(wanted, folder, say)
+    return asyncio.run(_run_on_sockets(wanted, folder, experiment.at_once, say))
 
 
-def _keep(case: Case, result: Result, folder: Path, say: Callable[[str], None]) -> None:
+def _save(case: Case, result: Result, folder: Path, say: Callable[[str], None]) -> None:
     row = Row(case.id, case.scenario.name, case.cell, case.seed, result, case.turn)
     with open(folder / "results.jsonl", "ab") as file:
         file.write(msgspec.json.encode(row) + b"\n")
-    told = "" if result.usable else f"  not usable: {result.why_not}"
+    why_not = "" if result.usable else f"  not usable: {result.why_not}"
     broken = "".join(f"  {b.rule} x{b.count}" for b in result.verdict.breaches)
     say(
         f"{case.id}: service {result.service:.4f}  in time {result.in_time:.4f}  "
-        f"legs {result.legs_per_request:.3f}{broken}{told}"
+        f"legs {result.legs_per_request:.3f}{broken}{why_not}"
     )
 
 
-def _simulated(wanted: Sequence[Case], folder: Path, say: Callable[[str], None]) -> int:
-    """All runs in simulated time, one in each process; they don't disturb each other."""
-    from cranebank.lab.simulated.world import play  # noqa: PLC0415  (sockets need none of it)
+def _run_simulated(wanted: Sequence[Case], folder: Path, say: Callable[[str], None]) -> int:
+    """Run cases in simulated time, in parallel processes; such runs don't affect each other."""
+    from cranebank.lab.simulated.world import play  # noqa: PLC0415  (not needed on sockets)
 
     with ProcessPoolExecutor(mp_context=get_context("spawn")) as pool:
         runs = {pool.submit(play, case.scenario, Path(case.beside)): case for case in wanted}
         for done in as_completed(runs):
-            _keep(runs[done], done.result(), folder, say)
+            _save(runs[done], done.result(), folder, say)
     return 0
 
 
-def _mend(path: Path) -> None:
-    """Drop a line that an earlier end has torn, so that the next one stands alone."""
+def _drop_truncated_line(path: Path) -> None:
+    """Remove a truncated last line, which an interrupted run can leave, before appending."""
     if path.exists():
         text = path.read_bytes()
         if text and not text.endswith(b"\n"):
             path.write_bytes(text[: text.rfind(b"\n") + 1])
 
 
-async def _all(wanted: Sequence[Case], folder: Path, at_once: int, say: Callable[[str], None]) -> int:
-    room, unusable = asyncio.Semaphore(at_once), 0
+async def _run_on_sockets(wanted: Sequence[Case], folder: Path, at_once: int, say: Callable[[str], None]) -> int:
+    slots, unusable = asyncio.Semaphore(at_once), 0
 
     async def one(case: Case) -> None:
         nonlocal unusable
-        async with room:
-            for turn in range(TRIES):
+        async with slots:
+            for turn in range(MAX_TRIES):
                 result = await Run(case.scenario, folder / "runs" / case.id, Path(case.beside)).play()
-                if result.usable or turn == TRIES - 1:
+                if result.usable or turn == MAX_TRIES - 1:
                     break
-                say(f"{case.id}: {result.why_not}; once more")
+                say(f"{case.id}: {result.why_not}; trying again")
             unusable += not result.usable
-            _keep(case, result, folder, say)
+            _save(case, result, folder, say)
 
     async with asyncio.TaskGroup() as group:
         for case in wanted:
@@ -213,7 +213,7 @@
 
 
 def figure(values: Iterable[float]) -> Figure:
-    """Mean and 95% interval; without an interval where there is but one value."""
+    """Return the mean with its 95% interval; with a single value the interval is empty."""
     of = np.array(list(values), dtype=float)
     if len(of) < 2:
         mean = float(of.mean()) if len(of) else 0.0
@@ -223,7 +223,7 @@
 
 
 def groups(found: Iterable[Row]) -> dict[tuple[str, str], list[Row]]:
-    """Rows by scenario and settings; what can't be used is left out."""
+    """Group usable rows by scenario and settings."""
     by: dict[tuple[str, str], list[Row]] = {}
     for row in found:
         if row.result.usable:
@@ -233,7 +233,7 @@
 
 
 class Match(msgspec.Struct, frozen=True):
-    """One scenario on sockets and simulated: means over seeds, and whether they are near enough."""
+    """Means over seeds of one scenario on sockets and simulated, and whether they agree."""
 
     scenario: str
     seeds: int
@@ -241,11 +241,11 @@
     in_time_simulated: float
     legs_sockets: float
     legs_simulated: float
-    near: bool  # in time within 3 points, legs within 10%
+    near: bool  # in_time within 3 percentage points, legs within 10%
 
 
 def match(sockets: Sequence[Row], simulated: Sequence[Row]) -> list[Match]:
-    """Compare the two laboratories, scenario by scenario, over the seeds that both have."""
+    """Compare results on sockets with simulated ones, by scenario, over the seeds in both."""
     found = []
     for scenario in dict.fromkeys(row.scenario for row in sockets):
         left = {row.seed: row.result for row in sockets if row.scenario == scenario and row.result.usable}
@@ -260,7 +260,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """B less A, paired by scenario, settings and seed, with its 95% interval; ``worse``: surely, for B."""
+    """Difference B - A, paired by scenario, settings and seed; ``worse`` if B is worse at 95% confidence."""
 
     scenario: str
     settings: str
@@ -272,8 +272,10 @@
 
 
 def compare(a: Sequence[Row], b: Sequence[Row], drop: str = "") -> list[Difference]:
-    """Differences paired by scenario, settings, seed and turn; ``drop`` is the path in the grid that tells A from
-    B, where both are of one experiment."""
+    """Compute differences paired by scenario, settings, seed and turn.
+
+    ``drop`` is the grid path that distinguishes A from B if both belong to one experiment.
+    """
 
     def key(row: Row) -> tuple[str, str, int, int]:
         cell = {path: value for path, value in row.cell.items() if path != drop}
@@ -289,13 +291,13 @@
         for name, of in FIGURES.items():
             ours, theirs = [of(left[k]) for k in seeds], [of(right[k]) for k in seeds]
             gap = figure(y - x for x, y in zip(ours, theirs, strict=True))
-            worse = gap.runs > 1 and (gap.high < 0 if name in BETTER_HIGH else gap.low > 0)
+            worse = gap.runs > 1 and (gap.high < 0 if name in HIGHER_IS_BETTER else gap.low > 0)
             found.append(Difference(scenario, settings, name, figure(ours).mean, figure(theirs).mean, gap, worse))
     return found
 
 
 def scenarios_of(folder: Path) -> dict[str, Scenario]:
-    """The scenarios of a folder's runs by name, as its parts hold them, for their faults."""
+    """Return the scenarios of a folder's runs by name, read from their part files; reports mark their faults."""
     found: dict[str, Scenario] = {}
     for path in sorted(folder.glob("runs/*/part-load.json")):
         scenario = msgspec.json.decode(path.read_bytes(), type=Part).scenario
@@ -304,7 +306,7 @@
 
 
 def select(source: str) -> tuple[list[Row], str]:
-    """The rows of ``FOLDER``, or of ``FOLDER:path=value`` those with that setting."""
+    """Return the rows of ``FOLDER``, or those of ``FOLDER:path=value`` with that setting, and the setting's path."""
     folder, _, setting = source.partition(":")
     found = rows(Path(folder))
     if not found:
--- a/cranebank/lab/fleetlog.py
+++ b/cranebank/lab/fleetlog.py
@@ -1,6 +1,6 @@
-"""Reads the logs of many proxies: follows one id through them, and counts over the fleet by second.
+"""Read the logs of many proxies: follow a request id through them, and count events over the fleet by second.
 
-The proxies' own lines, text or JSON, in every file of a folder; others (a library's, a bench's) are counted by file.
+Reads the proxies' lines, text or JSON, from all files of a folder; other lines are counted by file.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from datetime import datetime
 from pathlib import Path
 
-FILE_CHARS = 256 << 20  # a log beyond that is read no further
-LINE_CHARS = 64 << 10
+MAX_FILE_CHARS = 256 << 20  # the rest of a larger file is ignored
+MAX_LINE_CHARS = 64 << 10
 _PAIR = re.compile(r'(?<!\S)([^\s="]+)=("(?:[^"\\]|\\.)*"|[^\s"]*)')
-_MEANS = ("copies", "list_age_ms", "report_age_ms")  # of the beliefs told as a mean over proxies; others are sums
+_MEAN_FIELDS = ("copies", "list_age_ms", "report_age_ms")  # fields averaged over the proxies; the others are summed
 
 
 class Unreadable(ValueError):
-    """A line that is none of a proxy's."""
+    """Raised for a line that no proxy wrote."""
 
 
 @dataclass(slots=True, frozen=True)
 class Line:
-    """One line of a proxy's log; ``at`` in seconds of Unix time, values as they were written."""
+    """One line of a proxy's log; ``at`` is Unix time in seconds, values are as written."""
 
     at: float
     proxy: str
@@ -35,34 +35,34 @@
 
 @dataclass(slots=True)
 class Logs:
-    """What was read: lines by time, and by file how many could not be."""
+    """The lines ordered by time, and the number of unreadable lines by file."""
 
     lines: list[Line] = field(default_factory=list)
     unread: Counter[str] = field(default_factory=Counter)
 
 
 def parse(text: str) -> Line:
-    """Read one line; raises ``Unreadable``."""
-    told: dict[str, str]
+    """Parse one line; raise ``Unreadable`` if it is not a proxy's."""
+    fields: dict[str, str]
     try:
         if text.startswith("{"):
-            told = {name: str(value) for name, value in json.loads(text).items()}
+            fields = {name: str(value) for name, value in json.loads(text).items()}
         else:
-            told = {name: value[1:-1] if value.startswith('"') else value for name, value in _PAIR.findall(text)}
-        at = datetime.fromisoformat(told.pop("at").replace("Z", "+00:00")).timestamp()
-        return Line(at, told.pop("proxy"), told.pop("event"), told)
+            fields = {name: value[1:-1] if value.startswith('"') else value for name, value in _PAIR.findall(text)}
+        at = datetime.fromisoformat(fields.pop("at").replace("Z", "+00:00")).timestamp()
+        return Line(at, fields.pop("proxy"), fields.pop("event"), fields)
     except (ValueError, KeyError, AttributeError, RecursionError, OverflowError) as error:
         raise Unreadable(str(error)) from None
 
 
 def read(folder: Path) -> Logs:
-    """Read every file of a folder and those below it. A file that can't be opened counts as one line unread."""
+    """Read all files of a folder and its subfolders; a file that can't be opened counts as one unreadable line."""
     logs = Logs()
     for path in sorted(p for p in folder.rglob("*") if p.is_file()):
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
                 size = 0
-                while (text := file.readline(LINE_CHARS)) and (size := size + len(text)) <= FILE_CHARS:
+                while (text := file.readline(MAX_LINE_CHARS)) and (size := size + len(text)) <= MAX_FILE_CHARS:
                     try:
                         logs.lines.append(parse(text))
                     except Unreadable:
@@ -75,15 +75,17 @@
 
 
 def follow(logs: Logs, name: str) -> list[Line]:
-    """All lines that name a request, through every proxy, by time."""
+    """Return all lines about a request, from all proxies, by time."""
     return [line for line in logs.lines if line.fields.get("request") == name]
 
 
 def by_second(lines: Iterable[Line]) -> list[tuple[int, dict[str, float]]]:
-    """For each second from the first line on, over all proxies: events by name; of the tallies sums, or means of ages
-    and of the count of copies."""
+    """Return, for each second since the first line, the counts of events and the tallied values over all proxies.
+
+    Tallied values are summed, except that ages and the count of copies are averaged.
+    """
     seconds: dict[int, dict[str, float]] = defaultdict(lambda: defaultdict(float))
-    told: dict[int, Counter[str]] = defaultdict(Counter)
+    samples: dict[int, Counter[str]] = defaultdict(Counter)
     first: float | None = None
     for line in lines:
         first = line.at if first is None else first
@@ -94,12 +96,12 @@
         for name, text in line.fields.items():
             if name != "level":
                 seconds[second][name.removeprefix("+")] += _number(text)
-                told[second][name] += 1
+                samples[second][name] += 1
     return [
         (
             second,
             {
-                name: round(value / told[second][name], 1) if name in _MEANS else value
+                name: round(value / samples[second][name], 1) if name in _MEAN_FIELDS else value
                 for name, value in sorted(seconds[second].items())
             },
         )
