--- a/cranebank/lab/reference.py
+++ b/cranebank/lab/reference.py
@@ -1,8 +1,8 @@
-"""Reference policies to compare with, in the laboratory only: what a plain client-side balancer does.
+"""Reference policies for comparison in the laboratory: what a plain client-side balancer does.
 
-``random``: any listed host. ``least-outstanding``: the fewest of this proxy's own calls out, ties at random.
-Both try again elsewhere at once where the class allows it, take no notice of load reports and refuse nothing.
-``python -m cranebank.lab.reference POLICY`` starts a proxy that decides so.
+``random``: any listed host. ``least-outstanding``: the host with the fewest legs of this proxy in flight, ties broken
+at random. Both retry at once on another host if the class allows it, ignore load reports and shed no load.
+``python -m cranebank.lab.reference POLICY`` starts a proxy with such a policy.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from cranebank.decisions import interface as api
 from cranebank.decisions.balance import NEVER_RAN
 
-RETRY_MS = 500.0  # discovery is asked again so long after a call to it has failed
+DISCOVERY_RETRY_MS = 500.0  # delay before a failed call to discovery is repeated
 
 
 @dataclass(slots=True)
-class _Held:
+class _OpenRequest:
     request: api.Request
     deadline: float
     sent: list[str] = field(default_factory=list)
@@ -30,41 +30,41 @@
 
 
 class Reference:
-    """The decisions of a plain balancer, through the same events and actions as the module."""
+    """A plain balancer with the same events and actions as the decision module."""
 
     def __init__(
         self, choose: Callable[[Random, list[str], dict[str, int]], str], settings: api.Settings, seed: int
     ) -> None:
         self._choose, self._settings, self._random = choose, settings, Random(seed)
         self._hosts: dict[str, api.ServerEntry] = {}
-        self._out: dict[str, int] = {}
-        self._held: dict[str, _Held] = {}
-        self._asked = False
+        self._in_flight: dict[str, int] = {}
+        self._requests: dict[str, _OpenRequest] = {}
+        self._is_started = False
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Take one event at ``now`` (ms); return what to do."""
+        """Handle one event at ``now`` (ms) and return the actions."""
         actions: list[api.Action] = []
-        if not self._asked:
-            self._asked = True
+        if not self._is_started:
+            self._is_started = True
             if self._settings.watch_by_asking:
-                actions.append(api.SetTimer(now + self._random.random() * RETRY_MS, "watch"))
+                actions.append(api.SetTimer(now + self._random.random() * DISCOVERY_RETRY_MS, "watch"))
         match event:
             case api.ServerList(api.ListKind.REFUSED):
-                actions.append(api.SetTimer(now + RETRY_MS * (0.5 + self._random.random()), "watch"))
+                actions.append(api.SetTimer(now + DISCOVERY_RETRY_MS * (0.5 + self._random.random()), "watch"))
             case api.ServerList(kind, entries):
                 self._listed(kind, entries)
             case api.TimerFired("watch"):
                 actions.append(api.Watch())
             case api.TimerFired(name):
-                if name in self._held:
-                    del self._held[name]
+                if name in self._requests:
+                    del self._requests[name]
                     actions.append(api.Fail(name))
             case api.Request():
-                self._held[event.request] = _Held(event, now + event.time_left, began=now)
+                self._requests[event.request] = _OpenRequest(event, now + event.time_left, began=now)
                 actions.append(api.SetTimer(now + event.time_left, event.request))
                 self._send(now, event.request, actions)
             case api.RequestGone(name):
-                self._held.pop(name, None)
+                self._requests.pop(name, None)
             case api.AttemptResult():
                 self._result(now, event, actions)
         return actions
@@ -77,60 +77,66 @@
                 self._hosts[entry.server] = entry
             else:
                 self._hosts.pop(entry.server, None)
-        self._out = {name: count for name, count in self._out.items() if count or name in self._hosts}
+        self._in_flight = {name: count for name, count in self._in_flight.items() if count or name in self._hosts}
 
     def _send(self, now: float, name: str, actions: list[api.Action]) -> None:
-        held = self._held[name]
-        pool = [host for host in self._hosts if host not in held.sent] or list(self._hosts)
+        open_request = self._requests[name]
+        pool = [host for host in self._hosts if host not in open_request.sent] or list(self._hosts)
         if not pool:
-            del self._held[name]
-            actions.append(api.Refuse(name) if held.ran_at is None else api.Fail(name))
+            del self._requests[name]
+            actions.append(api.Refuse(name) if open_request.ran_at is None else api.Fail(name))
             return
-        host = self._choose(self._random, pool, self._out)
-        held.sent.append(host)
-        held.began = now
-        self._out[host] = self._out.get(host, 0) + 1
+        host = self._choose(self._random, pool, self._in_flight)
+        open_request.sent.append(host)
+        open_request.began = now
+        self._in_flight[host] = self._in_flight.get(host, 0) + 1
         actions.append(api.Send(name, host))
 
     def _result(self, now: float, event: api.AttemptResult, actions: list[api.Action]) -> None:
-        self._out[event.server] = max(0, self._out.get(event.server, 0) - 1)
-        held = self._held.get(event.request)
-        if held is None:
+        self._in_flight[event.server] = max(0, self._in_flight.get(event.server, 0) - 1)
+        open_request = self._requests.get(event.request)
+        if open_request is None:
             return
         if event.outcome is api.Outcome.OK or event.finished:
-            del self._held[event.request]
+            del self._requests[event.request]
             return
-        if event.outcome not in NEVER_RAN and held.ran_at is None:
-            held.ran_at = held.began
-        kind = self._settings.classes[held.request.class_index]
-        harmless = (
-            held.ran_at is None
+        if event.outcome not in NEVER_RAN and open_request.ran_at is None:
+            open_request.ran_at = open_request.began
+        kind = self._settings.classes[open_request.request.class_index]
+        may_retry = (
+            open_request.ran_at is None
             or kind.effect is api.Effect.SAFE
-            or (kind.effect is api.Effect.KEYED and now < held.ran_at + kind.repeat_window - self._settings.tick)
+            or (
+                kind.effect is api.Effect.KEYED and now < open_request.ran_at + kind.repeat_window - self._settings.tick
+            )
         )
-        if harmless and len(held.sent) < self._settings.max_attempts and now + self._settings.tick < held.deadline:
+        if (
+            may_retry
+            and len(open_request.sent) < self._settings.max_attempts
+            and now + self._settings.tick < open_request.deadline
+        ):
             self._send(now, event.request, actions)
             return
-        del self._held[event.request]
+        del self._requests[event.request]
         refuse = (
-            held.ran_at is None
+            open_request.ran_at is None
             or kind.effect is api.Effect.SAFE
             or (kind.effect is api.Effect.KEYED and kind.group is api.Group.ALL)
         )
         actions.append(api.Refuse(event.request) if refuse else api.Fail(event.request))
 
 
-def _any(random: Random, pool: list[str], _: dict[str, int]) -> str:
+def _random_host(random: Random, pool: list[str], _: dict[str, int]) -> str:
     return random.choice(pool)
 
 
-def _least(random: Random, pool: list[str], out: dict[str, int]) -> str:
+def _least_outstanding(random: Random, pool: list[str], out: dict[str, int]) -> str:
     least = min(out.get(host, 0) for host in pool)
     return random.choice([host for host in pool if out.get(host, 0) == least])
 
 
 class Oracle(Reference):
-    """Sees the true state of all hosts, which no real policy can: the least strained host, always."""
+    """Chooses the least loaded host by the true state of all hosts, which no real policy knows."""
 
     def __init__(self, strain: Callable[[str], float], settings: api.Settings, seed: int) -> None:
         def choose(random: Random, pool: list[str], _: dict[str, int]) -> str:
@@ -139,7 +145,7 @@
         super().__init__(choose, settings, seed)
 
 
-POLICIES = {"random": partial(Reference, _any), "least-outstanding": partial(Reference, _least)}
+POLICIES = {"random": partial(Reference, _random_host), "least-outstanding": partial(Reference, _least_outstanding)}
 
 
 if __name__ == "__main__":
--- a/cranebank/lab/report.py
+++ b/cranebank/lab/report.py
@@ -1,4 +1,4 @@
-"""One self-contained HTML page of runs: tables and plots (matplotlib, inlined as SVG)."""
+"""Self-contained HTML pages about runs: tables and plots (matplotlib, inlined as SVG)."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from cranebank.lab.scenario import Scenario
 from cranebank.lab.simulated.paper import Cell
 
-mpl.use("svg")  # no screen
-mpl.rcParams["svg.hashsalt"] = "cranebank"  # the same results give the same page
+mpl.use("svg")  # works without a display
+mpl.rcParams["svg.hashsalt"] = "cranebank"  # makes the page reproducible
 
 from matplotlib.axes import Axes  # noqa: E402
 from matplotlib.figure import Figure as Canvas  # noqa: E402
 
-SHOWN = 12  # lines in one plot, at most
+MAX_LINES = 12  # maximum number of lines in a plot
 PAGE = jinja2.Environment(autoescape=True).from_string("""<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{ title }}</title>
 <style>
@@ -52,7 +52,7 @@
 
 
 def class_table(result: Result) -> Table:
-    """What became of each class."""
+    """Return the table of outcomes by class."""
     head = (
         "class",
         "asked",
@@ -85,7 +85,7 @@
 
 
 def tier_table(result: Result) -> Table:
-    """What each tier did."""
+    """Return the table of figures by tier."""
     head = ("tier", "requests", "legs", "legs per request", "ran", "probes", "connections", "most at a host")
     rows = [
         (t.name, t.requests, t.legs, f"{t.legs_per_request:.3f}", t.ran, t.probes, t.connections, t.most_connections)
@@ -98,7 +98,7 @@
 
 
 class Mark(NamedTuple):
-    """A time to be marked in a plot over time."""
+    """A time range to mark in a plot over time."""
 
     at_s: float
     for_s: float
@@ -106,7 +106,7 @@
 
 
 def drawn(draw: Draw, marks: Sequence[Mark] = ()) -> str:
-    """A plot as SVG, with troubles marked."""
+    """Return a plot as SVG, with faults marked."""
     canvas = Canvas(figsize=(9, 3.2), layout="constrained")
     axes = canvas.add_subplot()
     draw(axes)
@@ -122,13 +122,13 @@
     return text[text.index("<svg") :]
 
 
-def _marks(scenario: Scenario | None) -> list[Mark]:
+def _fault_marks(scenario: Scenario | None) -> list[Mark]:
     return [] if scenario is None else [Mark(fault.at_s, fault.for_s, fault.what) for fault in scenario.faults]
 
 
-def _service(results: Sequence[tuple[str, Result]]) -> Draw:
+def _service_plot(results: Sequence[tuple[str, Result]]) -> Draw:
     def draw(axes: Axes) -> None:
-        for label, result in results[:SHOWN]:
+        for label, result in results[:MAX_LINES]:
             axes.plot([s.at for s in result.seconds], [s.service for s in result.seconds], label=label)
         axes.set_xlabel("seconds")
         axes.set_ylabel("service")
@@ -137,9 +137,9 @@
     return draw
 
 
-def _latency_over_time(results: Sequence[tuple[str, Result]]) -> Draw:
+def _latency_plot(results: Sequence[tuple[str, Result]]) -> Draw:
     def draw(axes: Axes) -> None:
-        for label, result in results[: SHOWN // 2]:
+        for label, result in results[: MAX_LINES // 2]:
             axes.plot([s.at for s in result.seconds], [s.p50_ms for s in result.seconds], label=f"{label} p50")
             axes.plot([s.at for s in result.seconds], [s.p99_ms for s in result.seconds], "--", label=f"{label} p99")
         axes.set_xlabel("seconds")
@@ -148,12 +148,12 @@
     return draw
 
 
-def _used(result: Result, what: str) -> Draw:
+def _usage_plot(result: Result, what: str) -> Draw:
     def draw(axes: Axes) -> None:
         by: dict[str, list[tuple[float, float]]] = {}
         for sample in result.samples:
             by.setdefault(sample.process, []).append((sample.at / 1e6, getattr(sample, what)))
-        for name, points in sorted(by.items())[:SHOWN]:
+        for name, points in sorted(by.items())[:MAX_LINES]:
             axes.plot(*zip(*points, strict=True), label=name)
         axes.set_xlabel("seconds")
         axes.set_ylabel({"memory": "MB", "cpu": "cores"}.get(what, what))
@@ -161,7 +161,7 @@
     return draw
 
 
-def _bars(labels: Sequence[str], of: Sequence[Figure], name: str) -> Draw:
+def _bar_plot(labels: Sequence[str], of: Sequence[Figure], name: str) -> Draw:
     def draw(axes: Axes) -> None:
         errors = [[f.mean - f.low for f in of], [f.high - f.mean for f in of]]
         axes.barh(range(len(labels)), [f.mean for f in of], xerr=errors, capsize=3)
@@ -171,8 +171,8 @@
     return draw
 
 
-def _against_load(found: Sequence[Row]) -> Draw | None:
-    """Latency against load: p50 and p99 over the rate, a line for each of the other settings."""
+def _load_plot(found: Sequence[Row]) -> Draw | None:
+    """Return a plot of p50 and p99 over the request rate, with a line per combination of the other settings."""
     lines: dict[str, dict[float, list[Result]]] = {}
     for row in found:
         if "load.rate" in row.cell and row.result.usable:
@@ -183,7 +183,7 @@
         return None
 
     def draw(axes: Axes) -> None:
-        for label, by in list(lines.items())[: SHOWN // 2]:
+        for label, by in list(lines.items())[: MAX_LINES // 2]:
             rates = sorted(by)
             for name, style in (("p50_ms", "-"), ("p99_ms", "--")):
                 axes.plot(
@@ -200,13 +200,13 @@
 
 
 def run_page(scenario: Scenario, result: Result) -> str:
-    """The page of one run."""
+    """Return the page of one run."""
     plots = [
-        ("Service over time, faults marked", drawn(_service([("service", result)]), _marks(scenario))),
-        ("Latency over time, from the intended time", drawn(_latency_over_time([("", result)]), _marks(scenario))),
-        ("Memory", drawn(_used(result, "memory"))),
-        ("Descriptors", drawn(_used(result, "descriptors"))),
-        ("CPU", drawn(_used(result, "cpu"))),
+        ("Service over time, faults marked", drawn(_service_plot([("service", result)]), _fault_marks(scenario))),
+        ("Latency over time, from the intended time", drawn(_latency_plot([("", result)]), _fault_marks(scenario))),
+        ("Memory", drawn(_usage_plot(result, "memory"))),
+        ("Descriptors", drawn(_usage_plot(result, "descriptors"))),
+        ("CPU", drawn(_usage_plot(result, "cpu"))),
     ]
     notes = [
         f"Policy {result.policy}, seed {result.seed}: service {result.service:.4f}, in time {result.in_time:.4f}, "
@@ -217,13 +217,13 @@
     return PAGE.render(
         title=f"cranebank: {scenario.name}",
         notes=notes,
-        breaches=_told([result]),
+        breaches=_breach_lines([result]),
         plots=plots,
         tables=[class_table(result), tier_table(result)],
     )
 
 
-def _told(results: Sequence[Result]) -> list[str]:
+def _breach_lines(results: Sequence[Result]) -> list[str]:
     return [
         f"{r.scenario} seed {r.seed}, {b.rule} x{b.count}: {RULES[b.rule]}; {'; '.join(b.examples)}"
         for r in results
@@ -232,7 +232,7 @@
 
 
 def experiment_page(name: str, found: Sequence[Row], scenarios: dict[str, Scenario]) -> str:
-    """The page of an experiment."""
+    """Return the page of an experiment."""
     by = groups(found)
     rows = []
     for (scenario, settings), of in by.items():
@@ -246,35 +246,35 @@
         )
     table = Table("Means over seeds, with 95% intervals", ("run", "seeds", *FIGURES), rows)
     plots = []
-    if (draw := _against_load(found)) is not None:
+    if (draw := _load_plot(found)) is not None:
         plots.append(("Latency against load", drawn(draw)))
     for scenario in dict.fromkeys(s for s, _ in by):
         shown = [(settings or scenario, of[0].result) for (s, settings), of in by.items() if s == scenario]
-        marks = _marks(scenarios.get(scenario))
-        plots.append((f"{scenario}: service over time, first seed", drawn(_service(shown), marks)))
+        marks = _fault_marks(scenarios.get(scenario))
+        plots.append((f"{scenario}: service over time, first seed", drawn(_service_plot(shown), marks)))
     labels = [f"{s} {c}".strip() for s, c in by]
     for name_of in ("service", "legs_per_request"):
         of_all = [figure(FIGURES[name_of](row.result) for row in of) for of in by.values()]
-        plots.append((name_of, drawn(_bars(labels, of_all, name_of))))
+        plots.append((name_of, drawn(_bar_plot(labels, of_all, name_of))))
     for what, get in (
         ("memory of a proxy, MB", lambda r: r.proxies_memory_mb),
         ("descriptors of a proxy", lambda r: float(r.proxies_descriptors)),
     ):
         of_all = [figure(get(row.result) for row in of) for of in by.values()]
-        plots.append((what, drawn(_bars(labels, of_all, what))))
+        plots.append((what, drawn(_bar_plot(labels, of_all, what))))
     left_out = sum(not row.result.usable for row in found)
     notes = [f"{len(found)} runs" + (f", {left_out} left out as the generator was late." if left_out else ".")]
     return PAGE.render(
         title=f"cranebank: {name}",
         notes=notes,
         tables=[table],
-        breaches=_told([row.result for row in found]),
+        breaches=_breach_lines([row.result for row in found]),
         plots=plots,
     )
 
 
 def paper_page(by_beta: Sequence[Cell], by_batch: Sequence[Cell]) -> str:
-    """The paper's two figures: gap against beta for several batches, and against the batch."""
+    """Return the page with the paper's two figures: gap against beta by batch size, and gap against batch size."""
 
     def lines(cells: Sequence[Cell], x: Callable[[Cell], float], label: Callable[[Cell], str], name: str) -> Draw:
         def draw(axes: Axes) -> None:
@@ -303,5 +303,5 @@
 
 
 def write(path: Path, page: str) -> None:
-    """Write a page."""
+    """Write a page to a file."""
     path.write_text(page, encoding="utf-8")
--- a/cranebank/lab/results.py
+++ b/cranebank/lab/results.py
@@ -1,4 +1,4 @@
-"""From records to figures: per class, latency, legs per request, connections, service over time. Pure."""
+"""Compute figures from records: by class, latency, legs per request, connections, service over time. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ClassResult(msgspec.Struct, frozen=True):
-    """One class: counts of requests over all of their tries; latency (ms) of the served, from the intended time."""
+    """Figures of a class: requests by outcome; latency (ms) of served requests, from the intended time."""
 
     name: str
     asked: int
@@ -31,7 +31,7 @@
 
 
 class TierResult(msgspec.Struct, frozen=True):
-    """One tier: what its proxies were asked, the legs its hosts saw, and what the hosts did."""
+    """Figures of a tier: requests to its proxies, legs at its hosts, probes and connections."""
 
     name: str
     requests: int
@@ -40,11 +40,11 @@
     ran: int
     probes: int
     connections: int
-    most_connections: int  # at one host at once
+    most_connections: int  # the most at once at one host
 
 
 class Second(msgspec.Struct, frozen=True):
-    """One second of a run, by when requests were meant to go out."""
+    """Figures of one second of a run, by the intended times of requests."""
 
     at: int
     asked: int
@@ -54,31 +54,31 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """One run."""
+    """Result of one run."""
 
     scenario: str
     policy: str
     seed: int
-    service: float  # worth served over worth asked: late answers count in part
+    service: float  # worth served over worth asked; late answers count in part
     in_time: float  # share of requests served in time
     classes: tuple[ClassResult, ...]
     tiers: tuple[TierResult, ...]
     seconds: tuple[Second, ...]
-    legs_per_request: float  # over all tiers, for each first try
+    legs_per_request: float  # over all tiers, per first try
     verdict: Verdict
-    usable: bool  # the generator kept its times
+    usable: bool  # whether the generator was on time
     why_not: str
     generator: records.Generator | None
     proxies_memory_mb: float
     proxies_descriptors: int
-    busiest: str  # the process that used most CPU, and how much of a core
+    busiest: str  # the process that used the most CPU, and its share of a core
     samples: tuple[records.Sample, ...] = ()
-    digest: str = ""  # in simulated time: of all that happened
+    digest: str = ""  # in simulated time: digest of all events
     events: int = 0
 
 
 def outcome(tries: Sequence[records.Asked], scenario: Scenario) -> tuple[str, int]:
-    """What became of a request over its tries, and its latency in microseconds."""
+    """Return the outcome of a request over its tries, and its latency in microseconds."""
     first, last = tries[0], tries[-1]
     kind = scenario.classes[first.kind]
     took = last.done - first.intended
@@ -92,19 +92,19 @@
 
 
 def histogram() -> HdrHistogram:
-    """Microseconds up to an hour, three significant figures."""
+    """Return a histogram of microseconds up to an hour with three significant figures."""
     return HdrHistogram(1, 3_600_000_000, 3)
 
 
 def quantiles(histogram: HdrHistogram) -> dict[str, float]:
-    """The quantiles that are reported, in milliseconds."""
+    """Return the reported quantiles in milliseconds."""
     if not histogram.get_total_count():
         return dict.fromkeys(QUANTILES, 0.0)
     return {name: histogram.get_value_at_percentile(q) / 1000.0 for name, q in QUANTILES.items()}
 
 
 def summarise(scenario: Scenario, found: Sequence[records.Record], verdict: Verdict) -> Result:
-    """Everything that is reported of one run."""
+    """Compute the result of one run."""
     tries: dict[str, list[records.Asked]] = defaultdict(list)
     calls, samples = list[records.Asked](), list[records.Sample]()
     legs, ran, probes, opened, most = Counter[str](), Counter[str](), Counter[str](), Counter[str](), Counter[str]()
@@ -130,8 +130,8 @@
     asked = Counter(_tier(a.proxy) for of in (*tries.values(), calls) for a in of)
     counted = {root: of for root, of in tries.items() if of[0].intended >= us(scenario.warmup_s)}
     classes, worth, served, seconds = _classes(scenario, counted)
-    why_not = _unusable(scenario, generator)
-    mine = [s for s in samples if "-p" in s.process]
+    why_not = _why_unusable(scenario, generator)
+    proxy_samples = [s for s in samples if "-p" in s.process]
     busy: dict[str, list[float]] = defaultdict(list)
     for sample in samples:
         busy[sample.process].append(sample.cpu)
@@ -162,15 +162,15 @@
         usable=not why_not,
         why_not=why_not,
         generator=generator,
-        proxies_memory_mb=max((s.memory for s in mine), default=0.0),
-        proxies_descriptors=max((s.descriptors for s in mine), default=0),
+        proxies_memory_mb=max((s.memory for s in proxy_samples), default=0.0),
+        proxies_descriptors=max((s.descriptors for s in proxy_samples), default=0),
         busiest=f"{name} {share:.2f}" if name else "",
         samples=tuple(samples),
     )
 
 
 def _tier(name: str) -> str:
-    """Hosts and proxies are named after their tier: TIER-KIND-NUMBER, TIER-pNUMBER."""
+    """Return the tier of a host (TIER-KIND-NUMBER) or a proxy (TIER-pNUMBER) from its name."""
     return name.rsplit("-", 1)[0] if "-p" in name and name.rsplit("-p", 1)[1].isdigit() else name.rsplit("-", 2)[0]
 
 
@@ -210,16 +210,18 @@
     for at, of_second in sorted(by_second.items()):
         took_s = sorted(took for _, _, took in of_second if took >= 0)
         asked, got = (sum(row[i] for row in of_second) for i in (0, 1))
-        seconds.append(Second(at, len(of_second), got / (asked or 1.0), _at(took_s, 0.5), _at(took_s, 0.99)))
+        seconds.append(
+            Second(at, len(of_second), got / (asked or 1.0), _quantile_ms(took_s, 0.5), _quantile_ms(took_s, 0.99))
+        )
     return classes, worth, served, tuple(seconds)
 
 
-def _at(ordered: list[int], part: float) -> float:
+def _quantile_ms(ordered: list[int], part: float) -> float:
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] / 1000.0 if ordered else 0.0
 
 
-def _unusable(scenario: Scenario, generator: records.Generator | None) -> str:
-    """Why a run gives no result: the load was not what it says."""
+def _why_unusable(scenario: Scenario, generator: records.Generator | None) -> str:
+    """Return why a run gives no result (the load was not as intended), or an empty string."""
     if generator is None:
         return "the generator did not finish"
     if generator.late_p99 > scenario.judge.late_ms * 1000:
