--- a/cranebank/lab/__init__.py
+++ b/cranebank/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-in fleet, load, faults, judge and experiments. The proxy imports nothing of it."""
+"""The laboratory: stand-in fleet, load, faults, judge and experiments. The proxy doesn't import it."""
--- a/cranebank/lab/records.py
+++ b/cranebank/lab/records.py
@@ -1,7 +1,7 @@
-"""What both sides of a proxy write down during a run; the judge and the reports read nothing else.
+"""Records that both sides of a proxy write during a run; the judge and the reports read nothing else.
 
-One JSON array a line, its first item the record's kind. Times are microseconds after the start on the
-machine's monotonic clock, which all processes of a run share; -1 stands for never.
+Each line is a JSON array whose first item is the kind of record. Times are microseconds after the start on the
+machine's monotonic clock, which all processes of a run share; -1 means never.
 """
 
 from __future__ import annotations
@@ -17,56 +17,56 @@
 
 
 class Asked(msgspec.Struct, array_like=True, tag="asked"):
-    """A caller's side of one request to a proxy: a client's try, or a host's call to the next tier."""
+    """A request to a proxy as the caller sees it: a client's try, or a host's call to the next tier."""
 
     id: str
-    root: str  # the first try that it belongs to
-    parent: str  # the request that the calling host works on; "" for clients
-    tries: int  # 0 for the first
+    root: str  # id of the client's request
+    parent: str  # id of the leg that the calling host works on; "" for clients
+    tries: int  # number of earlier tries
     caller: str
     proxy: str
     kind: int
     tenant: int
     key: str
-    intended: int  # when it should have been sent
-    sent: int  # its last byte; -1: never, as no connection came up
+    intended: int  # when it was due
+    sent: int  # time of its last byte; -1: never sent, because no connection was established
     deadline: int  # when the caller gives up
-    done: int  # the answer's last byte, or when the caller gave up
+    done: int  # time of the answer's last byte, or when the caller gave up
     status: int  # 0: no answer
-    digest: str  # of the body
+    digest: str  # digest of the answer's body
     retry_after: int = 0
-    gone: bool = False  # the caller left before its deadline
-    broke: bool = False  # the proxy ended the connection without a whole answer
-    named: bool = True  # whether the body names this request
+    gone: bool = False  # the caller gave up before its deadline
+    broke: bool = False  # the proxy closed the connection without a whole answer
+    named: bool = True  # whether the body contains the request id
 
 
 class Spare(msgspec.Struct, array_like=True, tag="spare"):
-    """An answer beyond the first came to a caller."""
+    """A caller got a second answer to a request."""
 
     id: str
 
 
 class Seen(msgspec.Struct, array_like=True, tag="seen"):
-    """A host's side of one leg."""
+    """A leg as the host sees it."""
 
     id: str
     host: str
-    first: int  # the leg's first byte
-    last: int  # its last byte; -1: it never came
+    first: int  # time of its first byte
+    last: int  # time of its last byte; -1: it never arrived
     done: int
-    ran: bool  # work was begun
-    status: int  # as answered; 0: none
+    ran: bool  # the host started work on it
+    status: int  # status of the answer; 0: none
     digest: str
     key: str
     kind: int
     work: int
-    effect: bool = False  # it took place here, and not on a repeat of its key
-    ended_by: str = ""  # why there was no usual answer: cancelled, fault, stopped
-    busy_until: int = NEVER  # when work on it ended
+    effect: bool = False  # the effect took place here; False for a repeat of the key
+    ended_by: str = ""  # why there was no normal answer: cancelled, fault, stopped
+    busy_until: int = NEVER  # when the host stopped working on it
 
 
 class Told(msgspec.Struct, array_like=True, tag="told"):
-    """Discovery has written news of a host to a proxy."""
+    """Discovery sent the state of a host to a proxy; host "*" marks a full list, with the host names in ``state``."""
 
     at: int
     proxy: str
@@ -76,7 +76,7 @@
 
 
 class Life(msgspec.Struct, array_like=True, tag="life"):
-    """A proxy is up, ready, told to stop, or ended."""
+    """A change of a proxy's state."""
 
     at: int
     proxy: str
@@ -84,15 +84,15 @@
 
 
 class Started(msgspec.Struct, array_like=True, tag="started"):
-    """A host has started, or started anew."""
+    """A host started or restarted."""
 
     at: int
     host: str
-    fell: bool = False  # pushed over while cold, and down from here on
+    fell: bool = False  # it failed under too much work while cold, and is down from now on
 
 
 class Probe(msgspec.Struct, array_like=True, tag="probe"):
-    """Probes that a host has had, by second."""
+    """Number of probes that a host got in one second."""
 
     host: str
     second: int
@@ -100,7 +100,7 @@
 
 
 class Sample(msgspec.Struct, array_like=True, tag="sample"):
-    """What a process uses: CPU as a share of one core since the last sample, memory in MB, descriptors."""
+    """Resource use of a process: CPU as a share of one core since the last sample, memory in MB, descriptors."""
 
     at: int
     process: str
@@ -110,7 +110,7 @@
 
 
 class Links(msgspec.Struct, array_like=True, tag="links"):
-    """Connections that a host had opened to it, in all, and most at once."""
+    """Connections to a host: opened in total, the most at once, and refused."""
 
     host: str
     opened: int
@@ -119,7 +119,7 @@
 
 
 class Generator(msgspec.Struct, array_like=True, tag="generator"):
-    """How late the generator was, microseconds, and how many it offered."""
+    """Lateness of the generator in microseconds, and the number of requests that it sent."""
 
     offered: int
     late_p50: int
@@ -134,7 +134,7 @@
 
 
 class Writer:
-    """Appends records to a file; what was written before an end of any kind can be read."""
+    """Appends records to a file; all flushed records can be read after a crash."""
 
     def __init__(self, path: Path) -> None:
         self._file: IO[bytes] = open(path, "ab", buffering=1 << 18)  # noqa: SIM115  (open as long as the run)
@@ -145,16 +145,16 @@
         self._file.write(self._encode(record) + b"\n")
 
     def flush(self) -> None:
-        """Hand what is written to the system."""
+        """Write buffered records to the file."""
         self._file.flush()
 
     def close(self) -> None:
-        """The end."""
+        """Write buffered records and close the file."""
         self._file.close()
 
 
 def read(paths: Iterable[Path]) -> list[Record]:
-    """All records of a run; a torn last line is passed over."""
+    """Return all records of a run; a truncated last line is skipped."""
     found: list[Record] = []
     for path in paths:
         with open(path, "rb") as file:
--- a/cranebank/lab/settings.py
+++ b/cranebank/lab/settings.py
@@ -1,4 +1,4 @@
-"""What the laboratory tells a proxy, in the platform's names."""
+"""Settings that the laboratory gives to a proxy, in the platform's field names."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def proxy_settings(scenario: Scenario, mine: ProxyPlan, copies: int) -> dict[str, Any]:
-    """The platform's settings object for one proxy."""
+    """Return the platform's settings object for one proxy."""
     limits, cold, prices = scenario.limits, scenario.cold, scenario.prices
     source = {"probe": "on_probe", "answers": "inline", "none": "off"}[scenario.reports.source]
     return {
--- a/cranebank/lab/stage.py
+++ b/cranebank/lab/stage.py
@@ -1,4 +1,4 @@
-"""What a host or a client of the laboratory needs of the world around it: sockets and simulated time both give it."""
+"""Interface that the laboratory's hosts and clients use; implemented on sockets and in simulated time."""
 
 from __future__ import annotations
 
@@ -14,79 +14,79 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """A request to a proxy, or a leg at a host: what PROTOCOL's head says, typed. Times in microseconds."""
+    """A request to a proxy, or a leg at a host: the typed header fields of PROTOCOL. Times in microseconds."""
 
     id: str
-    root: str  # the client's first try that it belongs to
+    root: str  # id of the client's request
     kind: int
     tenant: int
     key: str
-    work: int  # of the whole chain
-    left: int  # time that the caller will wait
+    work: int  # work for all tiers
+    left: int  # time that the caller still waits
     hint: int = 0
-    again: bool = False  # a client's retry
+    again: bool = False  # whether it is a client's retry
 
 
 @dataclass(slots=True)
 class Reply:
-    """What a caller got. ``status`` 0: no whole answer; ``trouble`` says why: refused, broke."""
+    """The answer that a caller got; with ``status`` 0 there was none, and ``trouble`` is the reason: refused, broke."""
 
     status: int = 0
     digest: str = ""
-    named: bool = True  # whether the body names the request
+    named: bool = True  # whether the body contains the request id
     retry_after: int = 0  # microseconds
     trouble: str = ""
-    sent: int = -1  # the request's last byte, on the stage's clock; -1: it never went out
+    sent: int = -1  # time of the request's last byte on the stage's clock; -1: never sent
 
 
 class Out(Protocol):
-    """A request that is out."""
+    """A request in flight."""
 
     @property
     def reply(self) -> Reply:
-        """What has come of it so far."""
+        """The reply received so far."""
 
     def leave(self) -> None:
-        """Wait no longer: nothing more is called."""
+        """Cancel the request; no callback is called after this."""
 
 
 class Timer(Protocol):
-    """Something that is to be called."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Call it off."""
+        """Cancel the call."""
 
 
 class Stage(Protocol):
-    """The world."""
+    """Clock, timers, requests and records of one laboratory."""
 
     scenario: Scenario
     plan: Plan
     repeats: Repeats
 
     def now(self) -> int:
-        """Microseconds after the start."""
+        """Return the microseconds since the start."""
 
     def at(self, when: int, do: Callable[..., Any], *arguments: Any) -> Timer:
-        """Call at a time after the start."""
+        """Call ``do`` at a time after the start."""
 
     def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
-        """Ask a proxy from a zone; ``done`` is called once unless it is left before, ``spare`` on a second answer."""
+        """Send a request to a proxy; ``done`` is called once unless it is cancelled, ``spare`` on a second answer."""
 
     def write(self, record: records.Record) -> None:
-        """Keep a record."""
+        """Write a record."""
 
 
 class Link(Protocol):
-    """A proxy's connection to a host, as the host sees it; ``request`` is what the host works on for it."""
+    """A proxy's connection, as a host sees it; ``request`` is the leg or probe in progress on it."""
 
     request: Any
 
     def answer(self, status: int, body: bytes = b"", load: str = "", not_run: bool = False) -> None:
-        """A whole answer."""
+        """Send a whole answer."""
 
     def spoil(self, cut: bool) -> None:
-        """An answer cut in the middle, or what is none."""
+        """Send half an answer and reset the connection (``cut``), or send bytes that are no HTTP."""
 
     def abort(self) -> None:
-        """End the connection."""
+        """Reset the connection."""
--- a/cranebank/lab/streams.py
+++ b/cranebank/lab/streams.py
@@ -1,4 +1,4 @@
-"""Random streams: one for each entity, so that adding an entity doesn't change what the others draw."""
+"""Random streams: one per entity, so that adding an entity doesn't change the draws of the others."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def stream(seed: int, *entity: str | int) -> np.random.Generator:
-    """The stream of an entity, such as ``stream(1, "host", "front-std-0")``.
+    """Return the stream of an entity, such as ``stream(1, "host", "front-std-0")``.
 
     The entity's name is hashed (xxHash64) into the spawn key of numpy's SeedSequence, so that the stream
     depends on the seed and the name alone and not on the order in which streams are made.
