--- a/tests/faulty_proxy.py
+++ b/tests/faulty_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy that breaks one rule on purpose, to show that the judge sees it: ``python faulty_proxy.py BREACH``."""
+"""A proxy that breaks one rule on purpose, to test that the judge reports it: ``python faulty_proxy.py BREACH``."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class FaultyProxy:
-    """Forwards to the first host of its list; ``breach`` says what it does wrong."""
+    """Forwards all requests to the first host of its list; ``breach`` selects the rule that it breaks."""
 
     def __init__(self, breach: str) -> None:
         self.breach, self.count = breach, 0
-        self.told = json.loads(Path(os.environ["GW_CONFIG"]).read_bytes())
-        self.hosts = {entry["id"]: entry for entry in self.told["known"]["servers"]}
+        self.boot = json.loads(Path(os.environ["GW_CONFIG"]).read_bytes())
+        self.hosts = {entry["id"]: entry for entry in self.boot["known"]["servers"]}
         self.first = next(iter(self.hosts.values()))
         self.pool = Pool()
 
@@ -34,8 +34,8 @@
         pass
 
     async def watch(self) -> None:
-        """Be told of changes, and keep to the first host all the same."""
-        reader, writer = await asyncio.open_connection(*self.told["discovery"].split(":"))
+        """Watch discovery for changes, but keep using the first host."""
+        reader, writer = await asyncio.open_connection(*self.boot["discovery"].split(":"))
         writer.write(b"GET /api/targets?watch=1&from=1 HTTP/1.1\r\nHost: x\r\n\r\n")
         while line := await reader.readline():
             if line.startswith(b"{"):
@@ -43,14 +43,14 @@
                     if entry["state"] == "SERVING":
                         self.hosts[entry["id"]] = entry
                     if entry["started_ms"] and self.breach == "cold":
-                        self.first = entry  # everything to the cold one
+                        self.first = entry  # send everything to the cold host
 
     def heard(self, connection: Incoming, request: Heard) -> None:
         if request.target.startswith("/-/"):
             connection.answer(b"HTTP/1.1 200 OK\r\n", b"{}")
             return
         self.count += 1
-        connection.owner = [request.headers["x-class"]]
+        connection.owner = [request.headers["x-class"]]  # the class, then "again" if it was sent again
         others = [h for h in self.hosts.values() if h is not self.first]
         match self.breach:
             case "second-copy" | "attempts":
@@ -67,23 +67,23 @@
         fields = "".join(f"{name}: {value}\r\n" for name, value in request.headers.items())
         data = f"{request.method} {request.target} HTTP/1.1\r\n{fields}\r\n".encode() + request.body
         host, _, port = entry["addr"].rpartition(":")
-        found: list[PendingRequest] = []
-        done = partial(self.done, connection, request, connection.owner, found)
-        found.append(self.pool.ask((host, int(port)), data, "", 0, done))
+        pending: list[PendingRequest] = []
+        done = partial(self.done, connection, request, connection.owner, pending)
+        pending.append(self.pool.ask((host, int(port)), data, "", 0, done))
 
     def done(
-        self, connection: Incoming, request: Heard, opened: list[str], found: list[PendingRequest], reply: Reply
+        self, connection: Incoming, request: Heard, exchange: list[str], pending: list[PendingRequest], reply: Reply
     ) -> None:
-        if connection.owner is not opened:
+        if connection.owner is not exchange:
             return
-        kind = opened[0]
+        kind = exchange[0]
         if self.breach in ("repeat", "window") and len(connection.owner) == 1 and kind != "look":
             connection.owner.append("again")
             wait = 1.0 if self.breach == "window" else 0.0
             asyncio.get_running_loop().call_later(wait, self.leg, connection, request, self.first)
             return
         connection.owner = None
-        body = found[0].body_start
+        body = pending[0].body_start
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         if reply.status != 200:
             answer = b"HTTP/1.1 502 Bad\r\nContent-Length: 0\r\n\r\n"
@@ -96,7 +96,7 @@
 
 async def main() -> None:
     proxy = FaultyProxy(sys.argv[1])
-    host, _, port = proxy.told["listen"].rpartition(":")
+    host, _, port = proxy.boot["listen"].rpartition(":")
     server = await asyncio.get_running_loop().create_server(lambda: Incoming(proxy), host, int(port))
     ip, bound = server.sockets[0].getsockname()[:2]
     print(f"listening on {ip}:{bound}", file=sys.stderr, flush=True)
--- a/tests/labs.py
+++ b/tests/labs.py
@@ -1,4 +1,4 @@
-"""Small scenarios for the laboratory's tests."""
+"""Small scenarios for the tests of the laboratory."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def scenario(**changes: Any) -> Scenario:
-    """One tier, two hosts, one proxy, all three classes; slack enough for a machine that is busy with tests."""
+    """Return a scenario with one tier, two hosts, one proxy and all three effects, and slack for a busy machine."""
     kinds = [
         {"name": name, "share": share, "work_ms": 10.0, "aim_ms": 1000.0, "deadline_ms": 2000.0, "attempt_noise": 0.0}
         | more
@@ -27,7 +27,7 @@
             ("pay", 0.3, {"effect": "unsafe"}),
         )
     ]
-    told: dict[str, Any] = {
+    fields: dict[str, Any] = {
         "name": "small",
         "seconds": 2.0,
         "load": {"rate": 60.0},
@@ -37,15 +37,15 @@
         "judge": {"slack_ms": 150.0, "late_ms": 2000.0},
         "discovery": {"notice_s": 0.2, "add_s": 0.2},
     }
-    return msgspec.convert(told | changes, Scenario)
+    return msgspec.convert(fields | changes, Scenario)
 
 
-def play(told: Scenario, folder: Path, *proxy: str) -> Result:
-    """Play it on sockets, with a proxy of the test's own where one is named."""
-    return asyncio.run(Run(told, folder, proxy=proxy).play())
+def play(scenario: Scenario, folder: Path, *proxy: str) -> Result:
+    """Run a scenario on sockets, with ``proxy`` as the proxy's command if it is given."""
+    return asyncio.run(Run(scenario, folder, proxy=proxy).play())
 
 
 def counters(folder: Path) -> dict[str, dict[str, int]]:
-    """What the proxies of a run counted."""
-    told: dict[str, dict[str, int]] = json.loads((folder / "counters.json").read_bytes())
-    return told
+    """Return the counters of the proxies of a run, by proxy."""
+    by_proxy: dict[str, dict[str, int]] = json.loads((folder / "counters.json").read_bytes())
+    return by_proxy
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -1,4 +1,4 @@
-"""The judge sees each breach, planted in a proxy on sockets, and none where there is none."""
+"""The judge reports each breach that a faulty proxy on sockets commits, and none for a correct proxy."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         ("crash", "crash", {}),
     ],
 )
-def test_a_planted_breach_is_named_and_nothing_else(
+def test_a_planted_breach_is_reported_and_nothing_else(
     tmp_path: Path, breach: str, rule: str | None, changes: dict[str, Any]
 ) -> None:
     result = play(scenario(**changes), tmp_path, str(HOSTS / "faulty_proxy.py"), breach)
