--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -1,4 +1,4 @@
-"""The reader of many proxies' logs, on lines that a proxy has written and on lines that none has."""
+"""The reader of many proxies' logs, on lines that a proxy wrote and on other lines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return f"at=2026-12-01T10:00:{second:02}.500000Z level=info proxy={proxy} event={event} {fields}"
 
 
-def test_counts_over_the_fleet_are_sums_and_ages_are_means(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_counts_over_the_fleet_are_summed_and_ages_averaged(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     write(
         tmp_path,
         "p0.log",
@@ -34,14 +34,16 @@
         json.dumps({"at": "2026-12-01T10:00:02.700000Z", "proxy": "p1", "event": "dial_failed"}),
     )
     assert main(["lab", "logs", str(tmp_path), "--json"]) == 0
-    told = dict(json.loads(capsys.readouterr().out))
-    assert told[0] == {"copies": 6.0, "list_age_ms": 200.0, "probes_sent": 5, "cpu_ms": 15}
-    assert told[2] == {"dial_failed": 6}
+    by_second = dict(json.loads(capsys.readouterr().out))
+    assert by_second[0] == {"copies": 6.0, "list_age_ms": 200.0, "probes_sent": 5, "cpu_ms": 15}
+    assert by_second[2] == {"dial_failed": 6}
     assert main(["lab", "logs", str(tmp_path), "--columns", "probes_sent,dial_failed"]) == 0
     assert "2 proxies, 4 lines" in capsys.readouterr().out
 
 
-def test_one_id_is_followed_through_every_proxy_by_time(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_request_id_is_followed_through_all_proxies_by_time(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     (tmp_path / "later").mkdir()
     write(tmp_path, "b.log", line(3, "b", "answered", "request=x answer=failed"), line(1, "b", "taken", "request=y"))
     write(tmp_path, "later/a.log", line(2, "a", "leg_ended", "request=x outcome=timeout"))
@@ -66,17 +68,15 @@
         "{" * 70_000,
     ],
 )
-def test_a_line_that_can_not_be_read_is_counted_by_its_file(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], bad: str
-) -> None:
+def test_unreadable_lines_are_counted_by_file(tmp_path: Path, capsys: pytest.CaptureFixture[str], bad: str) -> None:
     write(tmp_path, "p0.log", line(0, "p0", "taken", "request=x"), bad, line(1, "p0", "answered", "request=x"))
     assert main(["lab", "logs", str(tmp_path), "--json"]) == 0
-    said = capsys.readouterr()
-    assert [counts for _, counts in json.loads(said.out)] == [{"taken": 1}, {"answered": 1}]
-    assert ("p0.log" in said.err) is bool(bad)
+    output = capsys.readouterr()
+    assert [counts for _, counts in json.loads(output.out)] == [{"taken": 1}, {"answered": 1}]
+    assert ("p0.log" in output.err) is bool(bad)
 
 
-def test_no_folder_is_an_error_of_one_line_and_an_empty_one_is_found_empty(
+def test_a_missing_folder_is_an_error_of_one_line_and_an_empty_folder_gives_exit_code_1(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["lab", "logs", str(tmp_path / "none")]) == 2
@@ -85,23 +85,23 @@
 
 
 @pytest.mark.parametrize("every", [0.0, 0.1])
-def test_a_proxy_tallies_what_it_counted_and_believes_where_it_is_told_to(
+def test_a_proxy_logs_tallies_of_counters_and_beliefs_if_configured(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], every: float
 ) -> None:
-    said = ""
+    output = ""
 
     async def story(s: ProxyHarness) -> None:
         await s.ask()
 
-        def there() -> bool:
-            nonlocal said
-            said += capsys.readouterr().err
-            return not every or "+answers_served" in said
+        def has_tally() -> bool:
+            nonlocal output
+            output += capsys.readouterr().err
+            return not every or "+answers_served" in output
 
-        await until(there)
+        await until(has_tally)
 
     play(tmp_path, story, UpstreamHost(), own=(f"log.tally_s={every}",))
-    tallies = [made for made in map(fleetlog.parse, filter(str.strip, said.splitlines())) if made.event == "tally"]
-    served = sum(int(made.fields.get("+answers_served", 0)) for made in tallies)
+    tallies = [tally for tally in map(fleetlog.parse, filter(str.strip, output.splitlines())) if tally.event == "tally"]
+    served = sum(int(tally.fields.get("+answers_served", 0)) for tally in tallies)
     assert (bool(tallies), served) == (bool(every), int(bool(every)))
-    assert all(made.fields["listed"] == "1" and float(made.fields["copies"]) >= 1 for made in tallies)
+    assert all(tally.fields["listed"] == "1" and float(tally.fields["copies"]) >= 1 for tally in tallies)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Variants of a site file: changes by path, and one line that names file and key where one can't be made."""
+"""Variants of a site file: changes by path, and errors of one line that name the file and the key."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 }
 
 
-def test_changes_go_by_path_and_leave_the_base_alone() -> None:
+def test_changes_apply_by_path_and_leave_the_base_unchanged() -> None:
     before = json.dumps(SITE)
-    made = changed(
+    variant = changed(
         SITE,
         {
             "base": "x",
@@ -35,7 +35,7 @@
             "append": {"class": [{"name": "pay"}]},
         },
     )
-    assert made == {
+    assert variant == {
         "name": "two",
         "net": {"zones": ["c"]},
         "class": [{"name": "read"}, {"name": "put", "aim_ms": 5}, {"name": "pay"}],
@@ -56,9 +56,9 @@
 """)
 
 
-def test_copies_scales_and_paths_for_each() -> None:
+def test_copy_scale_and_wildcard_paths() -> None:
     before = json.dumps(FLEET)
-    made = changed(
+    variant = changed(
         FLEET,
         {
             "copy": [{"path": "machines.0", "set": {"zone": "b", "disk.mb": 8}}],
@@ -67,7 +67,7 @@
             "set": {"machines.*.count": 2},
         },
     )
-    assert made == {
+    assert variant == {
         "name": "one",
         "wire": "words.json",
         "machines": [
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "word"),
+    ("changes", "message_start"),
     [
         ({"set": {"machines.1.count": 1}}, "machines.1.count"),
         ({"set": {"day.*.sead": 1}}, "day.*.sead"),
@@ -96,28 +96,30 @@
         ({"remove": ["machines.0"], "set": {"machines.0": {}}}, "machines.0"),
     ],
 )
-def test_a_path_to_nothing_is_named(changes: dict[str, Any], word: str) -> None:
-    with pytest.raises(ConfigError, match=f"^{re.escape(word)}: expected"):
+def test_a_missing_path_is_named_in_the_error(changes: dict[str, Any], message_start: str) -> None:
+    with pytest.raises(ConfigError, match=f"^{re.escape(message_start)}: expected"):
         changed(FLEET, changes)
 
 
-def test_what_is_removed_may_be_set_anew() -> None:
-    made = changed(FLEET, {"remove": ["wire", "machines.0.disk"], "set": {"wire": "w", "machines.0.disk": {"mb": 1}}})
-    assert made == FLEET | {"wire": "w", "machines": [{"class": "core", "zone": "a", "count": 1, "disk": {"mb": 1}}]}
+def test_a_removed_key_may_be_set_again() -> None:
+    variant = changed(
+        FLEET, {"remove": ["wire", "machines.0.disk"], "set": {"wire": "w", "machines.0.disk": {"mb": 1}}}
+    )
+    assert variant == FLEET | {"wire": "w", "machines": [{"class": "core", "zone": "a", "count": 1, "disk": {"mb": 1}}]}
 
 
-def test_a_fleet_variant_has_a_wire_of_its_own(tmp_path: Path) -> None:
+def test_a_fleet_variant_gets_its_own_wire_file(tmp_path: Path) -> None:
     (tmp_path / "one.toml").write_text(tomli_w.dumps(FLEET), encoding="utf-8")
     (tmp_path / "words.json").write_text("words", encoding="utf-8")
     (tmp_path / "two.changes.toml").write_text('base = "one.toml"\nset = {name = "two"}\n', encoding="utf-8")
     assert main(str(tmp_path), str(tmp_path)) == 0
-    laid = tomllib.loads((tmp_path / "two.toml").read_text(encoding="utf-8"))
-    assert laid == FLEET | {"name": "two", "wire": "two.wire.json"}
+    written = tomllib.loads((tmp_path / "two.toml").read_text(encoding="utf-8"))
+    assert written == FLEET | {"name": "two", "wire": "two.wire.json"}
     assert (tmp_path / "two.wire.json").read_text(encoding="utf-8") == "words"
 
 
 @pytest.mark.parametrize(
-    ("changes", "word"),
+    ("changes", "message_start"),
     [
         ({"remove": ["class.none"]}, "class.none"),
         ({"remove": ["nothing"]}, "nothing"),
@@ -130,12 +132,12 @@
         ({"remove": "tenant"}, "remove"),
     ],
 )
-def test_a_change_that_can_not_be_made_is_named(changes: dict[str, Any], word: str) -> None:
-    with pytest.raises(ConfigError, match=f"^{word}: expected"):
+def test_an_impossible_change_is_named_in_the_error(changes: dict[str, Any], message_start: str) -> None:
+    with pytest.raises(ConfigError, match=f"^{message_start}: expected"):
         changed(SITE, changes)
 
 
-def test_variants_are_laid_with_what_stands_beside_their_base(tmp_path: Path) -> None:
+def test_variants_are_written_with_the_files_next_to_their_base(tmp_path: Path) -> None:
     kit, folder = tmp_path / "kit" / "sites", tmp_path / "ours"
     kit.mkdir(parents=True)
     folder.mkdir()
@@ -152,7 +154,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "word"),
+    ("content", "expected_text"),
     [
         (None, "no kit at"),
         ("", "x.changes.toml: base: expected"),
@@ -161,11 +163,11 @@
         ('base = "x.changes.toml"\nset = {nane = "x"}', "x.changes.toml: nane: expected"),
     ],
 )
-def test_without_the_kit_or_with_bad_changes_it_says_so_in_one_line(
-    tmp_path: Path, said: str | None, word: str
+def test_a_missing_kit_or_bad_changes_give_an_error_of_one_line(
+    tmp_path: Path, content: str | None, expected_text: str
 ) -> None:
-    kit = tmp_path / ("none" if said is None else ".")
-    (tmp_path / "x.changes.toml").write_text(said or "", encoding="utf-8")
+    kit = tmp_path / ("none" if content is None else ".")
+    (tmp_path / "x.changes.toml").write_text(content or "", encoding="utf-8")
     done = subprocess.run(
         [sys.executable, "-m", "cranebank.lab.sites", str(kit), str(tmp_path)],
         capture_output=True,
@@ -174,4 +176,4 @@
         check=False,
     )
     assert (done.returncode, done.stdout, len(done.stderr.splitlines())) == (2, "", 1)
-    assert word in done.stderr
+    assert expected_text in done.stderr
