--- a/cranebank/lab/clients.py
+++ b/cranebank/lab/clients.py
@@ -17,7 +17,7 @@
 class Request:
     """A client's request with all of its tries."""
 
-    __slots__ = ("arrival", "asked", "deadline", "first_sent", "number", "out", "timer", "tries", "zone")
+    __slots__ = ("arrival", "deadline", "first_sent", "number", "out", "record", "timer", "tries", "zone")
 
     def __init__(self, number: int, arrival: Arrival, deadline: int, zone: int) -> None:
         self.number, self.arrival, self.deadline, self.zone = number, arrival, deadline, zone
@@ -25,7 +25,7 @@
         self.first_sent = -1
         self.out: Out | None = None
         self.timer: Timer | None = None
-        self.asked: records.Asked
+        self.record: records.Asked
 
 
 class Clients:
@@ -66,7 +66,7 @@
         proxy = self._pick(draws[request.tries % 4], request.zone)
         name = f"c{request.number}-{request.tries}"
         key = row.key if kind.effect != "safe" else ""
-        asked = request.asked = records.Asked(
+        record = request.record = records.Asked(
             id=name,
             root=f"c{request.number}",
             parent="",
@@ -83,12 +83,12 @@
             status=0,
             digest="",
         )
-        until = asked.deadline + self._slack
+        until = record.deadline + self._slack
         if draws[4 + request.tries % 4] < scenario.clients.impatient:
-            until, asked.gone = started_at + round(wait * (0.1 + 0.8 * draws[request.tries % 4])), True
+            until, record.gone = started_at + round(wait * (0.1 + 0.8 * draws[request.tries % 4])), True
         request.timer = self._stage.at(until, self._give_up, request)
         ask = Ask(
-            name, asked.root, row.kind, row.tenant, key, row.work, asked.deadline - now, row.hint, request.tries > 0
+            name, record.root, row.kind, row.tenant, key, row.work, record.deadline - now, row.hint, request.tries > 0
         )
         request.out = self._stage.ask(
             proxy,
@@ -113,19 +113,19 @@
     def _done(self, request: Request, reply: Reply) -> None:
         if request.timer is not None:
             request.timer.cancel()
-        request.asked.gone = False
+        request.record.gone = False
         if reply.trouble == "refused":
-            self._avoided_until[request.asked.proxy] = self._stage.now() + round(self._scenario.clients.notice_s * 1e6)
+            self._avoided_until[request.record.proxy] = self._stage.now() + round(self._scenario.clients.notice_s * 1e6)
         self._end_try(request, reply)
 
     def _end_try(self, request: Request, reply: Reply) -> None:
-        asked, now = request.asked, self._stage.now()
-        asked.done, asked.sent = now, reply.sent
-        asked.status, asked.digest, asked.retry_after = reply.status, reply.digest, reply.retry_after
-        asked.broke, asked.named = reply.trouble == "broke", reply.named
-        if asked.sent >= 0 > request.first_sent:
-            request.first_sent = asked.sent
-        self._stage.write(asked)
+        record, now = request.record, self._stage.now()
+        record.done, record.sent = now, reply.sent
+        record.status, record.digest, record.retry_after = reply.status, reply.digest, reply.retry_after
+        record.broke, record.named = reply.trouble == "broke", reply.named
+        if record.sent >= 0 > request.first_sent:
+            request.first_sent = record.sent
+        self._stage.write(record)
         if reply.status == 200:
             self.served += 1
         elif (at := self._retry_at(request, reply, now)) is not None:
@@ -141,7 +141,7 @@
     def _retry_at(self, request: Request, reply: Reply, now: int) -> int | None:
         """Return when the client retries, with exponential backoff, or None if the class or the deadline forbids it."""
         clients, kind = self._scenario.clients, self._scenario.classes[request.arrival.kind]
-        if request.tries >= clients.retries or request.asked.gone:
+        if request.tries >= clients.retries or request.record.gone:
             return None
         is_safe_to_retry = reply.status in (429, 503) or reply.trouble in ("refused", "no connection left")
         if kind.effect == "unsafe" and not is_safe_to_retry:
--- a/cranebank/lab/experiment.py
+++ b/cranebank/lab/experiment.py
@@ -78,13 +78,13 @@
     runs: int
 
 
-def set_path(told: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
+def set_path(fields: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
     """Return a decoded scenario with one value set by its path, such as ``tier.0.proxies``."""
-    changed = copy.deepcopy(told)
+    changed = copy.deepcopy(fields)
     node: Any = changed
-    *above, last = path.split(".")
+    *parents, last = path.split(".")
     try:
-        for step in above:
+        for step in parents:
             node = node[int(step)] if isinstance(node, list) else node.setdefault(step, {})
         node[int(last) if isinstance(node, list) else last] = value
     except (KeyError, IndexError, ValueError, TypeError, AttributeError):
@@ -105,9 +105,9 @@
     grids = [[(cell.path, value) for value in cell.values] for cell in experiment.grid]
     for name in experiment.scenarios:
         file = path.parent / name
-        told = read_toml(file)
+        fields = read_toml(file)
         for cell in itertools.product(*grids):
-            changed = told
+            changed = fields
             for key, value in cell:
                 try:
                     changed = set_path(changed, key, value)
@@ -214,12 +214,12 @@
 
 def figure(values: Iterable[float]) -> Figure:
     """Return the mean with its 95% interval; with a single value the interval is empty."""
-    of = np.array(list(values), dtype=float)
-    if len(of) < 2:
-        mean = float(of.mean()) if len(of) else 0.0
-        return Figure(mean, mean, mean, len(of))
-    half = float(stats.t.ppf(0.975, len(of) - 1)) * float(of.std(ddof=1)) / sqrt(len(of))
-    return Figure(float(of.mean()), float(of.mean()) - half, float(of.mean()) + half, len(of))
+    sample = np.array(list(values), dtype=float)
+    if len(sample) < 2:
+        mean = float(sample.mean()) if len(sample) else 0.0
+        return Figure(mean, mean, mean, len(sample))
+    half = float(stats.t.ppf(0.975, len(sample) - 1)) * float(sample.std(ddof=1)) / sqrt(len(sample))
+    return Figure(float(sample.mean()), float(sample.mean()) - half, float(sample.mean()) + half, len(sample))
 
 
 def groups(found: Iterable[Row]) -> dict[tuple[str, str], list[Row]]:
@@ -289,10 +289,10 @@
         if not seeds:
             continue
         for name, of in FIGURES.items():
-            ours, theirs = [of(left[k]) for k in seeds], [of(right[k]) for k in seeds]
-            gap = figure(y - x for x, y in zip(ours, theirs, strict=True))
+            a_values, b_values = [of(left[k]) for k in seeds], [of(right[k]) for k in seeds]
+            gap = figure(y - x for x, y in zip(a_values, b_values, strict=True))
             worse = gap.runs > 1 and (gap.high < 0 if name in HIGHER_IS_BETTER else gap.low > 0)
-            found.append(Difference(scenario, settings, name, figure(ours).mean, figure(theirs).mean, gap, worse))
+            found.append(Difference(scenario, settings, name, figure(a_values).mean, figure(b_values).mean, gap, worse))
     return found
 
 
--- a/cranebank/lab/host.py
+++ b/cranebank/lab/host.py
@@ -25,7 +25,7 @@
     """A leg that a host works on."""
 
     link: Link
-    seen: records.Seen
+    record: records.Seen
     ask: Ask
     deadline: int
     job: Job
@@ -113,7 +113,7 @@
             variance = log(1 + kind.attempt_noise**2)
             own_work *= float(self._random.lognormal(-variance / 2, sqrt(variance)))
         calls = 0 if is_last_tier else int(tier.calls) + int(self._random.random() < tier.calls % 1.0)
-        seen = records.Seen(
+        record = records.Seen(
             id=ask.id,
             host=self.host.name,
             first=first,
@@ -127,22 +127,22 @@
             work=int(own_work),
         )
         if self.swallow and self._random.random() < self.swallow:  # dropped unread and never answered
-            seen.status, seen.ended_by = 0, "fault"
-            link.request = seen
-            stage.write(seen)
+            record.status, record.ended_by = 0, "fault"
+            link.request = record
+            stage.write(record)
             return
-        leg = Leg(link, seen, ask, now + ask.left, Job(max(1.0, own_work), calls), calls)
+        leg = Leg(link, record, ask, now + ask.left, Job(max(1.0, own_work), calls), calls)
         leg.job.content = leg
         admission = Admission.FULL if self.stopping else self.model.offer(now, leg.job)
         if admission is Admission.FELL:
             stage.write(records.Started(now, self.host.name, fell=True))
             self.kill()
         elif admission is Admission.FULL:
-            stage.write(seen)
+            stage.write(record)
             link.answer(503, load=self._answer_load(), not_run=True)
         else:
-            seen.ran = True
-            seen.effect = not ask.key or stage.repeats.first(now, ask.kind, ask.key, round(kind.window_ms * 1000))
+            record.ran = True
+            record.effect = not ask.key or stage.repeats.first(now, ask.kind, ask.key, round(kind.window_ms * 1000))
             link.request = leg
             self.legs[leg] = None
         self._schedule_model()
@@ -175,7 +175,7 @@
             if job.phase is Phase.CALLING:
                 self._call_next_tier(content)
             else:
-                content.seen.busy_until = job.ended
+                content.record.busy_until = job.ended
                 kind = self.stage.scenario.tiers[self.host.tier].kind[self.host.kind]
                 failed = kind.error_rate and self._random.random() < kind.error_rate
                 self._answer_leg(content, 500 if failed else 200)
@@ -190,7 +190,7 @@
         deadline = leg.deadline if scenario.limits.passes_deadline else now + round(kind.deadline_ms * 1000)
         self._call_count += 1
         name = f"{self._prefix}-{self._call_count}"
-        asked = records.Asked(
+        call = records.Asked(
             id=name,
             root=leg.ask.root,
             parent=leg.ask.id,
@@ -212,7 +212,7 @@
         def done(reply: Reply) -> None:
             if leg.timer is not None:
                 leg.timer.cancel()
-            self._record_call(asked, reply)
+            self._record_call(call, reply)
             leg.out = None
             if leg.job.phase is not Phase.CALLING:
                 return
@@ -227,22 +227,22 @@
                     self.model.resume(leg.job)
             self._schedule_model()
 
-        ask = Ask(name, leg.ask.root, leg.ask.kind, leg.ask.tenant, asked.key, leg.ask.work, deadline - now)
-        leg.timer = stage.at(deadline, self._call_timed_out, leg, asked)
+        ask = Ask(name, leg.ask.root, leg.ask.kind, leg.ask.tenant, call.key, leg.ask.work, deadline - now)
+        leg.timer = stage.at(deadline, self._call_timed_out, leg, call)
         leg.out = stage.ask(self._proxy, self.host.zone, ask, done, lambda: stage.write(records.Spare(name)))
 
-    def _record_call(self, asked: records.Asked, reply: Reply) -> None:
-        asked.done, asked.sent = self.stage.now(), reply.sent
-        asked.status, asked.digest, asked.retry_after = reply.status, reply.digest, reply.retry_after
-        asked.broke, asked.named = reply.trouble == "broke", reply.named
-        self.stage.write(asked)
+    def _record_call(self, call: records.Asked, reply: Reply) -> None:
+        call.done, call.sent = self.stage.now(), reply.sent
+        call.status, call.digest, call.retry_after = reply.status, reply.digest, reply.retry_after
+        call.broke, call.named = reply.trouble == "broke", reply.named
+        self.stage.write(call)
 
-    def _call_timed_out(self, leg: Leg, asked: records.Asked) -> None:
+    def _call_timed_out(self, leg: Leg, call: records.Asked) -> None:
         """Give up a call at its deadline and fail its leg."""
         if leg.out is not None:
             out, leg.out = leg.out, None
             out.leave()
-            self._record_call(asked, out.reply)
+            self._record_call(call, out.reply)
             if leg.job.phase is Phase.CALLING:
                 self._advance_model()
                 self._fail_leg(leg)
@@ -250,28 +250,28 @@
 
     def _fail_leg(self, leg: Leg) -> None:
         self.model.drop(leg.job)
-        leg.seen.busy_until = self.stage.now()
+        leg.record.busy_until = self.stage.now()
         self._answer_leg(leg, 500)
 
     # Answers and cancellations.
 
     def _answer_leg(self, leg: Leg, status: int) -> None:
-        seen, link = leg.seen, leg.link
+        record, link = leg.record, leg.link
         link.request = None
         self.legs.pop(leg, None)
-        seen.done, seen.status = self.stage.now(), status
+        record.done, record.status = self.stage.now(), status
         for chance, cut in ((self.reset, True), (self.spoil, False)):
             if status == 200 and chance and self._random.random() < chance:
-                seen.status, seen.ended_by = 0, "fault"
+                record.status, record.ended_by = 0, "fault"
                 link.spoil(cut)
-                self.stage.write(seen)
+                self.stage.write(record)
                 return
         body = b""
         if status == 200:
-            body = f'{{"id":"{seen.id}","host":"{self.host.name}","at":{seen.done}}}'.encode().ljust(BODY_BYTES)
-            seen.digest = xxhash.xxh64_hexdigest(body)
+            body = f'{{"id":"{record.id}","host":"{self.host.name}","at":{record.done}}}'.encode().ljust(BODY_BYTES)
+            record.digest = xxhash.xxh64_hexdigest(body)
         link.answer(status, body, self._answer_load())
-        self.stage.write(seen)
+        self.stage.write(record)
 
     def _cancel_leg(self, leg: Leg, why: str) -> None:
         leg.link.request = None
@@ -286,9 +286,9 @@
             leg.out = None
         if leg.job.phase is not Phase.DONE:
             self.model.drop(leg.job)
-        leg.seen.done = leg.seen.busy_until = self.stage.now()
-        leg.seen.status, leg.seen.ended_by = 0, why
-        self.stage.write(leg.seen)
+        leg.record.done = leg.record.busy_until = self.stage.now()
+        leg.record.status, leg.record.ended_by = 0, why
+        self.stage.write(leg.record)
         self._schedule_model()
 
     # Faults.
--- a/cranebank/lab/hosts.py
+++ b/cranebank/lab/hosts.py
@@ -191,8 +191,8 @@
 async def run(part: Part, lines: Lines) -> None:
     """Run the hosts of one tier, or a share of them."""
     stage = SocketStage(part)
-    mine = [h for h in part.plan.hosts if h.tier == part.tier][part.share :: part.of]
-    hosts = [SocketHost(stage, host, part.addresses[host.name]) for host in mine]
+    own_plans = [h for h in part.plan.hosts if h.tier == part.tier][part.share :: part.of]
+    hosts = [SocketHost(stage, host, part.addresses[host.name]) for host in own_plans]
     for host in hosts:
         await host.listen()
         if host.host.start:  # the address is known from now on, but refuses connections until the host starts
--- a/cranebank/lab/judge.py
+++ b/cranebank/lab/judge.py
@@ -71,7 +71,7 @@
     def __init__(self, scenario: Scenario, plan: Plan) -> None:
         self._scenario, self._plan = scenario, plan
         self._slack = SOCKETS_SLACK_US + us(scenario.judge.slack_ms / 1000)
-        self._asked: dict[str, records.Asked] = {}
+        self._calls: dict[str, records.Asked] = {}
         self._legs: dict[str, list[records.Seen]] = defaultdict(list)
         self._notices: dict[tuple[str, str], list[records.Told]] = defaultdict(list)  # by proxy and host, in order
         self._known_hosts: dict[str, set[str]] = defaultdict(set)
@@ -83,7 +83,7 @@
     def take(self, record: records.Record) -> None:
         match record:
             case records.Asked():
-                self._asked[record.id] = record
+                self._calls[record.id] = record
             case records.Seen():
                 self._legs[record.id].append(record)
             case records.Spare(name):
@@ -105,8 +105,8 @@
             self._notices[notice.proxy, host].append(records.Told(notice.at, notice.proxy, host, "DELETED", 0))
 
     def verdict(self) -> Verdict:
-        for asked in self._asked.values():
-            self._check_answer(asked)
+        for call in self._calls.values():
+            self._check_answer(call)
         for name in self._extra_answers:
             self._breach("answered-twice", name)
         for name, legs in self._legs.items():
@@ -125,34 +125,34 @@
             tuple(
                 Breach(rule, len(self._breaches[rule]), tuple(self._breaches[rule][:MAX_EXAMPLES])) for rule in order
             ),
-            len(self._asked),
+            len(self._calls),
             sum(map(len, self._legs.values())),
         )
 
     def _breach(self, rule: str, what: str) -> None:
         self._breaches[rule].append(what)
 
-    def _check_answer(self, asked: records.Asked) -> None:
-        legs, kind = self._legs.get(asked.id, []), self._scenario.classes[asked.kind]
-        if asked.status == 200:
+    def _check_answer(self, call: records.Asked) -> None:
+        legs, kind = self._legs.get(call.id, []), self._scenario.classes[call.kind]
+        if call.status == 200:
             made = {leg.digest for leg in legs if leg.status == 200}
-            if asked.digest not in made or not asked.named:
-                self._breach("bytes", f"{asked.id} by {asked.proxy}")
-        elif asked.status in DECLINES:
+            if call.digest not in made or not call.named:
+                self._breach("bytes", f"{call.id} by {call.proxy}")
+        elif call.status in DECLINES:
             if kind.effect == "unsafe" and any(leg.ran for leg in legs):
-                self._breach("decline", f"{asked.id} by {asked.proxy}")
-        elif self._is_unanswered(asked) and not self._proxy_died(asked.proxy, asked.sent, asked.done):
-            why = "the connection was closed" if asked.broke else "no answer arrived"
-            self._breach("unanswered", f"{asked.id} by {asked.proxy}: {why} by {asked.done / 1e6:.3f} s")
+                self._breach("decline", f"{call.id} by {call.proxy}")
+        elif self._is_unanswered(call) and not self._proxy_died(call.proxy, call.sent, call.done):
+            why = "the connection was closed" if call.broke else "no answer arrived"
+            self._breach("unanswered", f"{call.id} by {call.proxy}: {why} by {call.done / 1e6:.3f} s")
 
     @staticmethod
-    def _is_unanswered(asked: records.Asked) -> bool:
+    def _is_unanswered(call: records.Asked) -> bool:
         """Return whether a proxy accepted a request and never answered it.
 
         Hosts stop waiting at their deadline, so only clients can observe a missing answer.
         """
-        is_accepted = asked.status == 0 and asked.sent >= 0 and not asked.gone
-        return is_accepted and (asked.broke or asked.caller == "client")
+        is_accepted = call.status == 0 and call.sent >= 0 and not call.gone
+        return is_accepted and (call.broke or call.caller == "client")
 
     def _proxy_died(self, proxy: str, since: int, until: int) -> bool:
         """Return whether a proxy died while a request was in flight.
@@ -167,10 +167,10 @@
         )
 
     def _check_drain(self, name: str, leg: records.Seen) -> None:
-        asked = self._asked.get(name)
-        if asked is None:
+        call = self._calls.get(name)
+        if call is None:
             return
-        notices = self._notices.get((asked.proxy, leg.host), [])
+        notices = self._notices.get((call.proxy, leg.host), [])
         last = bisect_right(notices, leg.first, key=lambda t: t.at) - 1
         if last < 0 or notices[last].state == "SERVING":
             return
@@ -178,7 +178,7 @@
             last -= 1
         late = leg.first - notices[last].at - us(self._scenario.limits.drain_grace_ms / 1000)
         if late > self._slack:
-            self._breach("drain", f"{name} by {asked.proxy} to {leg.host}: {late / 1e6:.3f} s after the grace period")
+            self._breach("drain", f"{name} by {call.proxy} to {leg.host}: {late / 1e6:.3f} s after the grace period")
 
     def _check_repeats(self, name: str, legs: list[records.Seen]) -> None:
         scenario, kind = self._scenario, self._scenario.classes[legs[0].kind]
@@ -230,6 +230,6 @@
                 return
 
     def _proxy_knew_start(self, leg: records.Seen, start: records.Started) -> bool:
-        asked = self._asked.get(leg.id)
-        notices = self._notices.get((asked.proxy, leg.host), []) if asked is not None else []
+        call = self._calls.get(leg.id)
+        notices = self._notices.get((call.proxy, leg.host), []) if call is not None else []
         return any(t.at <= leg.first and t.started and abs(t.started - start.at) < 1_000_000 for t in notices)
--- a/cranebank/lab/run.py
+++ b/cranebank/lab/run.py
@@ -198,20 +198,20 @@
             for tier in range(len(scenario.tiers))
         ]
         for number, proxy in enumerate(self._proxies):
-            mine = proxy.plan
-            ip, port = discovery.ready[mine.name]
+            proxy_plan = proxy.plan
+            ip, port = discovery.ready[proxy_plan.name]
             address = next(self._ips)
             proxy.address = (address, proxy_port)
             boot = {
-                "name": mine.name,
+                "name": proxy_plan.name,
                 "listen": f"{address}:{proxy_port}",
                 "discovery": f"{ip}:{port}",
                 "seed": f"{(scenario.seed * 1_000_003 + number) & 0xFFFFFFFF:08x}",
                 "limits": {"cores": 1.0, "memory_mb": scenario.limits.memory_mb, "sockets": scenario.limits.sockets},
-                "known": {"version": 1, "full": True, "servers": known[mine.tier]},
-                "settings": proxy_settings(scenario, mine, counts[mine.tier]),
+                "known": {"version": 1, "full": True, "servers": known[proxy_plan.tier]},
+                "settings": proxy_settings(scenario, proxy_plan, counts[proxy_plan.tier]),
             }
-            path = self._folder / f"{mine.name}.json"
+            path = self._folder / f"{proxy_plan.name}.json"
             path.write_bytes(msgspec.json.encode(boot))
             clean = {name: value for name, value in os.environ.items() if not name.startswith(("GW_", "CRANEBANK_"))}
             subset = {
--- a/cranebank/lab/settings.py
+++ b/cranebank/lab/settings.py
@@ -10,20 +10,20 @@
 EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 
-def proxy_settings(scenario: Scenario, mine: ProxyPlan, copies: int) -> dict[str, Any]:
+def proxy_settings(scenario: Scenario, proxy: ProxyPlan, copies: int) -> dict[str, Any]:
     """Return the platform's settings object for one proxy."""
     limits, cold, prices = scenario.limits, scenario.cold, scenario.prices
     source = {"probe": "on_probe", "answers": "inline", "none": "off"}[scenario.reports.source]
     return {
         "Balancers": max(1, round(copies * scenario.subset.told_copies)),
-        "SlotNo": mine.slot,
+        "SlotNo": proxy.slot,
         "Discovery": scenario.discovery.mode,
-        "Layer": mine.tier,
+        "Layer": proxy.tier,
         "Quantum": 1.0,
         "Tiers": [tier.name for tier in scenario.tiers],
-        "Zone": mine.zone,
+        "Zone": proxy.zone,
         "Zones": list(scenario.zones),
-        "Kinds": [kind.name for kind in scenario.tiers[mine.tier].kind],
+        "Kinds": [kind.name for kind in scenario.tiers[proxy.tier].kind],
         "WorthBy": "request",
         "OverShareWorth": prices.over_share_worth,
         "Lanes": [
