--- a/cranebank/fleetlab/cold_judge.py
+++ b/cranebank/fleetlab/cold_judge.py
@@ -1,4 +1,4 @@
-"""The rule on cold backends: no second brings one more requests than it bears, whoever sends them."""
+"""The rule on cold backends: no second brings a backend more requests than its warm-up allows, from all senders."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from cranebank.fleetlab.records import ColdTime, DayRecord
 
 WINDOW_S = 1.0
-MISDIRECTED = 421  # such requests don't count
+MISDIRECTED = 421  # requests answered with it don't count
 
 
 class Flood(msgspec.Struct, frozen=True):
-    """A second that brought a cold backend more requests than it bears."""
+    """A second that brought a cold backend more requests than its warm-up allows."""
 
     instance: str
     begin: float
@@ -24,18 +24,18 @@
 
 
 def cold_arrivals(day: DayRecord) -> Iterator[tuple[ColdTime, list[float]]]:
-    """For each cold time when requests arrived in it, in order. Times that overlap are taken as they are: a backend
-    that turns cold again bears what it bore before."""
+    """Yield each cold period with the sorted times of the requests that arrived in it. Overlapping periods of a backend
+    are merged: a backend that turns cold again has the same limit as before."""
     by_instance: dict[str, list[float]] = defaultdict(list)
     for arrival in day.arrivals:
         if arrival.status != MISDIRECTED:
             by_instance[arrival.instance].append(arrival.at)
-    for cold in _joined(day.cold_times):
+    for cold in _merge_overlapping(day.cold_times):
         yield cold, sorted(at for at in by_instance[cold.instance] if cold.begin <= at <= cold.end)
 
 
 def floods(day: DayRecord) -> Iterator[Flood]:
-    """Seconds, each from an arrival on, with too many requests; no two of them overlap."""
+    """Yield the seconds with too many requests. Each begins at an arrival, and none overlap."""
     for cold, times in cold_arrivals(day):
         allowed = cold.warmup_per_s * day.bounds.cold_over + day.bounds.cold_slack
         index = 0
@@ -48,13 +48,13 @@
                 index += 1
 
 
-def _joined(times: list[ColdTime]) -> list[ColdTime]:
-    """The cold times, those of one backend that overlap made one."""
-    joined: list[ColdTime] = []
-    for cold in sorted(times, key=lambda one: (one.instance, one.begin)):
-        last = joined[-1] if joined else None
+def _merge_overlapping(times: list[ColdTime]) -> list[ColdTime]:
+    """Return the cold periods, with overlapping ones of the same backend merged."""
+    merged: list[ColdTime] = []
+    for cold in sorted(times, key=lambda cold: (cold.instance, cold.begin)):
+        last = merged[-1] if merged else None
         if last is not None and last.instance == cold.instance and cold.begin <= last.end:
-            joined[-1] = msgspec.structs.replace(last, end=max(last.end, cold.end))
+            merged[-1] = msgspec.structs.replace(last, end=max(last.end, cold.end))
         else:
-            joined.append(cold)
-    return joined
+            merged.append(cold)
+    return merged
--- a/cranebank/fleetlab/evacuation_judge.py
+++ b/cranebank/fleetlab/evacuation_judge.py
@@ -1,4 +1,4 @@
-"""The rules on evacuations: nothing from machines in touch reaches a zone that was emptied, and that lasts."""
+"""The rules on evacuations: machines in contact send nothing to an evacuated zone, and the evacuation persists."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from cranebank.fleetlab.records import Arrival, DayRecord
 
-MISDIRECTED = 421  # such requests don't count
+MISDIRECTED = 421  # requests answered with it don't count
 
 
-class Emptied(msgspec.Struct, frozen=True):
-    """A time in which nothing may reach a zone."""
+class BindingPeriod(msgspec.Struct, frozen=True):
+    """A period in which no request may reach a zone."""
 
     zone: str
     acked: float
@@ -21,15 +21,15 @@
 
 
 class LateArrival(msgspec.Struct, frozen=True):
-    """A request that reached an emptied zone."""
+    """A request that reached an evacuated zone."""
 
     zone: str
     arrival: Arrival
-    is_forgotten: bool  # the evacuation held before the last trouble, and no longer after it
+    is_lost: bool  # the evacuation was acknowledged before the last trouble ended, and not in force after it
 
 
-def emptied_times(day: DayRecord) -> Iterator[Emptied]:
-    """For each acknowledged Start the time in which it binds."""
+def binding_periods(day: DayRecord) -> Iterator[BindingPeriod]:
+    """Yield the period in which each acknowledged Start is binding."""
     for order in day.evacuations:
         if not order.is_start or order.acked is None:
             continue
@@ -41,19 +41,19 @@
         begin = order.acked + day.bounds.evacuate_ms / 1e3
         end = min(finishes, default=day.ended)
         if begin < end:
-            yield Emptied(order.zone, order.acked, begin, end)
+            yield BindingPeriod(order.zone, order.acked, begin, end)
 
 
 def late_arrivals(day: DayRecord) -> Iterator[LateArrival]:
-    """What reached a zone while it had to be empty, whoever sent it."""
+    """Yield the requests from all senders that reached a zone while it was evacuated."""
     last_trouble = max((trouble.end for trouble in day.troubles), default=day.begun)
     settled = last_trouble + day.bounds.contact_ms / 1e3
-    for emptied in emptied_times(day):
+    for period in binding_periods(day):
         for arrival in day.arrivals:
             if (
-                day.backend_zones.get(arrival.instance) == emptied.zone
-                and emptied.begin < arrival.at < emptied.end
+                day.backend_zones.get(arrival.instance) == period.zone
+                and period.begin < arrival.at < period.end
                 and arrival.status != MISDIRECTED
             ):
-                is_forgotten = emptied.acked <= last_trouble and arrival.at > settled
-                yield LateArrival(emptied.zone, arrival, is_forgotten)
+                is_lost = period.acked <= last_trouble and arrival.at > settled
+                yield LateArrival(period.zone, arrival, is_lost)
--- a/cranebank/fleetlab/report.py
+++ b/cranebank/fleetlab/report.py
@@ -13,28 +13,29 @@
 from cranebank.fleetlab.records import DayRecord, Try
 from cranebank.lab.report import PAGE, Draw, Mark, Table, drawn, write
 
-FOUND = ("kept", "BROKEN")
+OUTCOMES = ("kept", "BROKEN")
 
 
 def rules_table(verdict: Verdict) -> Table:
     """How much each rule was tried on, and whether it held."""
     broken = verdict.broken()
     rows = [
-        (f"{rule}: {RULES[rule]}", verdict.judged[rule], broken.get(rule, 0), FOUND[rule in broken]) for rule in RULES
+        (f"{rule}: {RULES[rule]}", verdict.judged[rule], broken.get(rule, 0), OUTCOMES[rule in broken])
+        for rule in RULES
     ]
     return Table("Rules", ("rule", "judged", "broken", ""), rows)
 
 
-def _route(sent: Try) -> str:
-    return sent.path.split("/")[1]
+def _route(client_try: Try) -> str:
+    return client_try.path.split("/")[1]
 
 
-def _first_ms(sent: Try) -> float:
-    return 1e3 * (sent.event_times[0] - sent.sent)
+def _first_event_ms(client_try: Try) -> float:
+    return 1e3 * (client_try.event_times[0] - client_try.sent)
 
 
-def _gaps_ms(sent: Try) -> list[float]:
-    return [1e3 * (after - before) for before, after in pairwise(sent.event_times)]
+def _gaps_ms(client_try: Try) -> list[float]:
+    return [1e3 * (after - before) for before, after in pairwise(client_try.event_times)]
 
 
 def _quantiles(values: Sequence[float]) -> tuple[str, ...]:
@@ -46,20 +47,20 @@
 def route_table(day: DayRecord) -> Table:
     """What became of each route's requests."""
     by: dict[str, list[Try]] = defaultdict(list)
-    for sent in day.tries:
-        if not sent.is_probe:
-            by[_route(sent)].append(sent)
+    for client_try in day.tries:
+        if not client_try.is_probe:
+            by[_route(client_try)].append(client_try)
     rows = []
     for name, tries in sorted(by.items()):
-        whole = [sent for sent in tries if served(sent) and sent.event_times]
+        whole = [client_try for client_try in tries if served(client_try) and client_try.event_times]
         rows.append(
             (
                 name,
-                len({sent.request for sent in tries}),
+                len({client_try.request for client_try in tries}),
                 len(tries),
                 f"{share(day, served, tries):.4f}",
-                *_quantiles([_first_ms(sent) for sent in whole]),
-                *_quantiles([gap for sent in whole for gap in _gaps_ms(sent)]),
+                *_quantiles([_first_event_ms(client_try) for client_try in whole]),
+                *_quantiles([gap for client_try in whole for gap in _gaps_ms(client_try)]),
             )
         )
     return Table(
@@ -67,7 +68,7 @@
     )
 
 
-def _seconds(day: DayRecord, points: Sequence[tuple[float, float]]) -> dict[int, list[float]]:
+def _by_second(day: DayRecord, points: Sequence[tuple[float, float]]) -> dict[int, list[float]]:
     found: dict[int, list[float]] = defaultdict(list)
     for at, value in points:
         found[int(at - day.begun)].append(value)
@@ -77,13 +78,13 @@
 def _first_tokens(day: DayRecord) -> Draw:
     def draw(axes: Axes) -> None:
         by: dict[str, list[Try]] = defaultdict(list)
-        for sent in day.tries:
-            if sent.event_times and not sent.is_probe:
-                by[_route(sent)].append(sent)
+        for client_try in day.tries:
+            if client_try.event_times and not client_try.is_probe:
+                by[_route(client_try)].append(client_try)
         for name, tries in sorted(by.items()):
             axes.plot(
-                [sent.sent - day.begun for sent in tries],
-                [_first_ms(sent) for sent in tries],
+                [client_try.sent - day.begun for client_try in tries],
+                [_first_event_ms(client_try) for client_try in tries],
                 ".",
                 markersize=4,
                 label=name,
@@ -97,11 +98,12 @@
 
 def _gaps(day: DayRecord) -> Draw:
     def draw(axes: Axes) -> None:
-        seconds = _seconds(
-            day, [(at, 1e3 * (at - before)) for sent in day.tries for before, at in pairwise(sent.event_times)]
+        seconds = _by_second(
+            day,
+            [(at, 1e3 * (at - before)) for client_try in day.tries for before, at in pairwise(client_try.event_times)],
         )
         for name, q, style in (("p50", 0.5, "-"), ("p99", 0.99, "--"), ("longest", 1.0, ":")):
-            values = [float(np.quantile(np.array(of), q)) for of in seconds.values()]
+            values = [float(np.quantile(np.array(series), q)) for series in seconds.values()]
             axes.plot(list(seconds), values, style, label=name)
         axes.set_ylim(bottom=0)
         axes.set_xlabel("seconds")
@@ -121,7 +123,7 @@
         seconds = range(int(day.ended - day.begun) + 1)
         rows = []
         for points in kinds.values():
-            by = _seconds(day, points)
+            by = _by_second(day, points)
             rows.append([sum(by.get(second, ())) for second in seconds])
         axes.stackplot(list(seconds), np.array(rows), labels=list(kinds))
         axes.set_xlabel("seconds")
@@ -132,12 +134,14 @@
 
 def _budget(day: DayRecord) -> Draw:
     def draw(axes: Axes) -> None:
-        found = list(Judge(day).further())
+        found = list(Judge(day).repeated_arrivals())
         for number, service in enumerate(sorted({further.service for further in found})):
-            of = [further for further in found if further.service == service]
-            at = [further.begin - day.begun for further in of]
-            axes.plot(at, [further.found for further in of], ".-", color=f"C{number}", label=f"{service}: further")
-            axes.plot(at, [further.allowed for further in of], "--", color=f"C{number}", label=f"{service}: allowed")
+            series = [further for further in found if further.service == service]
+            at = [further.begin - day.begun for further in series]
+            axes.plot(at, [further.found for further in series], ".-", color=f"C{number}", label=f"{service}: further")
+            axes.plot(
+                at, [further.allowed for further in series], "--", color=f"C{number}", label=f"{service}: allowed"
+            )
         axes.set_ylim(bottom=0)
         axes.set_xlabel("seconds at which a window begins")
         axes.set_ylabel(f"arrivals in {day.bounds.retry_window_s:g} s")
@@ -162,12 +166,12 @@
     return draw
 
 
-def _outcomes(day: DayRecord) -> Draw:
+def _tries_per_second(day: DayRecord) -> Draw:
     def draw(axes: Axes) -> None:
-        tries = [sent for sent in day.tries if not sent.is_probe]
+        tries = [client_try for client_try in day.tries if not client_try.is_probe]
         seconds = range(int(day.ended - day.begun) + 1)
-        for name, of in (("tries", tries), ("served", [sent for sent in tries if served(sent)])):
-            by = _seconds(day, [(sent.sent, 1.0) for sent in of])
+        for name, series in (("tries", tries), ("served", [client_try for client_try in tries if served(client_try)])):
+            by = _by_second(day, [(client_try.sent, 1.0) for client_try in series])
             axes.plot(list(seconds), [len(by.get(second, ())) for second in seconds], label=name)
         axes.set_ylim(bottom=0)
         axes.set_xlabel("seconds")
@@ -190,12 +194,12 @@
         ("Prompt tokens: kept, moved and read", drawn(_tokens(day), marks)),
         ("Further arrivals against the budget", drawn(_budget(day))),
         ("Who was primary", drawn(_primary(day), marks)),
-        ("Tries", drawn(_outcomes(day), marks)),
+        ("Tries", drawn(_tries_per_second(day), marks)),
     ]
-    tries = [sent for sent in day.tries if not sent.is_probe]
+    tries = [client_try for client_try in day.tries if not client_try.is_probe]
     kept, read = sum(a.kept for a in day.arrivals), sum(a.read for a in day.arrivals)
     notes = [
-        f"{len({sent.request for sent in tries})} requests in {len(tries)} tries, "
+        f"{len({client_try.request for client_try in tries})} requests in {len(tries)} tries, "
         f"{share(day, served):.4f} of them served; {len(day.arrivals)} arrivals at backends, "
         f"{kept / max(1, kept + read):.3f} of the prompt tokens were kept where they were needed.",
         *(f"Noted: {remark}." for remark in verdict.remarks),
--- a/cranebank/fleetlab/soak_verdict.py
+++ b/cranebank/fleetlab/soak_verdict.py
@@ -1,4 +1,4 @@
-"""What came of a soak run, by its plan, its record and the logs. No I/O."""
+"""The verdict on a soak run, from its plan, its record and the logs. No I/O."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class SoakVerdict(msgspec.Struct):
-    """What came of a run. ``failures`` is empty where all was well."""
+    """The verdict on a run. ``failures`` is empty if the run passed."""
 
     seed: int
     failures: list[str]
-    faults: dict[str, int]  # by kind, those that found a victim
-    overlaps: dict[str, int]  # pairs of kinds
-    skipped: dict[str, int]  # by kind, those that found no victim
+    faults: dict[str, int]  # injected faults by kind
+    overlaps: dict[str, int]  # by pair of kinds
+    skipped: dict[str, int]  # by kind, faults that found no victim
     requests: int
     served: float  # share of the requests
-    windows: int  # that liveness was judged by
+    windows: int  # judged for availability
     longest_outage_s: float
-    acknowledged: int  # changes of the configuration
+    acknowledged: int  # configuration changes
     remarks: list[str] = []
 
 
 def verdict_of(plan: SoakPlan, record: DayRecord) -> SoakVerdict:
-    """Judge a run that has ended."""
+    """Judge a finished run and return the verdict."""
     rules = judge(record)
     findings, windows = judge_liveness(record, plan.settle_s, plan.shape.tolerance)
     failures = [f"{breach.rule} x{breach.count}: {'; '.join(breach.examples)}" for breach in rules.breaches]
     failures += [f"{finding.rule}: {finding.text}" for finding in findings]
-    failures += [f"PROCESS: {name} ended by itself, {code}" for name, code in record.exits]
+    failures += [f"PROCESS: {name} ended unexpectedly with {code}" for name, code in record.exits]
     failures += [f"STRAY: {stray}" for stray in record.stray]
     intervals = [(fault.kind, fault.begin, fault.end) for fault in record.faults]
     return SoakVerdict(
