--- a/cranebank/fleetlab/__init__.py
+++ b/cranebank/fleetlab/__init__.py
@@ -1,1 +1,1 @@
-"""A small day of the whole system on loopback: model backends, clients, an operator, and a judge of what they saw."""
+"""A laboratory that runs the whole system on loopback, with model backends, clients, an operator and a judge."""
--- a/cranebank/fleetlab/backend.py
+++ b/cranebank/fleetlab/backend.py
@@ -161,7 +161,7 @@
         self.phase = "ready"
         self.serves_since = 0.0
         self._ask = ask_once if caller is None else caller.ask
-        self.beat_address = ""  # the controller that took the last heartbeat: used until one fails there
+        self.heartbeat_address = ""  # the controller that took the last heartbeat: used until one fails there
         self.ended = asyncio.Event()
 
     async def start(self, is_cold: bool = False) -> None:
@@ -265,23 +265,23 @@
     def _cold_left_ms(self) -> int:
         return 0 if self._warmth is None else self._warmth.left_ms(asyncio.get_running_loop().time())
 
-    def beat_at(self, address: str) -> None:
+    def send_heartbeats_to(self, address: str) -> None:
         """Send the next heartbeat to this controller."""
-        self.beat_address = address
+        self.heartbeat_address = address
 
     async def _tell(self, what: str, body: bytes) -> bool:
         """Tell one controller; after a failure the next one is used."""
         controllers = self._controllers()
-        if self.beat_address not in controllers:
-            self.beat_address = controllers[0]
-        first = controllers.index(self.beat_address)
+        if self.heartbeat_address not in controllers:
+            self.heartbeat_address = controllers[0]
+        first = controllers.index(self.heartbeat_address)
         for at in controllers[first:] + controllers[:first]:
-            self.beat_address = at
+            self.heartbeat_address = at
             path = f"/api/Servers.{what}/{self.instance}"
             answer = await self._ask(at, "POST", path, body)
             if 200 <= answer.status < 300 and answer.whole:
                 return True
-        self.beat_address = controllers[(first + 1) % len(controllers)]
+        self.heartbeat_address = controllers[(first + 1) % len(controllers)]
         return False
 
     async def _leave(self) -> None:
--- a/cranebank/fleetlab/backend_faults.py
+++ b/cranebank/fleetlab/backend_faults.py
@@ -1,4 +1,4 @@
-"""Faults of backends, and what their operators do with them: scale in, release, a whole stage that leaves."""
+"""Faults of backends and operations on them: scale-in, a release, and a whole stage that leaves."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from cranebank.fleetlab.fault_scene import FaultScene, NoVictimError, is_well
 from cranebank.fleetlab.soak_plan import Fault, FaultKind
 
-SWITCHED = {
+SWITCHED_FAULTS = {
     FaultKind.BACKEND_DARK: "dark",
     FaultKind.BACKEND_SILENT: "silent",
     FaultKind.BACKEND_CUTS_ANSWERS: "cut",
     FaultKind.BACKEND_LATE_ANSWERS: "late",
 }
-LEAVING_S = 12.0  # for a backend that drains to have ended
-BORN_AHEAD_S = 1.0  # a release starts a backend's successor so much earlier than it ends the backend
+DRAIN_TIMEOUT_S = 12.0  # longest wait for draining backends to end
+SUCCESSOR_LEAD_S = 1.0  # a release starts a backend's successor this long before it drains the backend
 
 
 class BackendFaults:
-    """Injects them."""
+    """Injects backend faults."""
 
     def __init__(self, scene: FaultScene) -> None:
         self._scene = scene
@@ -31,53 +31,55 @@
         random = Random(fault.choice)
         match fault.kind:
             case FaultKind.BACKEND_CRASH:
-                await self._crash(fault, self._one_of_several(random))
+                await self._crash(fault, self._random_replaceable(random))
             case FaultKind.BACKEND_LEAVES:
-                await self._leave(fault, [self._one_of_several(random)])
+                await self._leave(fault, [self._random_replaceable(random)])
             case FaultKind.RELEASE:
                 await self._release(fault, random)
             case FaultKind.DECODE_STAGE_LEAVES:
-                await self._leave(fault, self._stage(random, "decode"))
+                await self._leave(fault, self._stage_backends(random, "decode"))
             case FaultKind.PREFILL_STAGE_LEAVES:
-                await self._leave(fault, self._stage(random, "prefill"))
+                await self._leave(fault, self._stage_backends(random, "prefill"))
             case FaultKind.HEARTBEATS_TO_ONE:
-                await self._gather_heartbeats(fault, random)
+                await self._redirect_heartbeats(fault, random)
             case _:
-                await self._switch(fault, self._one_of_several(random))
+                await self._switch_fault(fault, self._random_replaceable(random))
 
     # Victims.
 
-    def _one_of_several(self, random: Random) -> Backend:
-        """A backend that is well, of a service and stage that has another one."""
+    def _random_replaceable(self, random: Random) -> Backend:
+        """Return a random healthy backend whose service and stage have another one."""
         well = self._scene.ready_backends()
         counts = Counter((backend.service, backend.model.stage) for backend in well)
-        able = [backend for backend in well if counts[backend.service, backend.model.stage] > 1]
-        if not able:
+        candidates = [backend for backend in well if counts[backend.service, backend.model.stage] > 1]
+        if not candidates:
             raise NoVictimError
-        return random.choice(able)
+        return random.choice(candidates)
 
-    def _stage(self, random: Random, stage: str) -> list[Backend]:
-        """All backends of a stage, of a service whose other stage has somebody to take over."""
+    def _stage_backends(self, random: Random, stage: str) -> list[Backend]:
+        """Return all backends of a stage, of a service whose other stage has backends that can take over."""
         well = self._scene.ready_backends()
         services = sorted({backend.service for backend in well if backend.model.stage != stage})
-        able = [service for service in services if any(b.service == service and b.model.stage == stage for b in well)]
-        if not able:
+        candidates = [
+            service for service in services if any(b.service == service and b.model.stage == stage for b in well)
+        ]
+        if not candidates:
             raise NoVictimError
-        service = random.choice(able)
+        service = random.choice(candidates)
         return [backend for backend in well if backend.service == service and backend.model.stage == stage]
 
-    # What happens to them.
+    # Injection.
 
     async def _crash(self, fault: Fault, victim: Backend) -> None:
-        """It ends without a word, and another comes at a new address."""
-        with self._scene.injected(fault, [victim.instance], [victim.instance]):
+        """Stop a backend without notice, and start another at a new address."""
+        with self._scene.recording_fault(fault, [victim.instance], [victim.instance]):
             victim.fault("crash")
             await asyncio.sleep(fault.seconds)
             await self._scene.add_backend(victim.service, victim.model.stage, victim.zone)
 
-    async def _switch(self, fault: Fault, victim: Backend) -> None:
-        name = SWITCHED[fault.kind]
-        with self._scene.injected(fault, [victim.instance], [victim.instance]):
+    async def _switch_fault(self, fault: Fault, victim: Backend) -> None:
+        name = SWITCHED_FAULTS[fault.kind]
+        with self._scene.recording_fault(fault, [victim.instance], [victim.instance]):
             victim.fault(name)
             try:
                 await asyncio.sleep(fault.seconds)
@@ -85,8 +87,8 @@
                 victim.fault(name, False)
 
     async def _leave(self, fault: Fault, victims: list[Backend]) -> None:
-        """They leave for good, one after another within the time of the fault."""
-        with self._scene.injected(fault, [victim.instance for victim in victims]):
+        """Drain backends for good, one after another within the duration of the fault."""
+        with self._scene.recording_fault(fault, [victim.instance for victim in victims]):
             pause = fault.seconds / len(victims)
             for victim in victims:
                 victim.drain()
@@ -94,36 +96,36 @@
             await _until_ended(victims)
 
     async def _release(self, fault: Fault, random: Random) -> None:
-        """All backends of a service are replaced one after another."""
+        """Replace all backends of a service one after another."""
         scene = self._scene
         well = scene.ready_backends()
         if not well:
             raise NoVictimError
         service = random.choice(sorted({backend.service for backend in well}))
         victims = [backend for backend in well if backend.service == service]
-        with scene.injected(fault, [victim.instance for victim in victims]):
-            pause = max(BORN_AHEAD_S, fault.seconds / len(victims))
+        with scene.recording_fault(fault, [victim.instance for victim in victims]):
+            pause = max(SUCCESSOR_LEAD_S, fault.seconds / len(victims))
             for victim in victims:
                 await scene.add_backend(service, victim.model.stage, victim.zone)
                 await asyncio.sleep(pause)
                 victim.drain()
             await _until_ended(victims)
 
-    async def _gather_heartbeats(self, fault: Fault, random: Random) -> None:
-        """All backends turn to one controller; each stays there until a heartbeat fails."""
+    async def _redirect_heartbeats(self, fault: Fault, random: Random) -> None:
+        """Make all backends send heartbeats to one controller; each stays there until a heartbeat fails."""
         addresses = self._scene.fleet.listed_controllers
         chosen = random.choice(addresses)
-        with self._scene.injected(fault, [chosen]):
+        with self._scene.recording_fault(fault, [chosen]):
             for backend in self._scene.backends:
                 if is_well(backend):
-                    backend.beat_at(chosen)
+                    backend.send_heartbeats_to(chosen)
             await asyncio.sleep(fault.seconds)
 
 
 async def _until_ended(backends: list[Backend]) -> None:
-    """Wait until all that drain have ended, no longer than is due."""
+    """Wait until all draining backends have ended, at most for DRAIN_TIMEOUT_S."""
     try:
-        async with asyncio.timeout(LEAVING_S):
+        async with asyncio.timeout(DRAIN_TIMEOUT_S):
             await asyncio.gather(*(backend.ended.wait() for backend in backends if backend.phase == "draining"))
     except TimeoutError:
         return
--- a/cranebank/fleetlab/caller.py
+++ b/cranebank/fleetlab/caller.py
@@ -1,4 +1,4 @@
-"""Those who call the controllers over a network that the laboratory cuts, and that loses answers."""
+"""Callers of the controllers, over a network on which the laboratory cuts paths and loses answers."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from cranebank.transport.http_client import Answer, ask_once
 
-SILENT_LOSS = 0.5  # of lost answers: the caller hears nothing; of the others it sees the connection end
+SILENT_LOSS_SHARE = 0.5  # of the lost answers time out; for the others the connection ends
 
 
 class Reachability(Protocol):
-    """A network whose paths may be cut."""
+    """A network on which paths may be cut."""
 
     async def until_connectable(self, one: str, other: str) -> None:
-        """Wait until a handshake between two IPs can come to its end."""
+        """Wait until a handshake between two IPs can complete."""
 
 
 class Caller:
-    """An operator or a backend that makes calls: from which IP, over which network. ``share_lost`` is the share of
-    the answers that are lost on their way."""
+    """An operator, backend or application that makes calls from an IP over a network. ``share_lost`` is the share of
+    answers that are lost."""
 
     def __init__(self, ip: str, network: Reachability, random: Random) -> None:
         self.ip, self._network, self._random = ip, network, random
@@ -35,7 +35,7 @@
         seconds: float = 1.0,
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """One request over a connection of its own. An answer that is lost is empty."""
+        """Send one request over its own connection. A lost answer is returned empty."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
         try:
@@ -46,6 +46,6 @@
         answer = await ask_once(address, method, path, body, seconds, headers, self.ip)
         if self._random.random() >= self.share_lost:
             return answer
-        if self._random.random() < SILENT_LOSS:
+        if self._random.random() < SILENT_LOSS_SHARE:
             await asyncio.sleep(max(0.0, begun + seconds - loop.time()))
         return Answer()
--- a/cranebank/fleetlab/campaign.py
+++ b/cranebank/fleetlab/campaign.py
@@ -1,4 +1,4 @@
-"""Many soak runs, some at a time, and what came of all of them together."""
+"""Plays many soak runs, several in parallel, and sums up their results."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 from cranebank.fleetlab.soak_plan import FaultKind, SoakPlan
 from cranebank.fleetlab.soak_verdict import SoakVerdict
 
-KEPT_OF_PASSED = frozenset({"plan.json", "verdict.json"})
-LOG = "run.log"
-SLOWEST = 5  # runs that the report names
+FILES_KEPT_WHEN_PASSED = frozenset({"plan.json", "verdict.json"})
+RUN_LOG_NAME = "run.log"
+MAX_SLOWEST_REPORTED = 5  # runs with the longest outages that the report names
 
 
 class CampaignReport(msgspec.Struct):
-    """Sums over runs."""
+    """The results of all runs."""
 
     verdicts: list[SoakVerdict]
-    crashed: dict[int, str]  # seeds whose run could not be played, and why
-    missing: list[str]  # kinds of faults that were wanted and never happened
+    crashed: dict[int, str]  # traceback by seed, for runs that could not be played
+    missing: list[str]  # expected kinds of faults that were never injected
 
     @property
     def failed(self) -> list[SoakVerdict]:
-        """Runs in which something was found."""
+        """The runs with failures."""
         return [verdict for verdict in self.verdicts if verdict.failures]
 
     @property
     def is_passed(self) -> bool:
-        """Whether nothing was found, and everything was tried."""
+        """Whether all runs passed and every expected kind of fault was injected."""
         return not self.failed and not self.crashed and not self.missing
 
     @property
     def faults(self) -> Counter[str]:
-        """How often each kind happened."""
-        return _sum(verdict.faults for verdict in self.verdicts)
+        """The number of injected faults by kind."""
+        return _total_counts(verdict.faults for verdict in self.verdicts)
 
     @property
     def overlaps(self) -> Counter[str]:
-        """How often each pair of kinds overlapped."""
-        return _sum(verdict.overlaps for verdict in self.verdicts)
+        """The number of overlaps by pair of kinds."""
+        return _total_counts(verdict.overlaps for verdict in self.verdicts)
 
 
-def _sum(counts: Iterable[dict[str, int]]) -> Counter[str]:
+def _total_counts(counts: Iterable[dict[str, int]]) -> Counter[str]:
     total: Counter[str] = Counter()
     for count in counts:
         total.update(count)
@@ -60,10 +60,10 @@
     plans: Sequence[SoakPlan],
     jobs: int,
     folder: Path,
-    wanted: Iterable[FaultKind],
+    expected: Iterable[FaultKind],
     progress: Callable[[str], None] = lambda text: None,
 ) -> CampaignReport:
-    """Play all plans. What failing runs left stays in the folder, a folder for each seed."""
+    """Play all plans, each in a subfolder for its seed. Failing runs keep all their files there."""
     verdicts: list[SoakVerdict] = []
     crashed: dict[int, str] = {}
     context = multiprocessing.get_context("spawn")
@@ -78,35 +78,35 @@
                 progress(f"seed {seed}: could not be played")
                 continue
             verdicts.append(verdict)
-            progress(_line(verdict))
+            progress(_summary(verdict))
     verdicts.sort(key=lambda verdict: verdict.seed)
-    happened = _sum(verdict.faults for verdict in verdicts)
-    missing = [kind.value for kind in wanted if not happened[kind.value]]
+    fault_counts = _total_counts(verdict.faults for verdict in verdicts)
+    missing = [kind.value for kind in expected if not fault_counts[kind.value]]
     return CampaignReport(verdicts, crashed, missing)
 
 
 def play_one(plan: SoakPlan, folder: Path) -> SoakVerdict:
-    """Play one plan in its folder; of a run that passed only the plan and the verdict stay."""
+    """Play one plan in its folder. A run that passed keeps only its plan and verdict."""
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
-    with (folder / LOG).open("w", encoding="utf-8") as log:
+    with (folder / RUN_LOG_NAME).open("w", encoding="utf-8") as log:
         verdict = play(plan, folder, lambda text: print(text, file=log, flush=True))
     if not verdict.failures:
         for path in folder.iterdir():
             if path.is_dir():
                 shutil.rmtree(path)
-            elif path.name not in KEPT_OF_PASSED:
+            elif path.name not in FILES_KEPT_WHEN_PASSED:
                 path.unlink()
     return verdict
 
 
-def _line(verdict: SoakVerdict) -> str:
+def _summary(verdict: SoakVerdict) -> str:
     found = "; ".join(verdict.failures) or "passed"
     return f"seed {verdict.seed}: {verdict.served:.4f} of {verdict.requests} served: {found[:400]}"
 
 
 def describe(report: CampaignReport) -> Iterator[str]:
-    """The report as lines."""
+    """Yield the lines of the report."""
     yield f"{len(report.verdicts)} runs, {len(report.failed)} failed, {len(report.crashed)} could not be played"
     yield "faults: " + ", ".join(f"{kind} {count}" for kind, count in sorted(report.faults.items()))
     pairs = {pair: count for pair, count in report.overlaps.items() if " + " in pair}
@@ -114,7 +114,7 @@
         f"overlaps: {sum(pairs.values())} of {len(pairs)} pairs of kinds, "
         f"three at once {report.overlaps['three at once']} times"
     )
-    slowest = sorted(report.verdicts, key=lambda verdict: -verdict.longest_outage_s)[:SLOWEST]
+    slowest = sorted(report.verdicts, key=lambda verdict: -verdict.longest_outage_s)[:MAX_SLOWEST_REPORTED]
     yield "longest times without service: " + ", ".join(
         f"{verdict.longest_outage_s:.1f} s (seed {verdict.seed})" for verdict in slowest
     )
--- a/cranebank/fleetlab/cold_judge.py
+++ b/cranebank/fleetlab/cold_judge.py
@@ -51,7 +51,7 @@
 def _merge_overlapping(times: list[ColdTime]) -> list[ColdTime]:
     """Return the cold periods, with overlapping ones of the same backend merged."""
     merged: list[ColdTime] = []
-    for cold in sorted(times, key=lambda cold: (cold.instance, cold.begin)):
+    for cold in sorted(times, key=lambda period: (period.instance, period.begin)):
         last = merged[-1] if merged else None
         if last is not None and last.instance == cold.instance and cold.begin <= last.end:
             merged[-1] = msgspec.structs.replace(last, end=max(last.end, cold.end))
--- a/cranebank/fleetlab/day.py
+++ b/cranebank/fleetlab/day.py
@@ -139,7 +139,7 @@
         await self._read_tallies()
         self.record.read_back = await self._operator.read_back(self.record.bounds.contact_ms / 1e3)
         self.record.ended = asyncio.get_running_loop().time()
-        self._say(f"read back revision {self.record.read_back.revision}")
+        self._log_progress(f"read back revision {self.record.read_back.revision}")
 
     async def _step_all(self) -> None:
         loop = asyncio.get_running_loop()
@@ -162,13 +162,13 @@
                 await self._stop_proxy("edge-2")
             case "drain" | "scale-in":
                 backend = self._one(step.stage)
-                self._say(f"{backend.instance} drains")
+                self._log_progress(f"{backend.instance} drains")
                 backend.drain()
                 if step.what == "drain":
                     await self._add_backend(backend.service, backend.model.stage, backend.zone)
             case "crash" | "lose":
                 backend = self._one(step.stage)
-                self._say(f"{backend.instance} crashes")
+                self._log_progress(f"{backend.instance} crashes")
                 backend.stop()
                 if step.what == "crash":
                     await asyncio.sleep(step.for_s)
@@ -177,17 +177,17 @@
                 await self._evacuations.evacuate(step.zone, step.for_s, self._backends)
             case "cold":
                 backend = self._one(step.stage)
-                self._say(f"{backend.instance} turns cold")
+                self._log_progress(f"{backend.instance} turns cold")
                 backend.turn_cold()
             case "cold-return":
                 backend = self._one(step.stage)
-                self._say(f"{backend.instance} loses its power for {step.for_s:g} s")
+                self._log_progress(f"{backend.instance} loses its power for {step.for_s:g} s")
                 backend.lose_power()
                 await asyncio.sleep(step.for_s)
                 backend.regain_power()
             case fault:
                 backend = self._one(step.stage)
-                self._say(f"{backend.instance}: {fault} for {step.for_s:g} s")
+                self._log_progress(f"{backend.instance}: {fault} for {step.for_s:g} s")
                 backend.fault(fault)
                 await asyncio.sleep(step.for_s)
                 backend.fault(fault, False)
@@ -210,22 +210,22 @@
         loop = asyncio.get_running_loop()
         name = await self._primary()
         if not name:
-            self._say("no primary to kill")
+            self._log_progress("no primary to kill")
             return
         process, begin = self._fleet.controllers[name], loop.time()
-        self._say(f"{name}, the primary, is killed")
+        self._log_progress(f"{name}, the primary, is killed")
         index = len(self.record.troubles)
         self.record.troubles.append(Trouble("core", begin, float("inf"), f"{name} killed"))
         await process.kill()
         await asyncio.sleep(down_s)
         await self._fleet.start(process)
         self.record.troubles[index] = Trouble("core", begin, loop.time(), f"{name} killed")
-        self._say(f"{name} is started again")
+        self._log_progress(f"{name} is started again")
 
     async def _stop_proxy(self, name: str) -> None:
         loop = asyncio.get_running_loop()
         process, begin = self._fleet.proxies[name], loop.time()
-        self._say(f"{name} gets SIGTERM")
+        self._log_progress(f"{name} gets SIGTERM")
         index = len(self.record.troubles)
         self.record.troubles.append(Trouble(name, begin, float("inf"), "SIGTERM", True))
         if not await process.stop(self.record.bounds.grace_s):
@@ -234,7 +234,7 @@
         self._platform.proxies[name].life += 1
         await self._fleet.start(process)
         self.record.troubles[index] = Trouble(name, begin, loop.time(), "SIGTERM", True)
-        self._say(f"{name} is started again")
+        self._log_progress(f"{name} is started again")
 
 
 def play(plan: DayPlan, progress: Callable[[str], None] = lambda text: None, folder: Path | None = None) -> DayRecord:
--- a/cranebank/fleetlab/fault_scene.py
+++ b/cranebank/fleetlab/fault_scene.py
@@ -1,4 +1,4 @@
-"""What faults are injected into, and the notes that are kept of them."""
+"""The run that faults are injected into, and the records of the injected faults."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from cranebank.fleetlab.records import BrokenLinks, DayRecord, DiskLoss, InjectedFault, Trouble
 from cranebank.fleetlab.soak_plan import Fault
 
-CORE = "core"  # names all controllers in troubles
+CORE = "core"  # stands for all controllers in the records of troubles
 
 
 class NoVictimError(Exception):
-    """Whatever this fault could strike is in trouble already."""
+    """Raised when no suitable target for a fault is healthy."""
 
 
 class FaultScene:
-    """A run as the faults see it. ``held`` names processes that a fault has in hand."""
+    """A run as seen by fault injectors. ``held`` maps each process under a fault to that fault."""
 
     def __init__(
         self,
@@ -37,51 +37,51 @@
         record: DayRecord,
         add_backend: Callable[[str, str, str], Awaitable[Backend]],
         primary: Callable[[], Awaitable[str]],
-        say: Callable[[str], None],
+        log_progress: Callable[[str], None],
     ) -> None:
         self.fleet, self.network, self.platform = fleet, network, platform
         self.backends, self.record = backends, record
         self.add_backend, self.primary = add_backend, primary
-        self._say = say
+        self._log_progress = log_progress
         self.held: dict[str, Fault] = {}
-        self._down: set[str] = set()  # processes whose fault will start them again
+        self._to_restart: set[str] = set()  # stopped processes that their fault will start again
 
     def now(self) -> float:
-        """The clock of the records."""
+        """Return the time on the clock of the records."""
         return asyncio.get_running_loop().time()
 
     @contextmanager
-    def injected(
+    def recording_fault(
         self, fault: Fault, victims: Iterable[str], troubled: Iterable[str] = (), is_planned: bool = False
     ) -> Iterator[None]:
-        """Note a fault and the troubles that it means, from now until the block ends."""
-        found = InjectedFault(fault.kind.value, self.now(), victims=", ".join(victims))
-        self.record.faults.append(found)
-        self._say(f"{found.kind}: {found.victims}")
+        """Record a fault and the troubles it causes, from now until the block ends."""
+        injected_fault = InjectedFault(fault.kind.value, self.now(), victims=", ".join(victims))
+        self.record.faults.append(injected_fault)
+        self._log_progress(f"{injected_fault.kind}: {injected_fault.victims}")
         try:
-            with self.troubled(troubled, found.kind, is_planned):
+            with self.recording_troubles(troubled, injected_fault.kind, is_planned):
                 yield
         finally:
-            found.end = self.now()
-            self._say(f"{found.kind}: over after {found.end - found.begin:.1f} s")
+            injected_fault.end = self.now()
+            self._log_progress(f"{injected_fault.kind}: over after {injected_fault.end - injected_fault.begin:.1f} s")
 
     @contextmanager
-    def troubled(self, machines: Iterable[str], what: str, is_planned: bool = False) -> Iterator[None]:
-        """Note trouble of these machines, from now until the block ends."""
+    def recording_troubles(self, machines: Iterable[str], what: str, is_planned: bool = False) -> Iterator[None]:
+        """Record trouble of these machines from now until the block ends."""
         troubles, begin = self.record.troubles, self.now()
-        places = []
+        indexes = []
         for machine in machines:
-            places.append(len(troubles))
+            indexes.append(len(troubles))
             troubles.append(Trouble(machine, begin, math.inf, what, is_planned))
         try:
             yield
         finally:
-            for place in places:
-                troubles[place] = msgspec.structs.replace(troubles[place], end=self.now())
+            for index in indexes:
+                troubles[index] = msgspec.structs.replace(troubles[index], end=self.now())
 
     @contextmanager
-    def broken_links(self, machines: Iterable[str]) -> Iterator[None]:
-        """Note that links between these controllers and others are cut, from now until the block ends."""
+    def recording_broken_links(self, machines: Iterable[str]) -> Iterator[None]:
+        """Record that links between these controllers and others are cut, from now until the block ends."""
         broken = BrokenLinks(tuple(sorted(machines)), self.now())
         if broken.machines:
             self.record.broken_links.append(broken)
@@ -90,13 +90,13 @@
         finally:
             broken.end = self.now()
 
-    def note_disk_loss(self, process: Process) -> None:
-        """Note that a machine has lost its disk now."""
+    def record_disk_loss(self, process: Process) -> None:
+        """Record that a machine has just lost its disk."""
         self.record.disk_losses.append(DiskLoss(process.name, self.now()))
 
     @contextmanager
     def holding(self, fault: Fault, processes: Iterable[Process]) -> Iterator[None]:
-        """Keep other faults off these processes."""
+        """Reserve these processes for a fault, so that no other fault uses them."""
         names = [process.name for process in processes]
         self.held.update(dict.fromkeys(names, fault))
         try:
@@ -107,52 +107,52 @@
                     del self.held[name]
 
     def free(self, processes: Iterable[Process]) -> list[Process]:
-        """Those that no fault has in hand."""
+        """Return the running processes that no fault has reserved."""
         return [process for process in processes if process.is_running and process.name not in self.held]
 
     def free_controllers(self) -> list[Process]:
-        """Controllers that no fault has in hand."""
+        """Return the controllers that no fault has reserved."""
         return self.free(self.fleet.controllers.values())
 
     def free_proxies(self) -> list[Process]:
-        """Proxies that no fault has in hand."""
+        """Return the proxies that no fault has reserved."""
         return self.free(self.fleet.proxies.values())
 
     def ready_backends(self) -> list[Backend]:
-        """Backends that are well."""
+        """Return the healthy backends."""
         return [backend for backend in self.backends if is_well(backend)]
 
     async def kill(self, process: Process) -> None:
-        """SIGKILL a process that is started again later."""
-        self._down.add(process.name)
+        """Send SIGKILL to a process that will be restarted later."""
+        self._to_restart.add(process.name)
         await process.kill()
 
     async def stop(self, process: Process) -> None:
-        """SIGTERM a process that is started again later; one that has not ended within its grace is noted."""
-        self._down.add(process.name)
+        """Send SIGTERM to a process that will be restarted later, and record if it exceeds its grace period."""
+        self._to_restart.add(process.name)
         if not await process.stop(self.record.bounds.grace_s):
             self.record.exits.append((f"{process.name} did not end in time", -signal.SIGKILL))
 
     def will_restart(self, process: Process) -> bool:
-        """Whether a fault has ended it and will start it again."""
-        return process.name in self._down
+        """Return whether a fault has stopped the process and will restart it."""
+        return process.name in self._to_restart
 
     async def restart(self, process: Process) -> None:
-        """Start a process again that has ended."""
+        """Restart a process that has ended."""
         ingress = self.platform.proxies.get(process.name)
         if ingress is not None:
             ingress.life += 1
         await self.fleet.start(process)
-        self._down.discard(process.name)
+        self._to_restart.discard(process.name)
 
 
 def is_well(backend: Backend) -> bool:
-    """Whether a backend is in service and in no trouble of its own."""
+    """Return whether a backend is ready and has no fault."""
     return backend.phase == "ready" and not backend.faults and not backend.ended.is_set()
 
 
 def pick(random: Random, processes: list[Process]) -> Process:
-    """One of these. Raises NoVictimError where there is none."""
+    """Return a random process. Raises NoVictimError if there is none."""
     if not processes:
         raise NoVictimError
     return random.choice(processes)
--- a/cranebank/fleetlab/lab_run.py
+++ b/cranebank/fleetlab/lab_run.py
@@ -106,7 +106,7 @@
         """From the first ready proxy to the end."""
         raise NotImplementedError
 
-    def _say(self, text: str) -> None:
+    def _log_progress(self, text: str) -> None:
         at = asyncio.get_running_loop().time() - self._begin if self._begin else 0.0
         self._progress(f"{at:5.1f} s  {text}")
 
@@ -128,7 +128,7 @@
             lambda: self._fleet.listed_controllers,
             self.record.changes,
             Random(self._seed + 1),
-            self._say,
+            self._log_progress,
             self.record.readings,
             caller,
         )
@@ -138,7 +138,7 @@
             Random(f"{self._seed} evacuations"),
             ask_once if caller is None else caller.ask,
             self.record.bounds.ack_ms / 1e3,
-            self._say,
+            self._log_progress,
         )
 
         self._applications = self._made_applications()
@@ -162,7 +162,7 @@
             return
         await asyncio.sleep(self.record.bounds.merge_ms / 1e3)
         await self._applications.read_all(self.record.bounds.contact_ms / 1e3)
-        self._say(f"{acknowledged_share(self.record):.4f} of the adds to tallies acknowledged")
+        self._log_progress(f"{acknowledged_share(self.record):.4f} of the adds to tallies acknowledged")
 
     async def _start(self) -> None:
         loop = asyncio.get_running_loop()
@@ -181,7 +181,7 @@
         self.record.begun = self._begin = loop.time()
         self.record.troubles.append(Trouble("core", begun, begun, "start"))
         shape = self._shape
-        self._say(
+        self._log_progress(
             f"{shape.controllers} controllers, {shape.proxies} proxies and {len(self._backends)} backends "
             f"are up on {self._fleet.net}.0"
         )
@@ -276,7 +276,7 @@
             await asyncio.sleep(KEEP_S)
             for process in self._fleet.processes:
                 if process.wanted and process.process is not None and process.process.returncode is not None:
-                    self._say(f"{process.name} ended by itself with {process.process.returncode}")
+                    self._log_progress(f"{process.name} ended by itself with {process.process.returncode}")
                     self.record.exits.append((process.name, process.process.returncode))
                     await self._fleet.start(process)
 
@@ -298,5 +298,5 @@
             self.record.primaries.append((now, await self._primary()))
             if turn % 4 == 0 and turn:
                 clients = self._clients
-                self._say(f"{clients.asked} asked, {clients.served} served, {clients.failed} not")
+                self._log_progress(f"{clients.asked} asked, {clients.served} served, {clients.failed} not")
             await asyncio.sleep(max(0.05, SAMPLE_S - (loop.time() - now)))
--- a/cranebank/fleetlab/network_faults.py
+++ b/cranebank/fleetlab/network_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the network: paths between chosen machines that lose everything, resets, and answers lost on their way."""
+"""Network faults: cut paths between chosen machines, connection resets and lost answers."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from cranebank.fleetlab.network import Path, both_ways, one_way
 from cranebank.fleetlab.soak_plan import Fault, FaultKind
 
-RESET_EVERY_S = 0.3
-SHARE_MOST_HEARD = 0.5  # of the cuts of one controller strike the one that hears most backends
-LOST = (0.3, 0.8)  # share of the answers that are lost, at least and at most
+RESET_INTERVAL_S = 0.3
+MOST_HEARTBEATS_SHARE = 0.5  # of the cuts of one controller hit the one that most backends send heartbeats to
+LOST_SHARE_RANGE = (0.3, 0.8)  # minimum and maximum share of lost answers
 
 
 class NetworkFaults:
-    """Injects them. ``operators`` and ``heartbeats`` are the callers whose answers can be lost."""
+    """Injects network faults. ``operators`` and ``heartbeats`` are the callers whose answers can be lost."""
 
     def __init__(self, scene: FaultScene, operators: Iterable[Caller], heartbeats: Iterable[Caller]) -> None:
         self._scene = scene
@@ -30,41 +30,46 @@
         random = Random(fault.choice)
         match fault.kind:
             case FaultKind.RESET_CONNECTIONS:
-                await self._reset(fault, random)
+                await self._reset_connections(fault, random)
             case FaultKind.LOSE_OPERATOR_ANSWERS:
-                await self._lose_answers(fault, self._operators, random.uniform(*LOST))
+                await self._lose_answers(fault, self._operators, random.uniform(*LOST_SHARE_RANGE))
             case FaultKind.LOSE_HEARTBEAT_ANSWERS:
-                await self._lose_answers(fault, self._heartbeats, random.uniform(*LOST))
+                await self._lose_answers(fault, self._heartbeats, random.uniform(*LOST_SHARE_RANGE))
             case _:
                 paths = self._paths(fault.kind, random)
                 if not paths:
                     raise NoVictimError
-                await self.cut(fault, paths, (f"{self._name(a)}>{self._name(b)}" for a, b in paths))
+                await self.cut(fault, paths, (f"{self._name_of(a)}>{self._name_of(b)}" for a, b in paths))
 
     async def cut(self, fault: Fault, paths: tuple[Path, ...], victims: Iterable[str]) -> None:
-        """Cut paths for the time of a fault. ``victims``: what is cut, in words."""
+        """Cut paths for the duration of a fault. ``victims`` describes the cut in the record."""
         scene = self._scene
-        troubled = self._troubled(paths)
-        with scene.injected(fault, victims, troubled), scene.broken_links(self._controllers_cut(paths)):
+        troubled = self._trouble_machines(paths)
+        with (
+            scene.recording_fault(fault, victims, troubled),
+            scene.recording_broken_links(self._controllers_cut(paths)),
+        ):
             scene.network.cut(paths)
             try:
                 await asyncio.sleep(fault.seconds)
             finally:
                 scene.network.heal(paths)
 
-    async def _reset(self, fault: Fault, random: Random) -> None:
-        """All connections of a random pair at a time, again and again."""
+    async def _reset_connections(self, fault: Fault, random: Random) -> None:
+        """Repeatedly reset all connections between a random pair of machines."""
         scene, processes = self._scene, self._scene.fleet.processes
         end = scene.now() + fault.seconds
         troubled = [CORE, *scene.fleet.proxies]
-        with scene.injected(fault, ["pairs of all machines"], troubled):
+        with scene.recording_fault(fault, ["pairs of all machines"], troubled):
             while scene.now() < end:
-                others = [one.ip for one in processes] + [_ip(one.address) for one in scene.ready_backends()]
+                others = [process.ip for process in processes] + [
+                    _ip(backend.address) for backend in scene.ready_backends()
+                ]
                 scene.network.reset(random.choice(processes).ip, random.choice(others))
-                await asyncio.sleep(RESET_EVERY_S)
+                await asyncio.sleep(RESET_INTERVAL_S)
 
     async def _lose_answers(self, fault: Fault, callers: Iterable[Caller], share: float) -> None:
-        with self._scene.injected(fault, [f"{share:.2f} of the answers"], ["answers"]):
+        with self._scene.recording_fault(fault, [f"{share:.2f} of the answers"], ["answers"]):
             for caller in callers:
                 caller.share_lost = share
             try:
@@ -73,101 +78,105 @@
                 for caller in callers:
                     caller.share_lost = 0.0
 
-    # Which paths.
+    # Paths to cut.
 
     def _paths(self, kind: FaultKind, random: Random) -> tuple[Path, ...]:
         match kind:
             case FaultKind.CUT_CONTROLLER_FROM_CONTROLLERS:
-                one, others = self._controller(random)
-                return both_ways([one], others)
+                controller, others = self._controller(random)
+                return both_ways([controller], others)
             case FaultKind.CUT_CONTROLLER_FROM_ALL:
-                one, others = self._controller(random)
-                return both_ways([one], [*others, *random.sample(self._proxies, random.randint(1, len(self._proxies)))])
+                controller, others = self._controller(random)
+                return both_ways(
+                    [controller], [*others, *random.sample(self._proxy_ips, random.randint(1, len(self._proxy_ips)))]
+                )
             case FaultKind.DEAF_CONTROLLER:
-                one, others = self._controller(random)
-                return one_way(others, [one])
+                controller, others = self._controller(random)
+                return one_way(others, [controller])
             case FaultKind.MUTE_CONTROLLER:
-                one, others = self._controller(random)
-                return one_way([one], others)
+                controller, others = self._controller(random)
+                return one_way([controller], others)
             case FaultKind.CUT_PAIR_OF_CONTROLLERS:
-                one, others = self._controller(random)
-                return both_ways([one], [random.choice(others)])
+                controller, others = self._controller(random)
+                return both_ways([controller], [random.choice(others)])
             case FaultKind.CUT_HALVES:
                 return self._halves(random)
             case FaultKind.CUT_CONTROLLER_FROM_PROXIES:
-                one, _ = self._controller(random)
-                return self._some_way(random, [one], random.sample(self._proxies, random.randint(1, 2)))
+                controller, _ = self._controller(random)
+                return self._in_random_direction(
+                    random, [controller], random.sample(self._proxy_ips, random.randint(1, 2))
+                )
             case FaultKind.CUT_PROXY_FROM_CONTROLLERS:
-                return self._some_way(random, [random.choice(self._proxies)], self._controllers)
+                return self._in_random_direction(random, [random.choice(self._proxy_ips)], self._controller_ips)
             case FaultKind.CUT_PROXY_FROM_BACKENDS:
-                return self._some_way(random, [random.choice(self._proxies)], self._some_backends(random))
+                return self._in_random_direction(random, [random.choice(self._proxy_ips)], self._some_backends(random))
             case FaultKind.CUT_BACKEND_FROM_CONTROL:
-                return self._some_way(random, self._some_backends(random)[:1], self._controllers)
+                return self._in_random_direction(random, self._some_backends(random)[:1], self._controller_ips)
             case FaultKind.CUT_BACKENDS_FROM_SOME_CONTROLLERS:
-                some = random.sample(self._controllers, len(self._controllers) // 2)
-                return self._some_way(random, self._some_backends(random), some)
+                some = random.sample(self._controller_ips, len(self._controller_ips) // 2)
+                return self._in_random_direction(random, self._some_backends(random), some)
             case _:
-                raise AssertionError(f"{kind} is no fault of the network")
+                raise AssertionError(f"{kind} is not a network fault")
 
     def _halves(self, random: Random) -> tuple[Path, ...]:
-        """Controllers in two parts; each proxy and backend reaches both, but for some proxies that are on a side."""
-        controllers = random.sample(self._controllers, len(self._controllers))
+        """Split the controllers in two parts. Some proxies reach only one part, all others reach both."""
+        controllers = random.sample(self._controller_ips, len(self._controller_ips))
         left, right = controllers[::2], controllers[1::2]
-        beside = random.sample(self._proxies, random.randint(0, len(self._proxies) - 1))
-        return both_ways(left, right) + both_ways(beside, random.choice([left, right]))
+        side_proxies = random.sample(self._proxy_ips, random.randint(0, len(self._proxy_ips) - 1))
+        return both_ways(left, right) + both_ways(side_proxies, random.choice([left, right]))
 
-    def _some_way(self, random: Random, near: list[str], far: list[str]) -> tuple[Path, ...]:
-        """Both ways, there only or back only."""
+    def _in_random_direction(self, random: Random, near: list[str], far: list[str]) -> tuple[Path, ...]:
+        """Return the paths in both directions, or in one of them."""
         return random.choice([both_ways(near, far), one_way(near, far), one_way(far, near)])
 
     @property
-    def _controllers(self) -> list[str]:
+    def _controller_ips(self) -> list[str]:
         return [process.ip for process in self._scene.fleet.controllers.values()]
 
     @property
-    def _proxies(self) -> list[str]:
+    def _proxy_ips(self) -> list[str]:
         return [process.ip for process in self._scene.fleet.proxies.values()]
 
     def _controller(self, random: Random) -> tuple[str, list[str]]:
-        """One controller, often the one that most backends send their heartbeats to, and the others."""
+        """Return one controller, often the one that most backends send heartbeats to, and the others."""
         free = self._scene.free_controllers()
-        heard = Counter(_ip(backend.beat_address) for backend in self._scene.ready_backends())
-        one = pick(random, free).ip
-        if random.random() < SHARE_MOST_HEARD:
-            one = max((process.ip for process in free), key=lambda ip: heard[ip])
-        return one, [ip for ip in self._controllers if ip != one]
+        heartbeat_counts = Counter(_ip(backend.heartbeat_address) for backend in self._scene.ready_backends())
+        controller = pick(random, free).ip
+        if random.random() < MOST_HEARTBEATS_SHARE:
+            controller = max((process.ip for process in free), key=lambda ip: heartbeat_counts[ip])
+        return controller, [ip for ip in self._controller_ips if ip != controller]
 
     def _some_backends(self, random: Random) -> list[str]:
-        """Some that are well, but not all of them."""
+        """Return the IPs of some healthy backends, but not of all."""
         well = [_ip(backend.address) for backend in self._scene.ready_backends()]
         if len(well) < 2:
             raise NoVictimError
         return random.sample(well, random.randint(1, max(1, len(well) // 2)))
 
-    # What it means.
+    # Affected machines.
 
-    def _machines(self) -> dict[str, Process]:
+    def _processes_by_ip(self) -> dict[str, Process]:
         return {process.ip: process for process in self._scene.fleet.processes}
 
-    def _name(self, ip: str) -> str:
-        found = self._machines().get(ip)
-        return found.name if found is not None else self._instance(ip)
+    def _name_of(self, ip: str) -> str:
+        found = self._processes_by_ip().get(ip)
+        return found.name if found is not None else self._instance_at(ip)
 
-    def _instance(self, ip: str) -> str:
-        return next((one.instance for one in self._scene.backends if _ip(one.address) == ip), ip)
+    def _instance_at(self, ip: str) -> str:
+        return next((backend.instance for backend in self._scene.backends if _ip(backend.address) == ip), ip)
 
     def _controllers_cut(self, paths: tuple[Path, ...]) -> set[str]:
-        """The controllers at both ends of paths that lie between two of them."""
+        """Return the names of the controllers on paths between two controllers."""
         names = {process.ip: process.name for process in self._scene.fleet.controllers.values()}
         return {names[ip] for ends in paths if set(ends) <= names.keys() for ip in ends}
 
-    def _troubled(self, paths: tuple[Path, ...]) -> set[str]:
-        """As troubles name the machines: those that a path ends at, and the core if one is between controllers."""
-        machines, found = self._machines(), set()
+    def _trouble_machines(self, paths: tuple[Path, ...]) -> set[str]:
+        """Return the machine names for troubles: the ends of the paths, and the core for paths between controllers."""
+        machines, found = self._processes_by_ip(), set()
         for ends in paths:
             roles = [machines[ip].role if ip in machines else "backend" for ip in ends]
             found |= {CORE} if roles == ["control", "control"] else set()
-            found |= {self._name(ip) for ip, role in zip(ends, roles, strict=True) if role != "control"}
+            found |= {self._name_of(ip) for ip, role in zip(ends, roles, strict=True) if role != "control"}
         return found
 
 
--- a/cranebank/fleetlab/process_faults.py
+++ b/cranebank/fleetlab/process_faults.py
@@ -1,4 +1,4 @@
-"""Faults of processes: killed, stopped, paused, and controllers that lose their disk or their machine."""
+"""Process faults: kills, stops and pauses, and controllers that lose their disk or their machine."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from cranebank.fleetlab.fleet import Process
 from cranebank.fleetlab.soak_plan import Fault, FaultKind
 
-RESTART_S = 0.4  # after a planned end
-TURN_S = 1.0  # between the processes of a roll
-LIST_LAG_S = 3.0  # until callers' lists name a new controller and no longer the former one
-CATCH_UP_S = 4.0  # a machine counts as lost for so long after it is back with an empty disk
-SIGTERM_SHARE = 0.5  # of the machines that are replaced are told before
+RESTART_DELAY_S = 0.4  # after a planned stop
+ROLL_INTERVAL_S = 1.0  # between the processes of a rolling restart
+LIST_LAG_S = 3.0  # until callers' lists name a replacement controller instead of the removed one
+CATCH_UP_S = 4.0  # a machine still counts as lost for this long after it is back with an empty disk
+SIGTERM_SHARE = 0.5  # of the replaced machines are stopped by SIGTERM, the others are killed
 
 
 class ProcessFaults:
-    """Injects them."""
+    """Injects process faults."""
 
     def __init__(self, scene: FaultScene) -> None:
         self._scene = scene
@@ -33,7 +33,7 @@
             case FaultKind.KILL_CONTROLLER:
                 await self._kill(fault, [await self._follower(random)])
             case FaultKind.KILL_MOST_CONTROLLERS:
-                await self._kill(fault, self._most(random))
+                await self._kill(fault, self._majority(random))
             case FaultKind.KILL_PROXY:
                 await self._kill(fault, [pick(random, scene.free_proxies())])
             case FaultKind.KILL_PROXIES:
@@ -57,53 +57,58 @@
             case FaultKind.REPLACE_CONTROLLER:
                 await self._replace(fault, pick(random, scene.free_controllers()), random.random() < SIGTERM_SHARE)
             case _:
-                raise AssertionError(f"{fault.kind} is no fault of processes")
+                raise AssertionError(f"{fault.kind} is not a process fault")
 
     # Victims.
 
     async def _primary(self) -> Process:
         name = await self._scene.primary()
-        return next((one for one in self._scene.free_controllers() if one.name == name), None) or self._nobody()
+        return (
+            next((process for process in self._scene.free_controllers() if process.name == name), None)
+            or self._raise_no_victim()
+        )
 
     async def _follower(self, random: Random) -> Process:
         name = await self._scene.primary()
-        return pick(random, [one for one in self._scene.free_controllers() if one.name != name])
+        return pick(random, [process for process in self._scene.free_controllers() if process.name != name])
 
-    def _most(self, random: Random) -> list[Process]:
-        """As many controllers as leave no majority."""
-        wanted = len(self._scene.fleet.controllers) // 2 + 1
+    def _majority(self, random: Random) -> list[Process]:
+        """Return a random majority of the controllers."""
+        majority = len(self._scene.fleet.controllers) // 2 + 1
         free = self._scene.free_controllers()
-        if len(free) < wanted:
+        if len(free) < majority:
             raise NoVictimError
-        return random.sample(free, wanted)
+        return random.sample(free, majority)
 
-    def _nobody(self) -> Process:
+    def _raise_no_victim(self) -> Process:
         raise NoVictimError
 
-    # What happens to them.
+    # Injection.
 
     async def _kill(self, fault: Fault, victims: Sequence[Process]) -> None:
         if not victims:
             raise NoVictimError
         scene = self._scene
-        with scene.injected(fault, _names(victims), _machines(victims)), scene.holding(fault, victims):
+        with scene.recording_fault(fault, _names(victims), _trouble_machines(victims)), scene.holding(fault, victims):
             await asyncio.gather(*(scene.kill(victim) for victim in victims))
             await asyncio.sleep(fault.seconds)
             await asyncio.gather(*(scene.restart(victim) for victim in victims))
 
     async def _kill_everything(self, fault: Fault) -> None:
-        """All processes at once."""
+        """Kill all processes at once."""
         scene = self._scene
         victims = [process for process in scene.fleet.processes if process.is_running]
-        own = [victim for victim in victims if not scene.will_restart(victim)]  # others have a fault that starts them
-        with scene.injected(fault, _names(victims), _machines(victims)), scene.holding(fault, own):
+        own = [
+            victim for victim in victims if not scene.will_restart(victim)
+        ]  # the fault that stopped the others restarts them
+        with scene.recording_fault(fault, _names(victims), _trouble_machines(victims)), scene.holding(fault, own):
             await asyncio.gather(*(scene.kill(victim) for victim in victims))
             await asyncio.sleep(fault.seconds)
             await asyncio.gather(*(scene.restart(victim) for victim in own))
 
     async def _pause(self, fault: Fault, victim: Process) -> None:
         scene = self._scene
-        with scene.injected(fault, [victim.name], _machines([victim])), scene.holding(fault, [victim]):
+        with scene.recording_fault(fault, [victim.name], _trouble_machines([victim])), scene.holding(fault, [victim]):
             victim.send(signal.SIGSTOP)
             try:
                 await asyncio.sleep(fault.seconds)
@@ -112,46 +117,49 @@
 
     async def _stop_controller(self, fault: Fault, victim: Process) -> None:
         scene = self._scene
-        with scene.injected(fault, [victim.name], [CORE], is_planned=True), scene.holding(fault, [victim]):
+        with scene.recording_fault(fault, [victim.name], [CORE], is_planned=True), scene.holding(fault, [victim]):
             await scene.stop(victim)
             await asyncio.sleep(fault.seconds)
             await scene.restart(victim)
 
     async def _roll(self, fault: Fault, victims: Sequence[Process]) -> None:
-        """SIGTERM to one after another, each when the one before has come back; those are passed over that are down."""
+        """Restart processes by SIGTERM one after another. Processes that are down are skipped."""
         if not victims:
             raise NoVictimError
         scene = self._scene
-        with scene.injected(fault, _names(victims)), scene.holding(fault, victims):
+        with scene.recording_fault(fault, _names(victims)), scene.holding(fault, victims):
             for victim in victims:
                 if not victim.is_running:
                     continue
-                with scene.troubled(_machines([victim]), "SIGTERM", is_planned=True):
+                with scene.recording_troubles(_trouble_machines([victim]), "SIGTERM", is_planned=True):
                     await scene.stop(victim)
-                    await asyncio.sleep(RESTART_S)
+                    await asyncio.sleep(RESTART_DELAY_S)
                     await scene.restart(victim)
-                await asyncio.sleep(TURN_S)
+                await asyncio.sleep(ROLL_INTERVAL_S)
 
     async def _wipe(self, fault: Fault, victim: Process) -> None:
         scene = self._scene
-        with scene.injected(fault, [victim.name], [CORE]), scene.holding(fault, [victim]):
+        with scene.recording_fault(fault, [victim.name], [CORE]), scene.holding(fault, [victim]):
             await scene.kill(victim)
             victim.clear_disk()
-            scene.note_disk_loss(victim)
+            scene.record_disk_loss(victim)
             await asyncio.sleep(fault.seconds)
             await scene.restart(victim)
             await asyncio.sleep(CATCH_UP_S)
 
-    async def _replace(self, fault: Fault, victim: Process, is_told: bool) -> None:
-        """A controller is taken away for good, and one with an empty disk comes at a new address."""
+    async def _replace(self, fault: Fault, victim: Process, is_graceful: bool) -> None:
+        """Remove a controller for good, and start one with an empty disk at a new address."""
         scene, fleet = self._scene, self._scene.fleet
-        with scene.injected(fault, [victim.name], [CORE], is_planned=is_told), scene.holding(fault, [victim]):
-            if is_told:
+        with (
+            scene.recording_fault(fault, [victim.name], [CORE], is_planned=is_graceful),
+            scene.holding(fault, [victim]),
+        ):
+            if is_graceful:
                 await scene.stop(victim)
             else:
                 await scene.kill(victim)
             fleet.remove_controller(victim.name)
-            scene.note_disk_loss(victim)
+            scene.record_disk_loss(victim)
             await asyncio.sleep(fault.seconds)
             successor = fleet.add_controller(victim.zone)
             with scene.holding(fault, [successor]):
@@ -165,6 +173,6 @@
     return [process.name for process in processes]
 
 
-def _machines(processes: Sequence[Process]) -> set[str]:
-    """As troubles name them."""
+def _trouble_machines(processes: Sequence[Process]) -> set[str]:
+    """Return the machine names that troubles use."""
     return {CORE if process.role == "control" else process.name for process in processes}
--- a/cranebank/fleetlab/records.py
+++ b/cranebank/fleetlab/records.py
@@ -1,4 +1,4 @@
-"""What clients, backends and the operator of a day wrote down. Times in seconds on one steady clock."""
+"""The records that clients, backends and the operator of a day keep. Times are seconds on one monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import msgspec
 
-MAY_PASS = frozenset({0, 408, 429})  # statuses that say nothing against a call itself
+TRANSIENT_STATUSES = frozenset({0, 408, 429})  # they don't mean that the call itself is wrong
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """The figures of the rules, named as in the settings file."""
+    """The limits of the rules, named as in the settings file."""
 
     contact_ms: float = 3000
     ack_ms: float = 4000
@@ -30,7 +30,7 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One event of a stream: its number, and the attempt and the run it says it belongs to."""
+    """One event of a stream: its number, and the attempt and run that it names."""
 
     number: int
     attempt: str
@@ -38,12 +38,12 @@
 
 
 class Try(msgspec.Struct):
-    """One try of a client, and what came back."""
+    """One try of a client and its outcome."""
 
-    request: int  # tries of one request share it
+    request: int  # shared by all tries of a request
     attempt: str
     proxy: str
-    life: int  # of the proxy's process, as far as the platform knows
+    life: int  # incarnation of the proxy's process, as known to the platform
     method: str
     host: str
     path: str
@@ -51,12 +51,12 @@
     sent: float
     repeatable: bool
     events_due: int
-    is_probe: bool = False  # sent directly, to see which configuration is in force
+    is_probe: bool = False  # sent directly to a proxy, to find which configuration is in force
     gave_up: float = 0.0  # when the client stopped waiting
     connected: bool = False
-    status: int = 0  # 0: no head came
-    whole: bool = False  # it looked complete
-    is_http: bool = True  # the bytes could be read
+    status: int = 0  # 0: no response head was received
+    whole: bool = False  # the answer looked complete
+    is_http: bool = True  # the bytes were valid HTTP
     answer_attempt: str = ""
     seal: str = ""
     events: tuple[StreamEvent, ...] = ()
@@ -74,23 +74,23 @@
     method: str
     path: str
     digest: str
-    kind: str  # make, or read: X-Stage was prefill
+    kind: str  # "read" if X-Stage was prefill, else "make"
     after: int = 0  # Last-Event-Id
     status: int = 0
     not_run: bool = False
-    run: str = ""  # once it has begun
+    run: str = ""  # set once the request has begun to run
     ran_at: float = 0.0
-    kept: int = 0  # tokens of its prompt that were kept here, read here and moved here
+    kept: int = 0  # prompt tokens by origin: cached here, computed here, and moved here from another backend
     read: int = 0
     moved: int = 0
     events_made: int = 0
-    whole: bool = False  # the last piece was written
-    broke_off: bool = False  # by the backend itself
-    handle_of: str = ""  # the attempt whose prompt handle it went on from
+    whole: bool = False  # the last part of the answer was written
+    broke_off: bool = False  # the backend itself broke off the answer
+    handle_of: str = ""  # the attempt whose prompt handle was used
 
 
 class RouteRule(msgspec.Struct, frozen=True):
-    """What a configuration says of one host and prefix."""
+    """The services to which a configuration routes one host and prefix."""
 
     host: str
     prefix: str
@@ -98,21 +98,21 @@
 
 
 class Change(msgspec.Struct):
-    """One configuration that an operator sent."""
+    """One configuration sent by an operator."""
 
     revision: int
     base: int
-    routes: tuple[RouteRule, ...]  # of the whole configuration that it makes
-    digest: str  # of that whole configuration
+    routes: tuple[RouteRule, ...]  # of the whole resulting configuration
+    digest: str  # of the whole resulting configuration
     sent: float
     valid: bool = True
     acked: float | None = None
     refused: bool = False
-    answered: float = 0.0  # when the clear answer came
+    answered: float = 0.0  # when the definite answer came
 
 
 class OrderSeen(msgspec.Struct, frozen=True):
-    """An order that reached a backend, and its answer."""
+    """A stage order that reached a backend, and its answer."""
 
     at: float
     instance: str
@@ -123,7 +123,7 @@
 
 
 class Drain(msgspec.Struct):
-    """A backend that announced its end."""
+    """The drain of a backend."""
 
     instance: str
     announced: float
@@ -132,7 +132,7 @@
 
 
 class Trouble(msgspec.Struct, frozen=True):
-    """A time in which a machine (a proxy's name, or ``core``) was in trouble; planned: by SIGTERM."""
+    """A period in which a machine (a proxy's name, or ``core``) was in trouble; planned if by SIGTERM."""
 
     machine: str
     begin: float
@@ -142,7 +142,7 @@
 
 
 class ReadBack(msgspec.Struct, frozen=True):
-    """The configuration as read at the end; revision 0: it didn't come."""
+    """The configuration as read at the end; revision 0 if it could not be read."""
 
     at: float
     revision: int
@@ -150,7 +150,7 @@
 
 
 class Reading(msgspec.Struct, frozen=True):
-    """A configuration that a controller answered as the newest, whenever it was asked."""
+    """A configuration that a controller returned as the newest at some time of the run."""
 
     sent: float
     answered: float
@@ -159,7 +159,7 @@
 
 
 class InjectedFault(msgspec.Struct):
-    """A fault as it happened; ``end`` is when all of it had healed."""
+    """A fault as it was injected; ``end`` is the time at which it had healed completely."""
 
     kind: str
     begin: float
@@ -168,41 +168,41 @@
 
 
 class Health(msgspec.Struct, frozen=True):
-    """What could have served at a time, by what the laboratory itself did: it knows nothing of what processes think.
+    """The capacity that could serve at a time, by the laboratory's own actions and not by the processes' views.
 
-    ``backends`` counts the decode backends of each service that are well, can be reached by all proxies that run and
-    reach a controller themselves. Where a service has had none for a while but prefill ones, it is 1."""
+    ``backends`` counts the decode backends of each service that are healthy, can be reached by all running proxies and
+    reach a controller themselves. It is 1 if a service has had only prefill backends for a while."""
 
     at: float
-    proxies: int  # that run and have had time to come up
+    proxies: int  # running, and with enough time to start up
     all_proxies: int
-    ready: int  # proxies that the platform sends new connections to
-    controllers_lost: int  # down, standing still, cut off from most others, or back for too short a time
+    ready: int  # proxies to which the platform sends new connections
+    controllers_lost: int  # down, paused, cut off from most others, or restarted too recently
     backends: dict[str, int]
 
 
 class TallyCall(msgspec.Struct):
-    """One call of an application for a tally at one machine; calls for the same add share its id."""
+    """One call of an application for a tally at one machine. All calls for an add share its id."""
 
     tally: str
     id: str  # of the add; empty for a reading
     amount: int
-    machine: str  # a controller's name
-    life: int  # of its process when the call was sent
+    machine: str  # name of the controller
+    life: int  # incarnation of its process when the call was sent
     sent: float
-    ended: float = math.inf  # open until then
-    status: int = 0  # 0: no whole answer came
-    total: int | None = None  # what a reading answered
-    is_last: bool = False  # a reading at the end of the day, once nothing had been wrong for merge_ms
+    ended: float = math.inf  # infinite while the call is open
+    status: int = 0  # 0: no whole answer was received
+    total: int | None = None  # the answer to a reading
+    is_last: bool = False  # a reading at the end of the day, after merge_ms without trouble
 
     @property
     def is_acknowledged(self) -> bool:
-        """Whether it is an add that was taken."""
+        """Whether the call is an add that was acknowledged."""
         return bool(self.id) and 200 <= self.status < 300
 
 
 class ColdTime(msgspec.Struct, frozen=True):
-    """A time in which a backend is cold, and how many requests a second it bears then."""
+    """A period in which a backend is cold, and how many requests per second it can take then."""
 
     instance: str
     begin: float
@@ -211,36 +211,36 @@
 
 
 class EvacuationOrder(msgspec.Struct):
-    """A zone that the operator ordered to be emptied (Start), or taken back (Finish)."""
+    """An operator's order to evacuate a zone (Start) or to end its evacuation (Finish)."""
 
     zone: str
     is_start: bool
-    sent: float  # for the first time
+    sent: float  # when it was first sent
     acked: float | None = None
-    refused_with: int = 0  # the status that ended it
+    refused_with: int = 0  # the status that ended the order
 
     @property
     def is_refused(self) -> bool:
-        """Whether the answer was that it will never be done, though it was proper."""
-        return self.refused_with not in MAY_PASS
+        """Whether the order was refused for good, although it was valid."""
+        return self.refused_with not in TRANSIENT_STATUSES
 
     @property
     def outcome(self) -> str:
-        """What became of it, in words."""
+        """A description of the outcome."""
         if self.acked is not None:
             return f"acknowledged after {self.acked - self.sent:.2f} s"
-        return f"refused with {self.refused_with}" if self.refused_with else "no clear answer"
+        return f"refused with {self.refused_with}" if self.refused_with else "no definite answer"
 
 
 class DiskLoss(msgspec.Struct, frozen=True):
-    """A machine that lost its disk."""
+    """The loss of a machine's disk."""
 
     machine: str
     at: float
 
 
 class BrokenLinks(msgspec.Struct):
-    """A time in which links between these controllers and others of them were cut."""
+    """A period in which links between these controllers were cut."""
 
     machines: tuple[str, ...]
     begin: float
@@ -248,7 +248,7 @@
 
 
 class DayRecord(msgspec.Struct):
-    """Everything."""
+    """All records of a day."""
 
     bounds: Bounds = Bounds()
     begun: float = 0.0
@@ -259,13 +259,13 @@
     drains: list[Drain] = []
     troubles: list[Trouble] = []
     read_back: ReadBack | None = None
-    stray: list[str] = []  # bytes on clients' connections where no request was waiting
-    primaries: list[tuple[float, str]] = []  # who was primary
-    exits: list[tuple[str, int]] = []  # processes that ended by themselves
+    stray: list[str] = []  # bytes received on clients' connections without a pending request
+    primaries: list[tuple[float, str]] = []  # the primary controller at sampled times
+    exits: list[tuple[str, int]] = []  # processes that ended unexpectedly, with their exit codes
     readings: list[Reading] = []
     orders: list[OrderSeen] = []
     faults: list[InjectedFault] = []
-    skipped: list[str] = []  # kinds of faults that found nobody to strike
+    skipped: list[str] = []  # kinds of faults that found no victim
     health: list[Health] = []
     tally_calls: list[TallyCall] = []
     disk_losses: list[DiskLoss] = []
@@ -273,4 +273,4 @@
     cold_times: list[ColdTime] = []
     evacuations: list[EvacuationOrder] = []
     backend_zones: dict[str, str] = {}  # by instance
-    violations: list[str] = []  # of invariants, and errors in the logs of processes
+    violations: list[str] = []  # of invariants, and errors in process logs
--- a/cranebank/fleetlab/run_options.py
+++ b/cranebank/fleetlab/run_options.py
@@ -1,4 +1,4 @@
-"""What a run has beside clients, backends and an operator of configurations; each is off where a plan names nothing."""
+"""Optional parts of a run besides clients, backends and the configuration operator. Each is off by default."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 
 class TallyLoad(msgspec.Struct, frozen=True):
-    """What the applications of a run do."""
+    """The load of the tally applications."""
 
-    rate: float = 8.0  # calls a second of the applications of one zone
+    rate: float = 8.0  # calls per second from each zone
     tallies: int = 4
     share_read: float = 0.4
 
 
 class WarmUp(msgspec.Struct, frozen=True):
-    """How backends get warm: how long that takes, and how many requests a second a cold one bears."""
+    """The warm-up of backends: its duration, and how many requests per second a cold backend can take."""
 
     cold_s: float = 3.0
     warmup_per_s: float = 6.0
 
 
 class RunOptions(msgspec.Struct, frozen=True):
-    """All of it."""
+    """The optional parts of a run."""
 
     tallies: TallyLoad | None = None
     warm_up: WarmUp | None = None
--- a/cranebank/fleetlab/soak.py
+++ b/cranebank/fleetlab/soak.py
@@ -90,7 +90,7 @@
             self.record,
             self._add_backend,
             self._primary,
-            self._say,
+            self._log_progress,
         )
         network_faults = NetworkFaults(self._scene, self._operators, self._heartbeats)
         self._injectors: dict[FaultGroup, Injector] = {
@@ -114,7 +114,7 @@
             watch.cancel()
         await self._read_tallies()
         self.record.read_back = await self._operator.read_back(READ_BACK_S)
-        self._say(f"read back revision {self.record.read_back.revision}")
+        self._log_progress(f"read back revision {self.record.read_back.revision}")
         await self._collect_violations()
 
     async def _episode(self, faults: Iterable[Fault]) -> None:
@@ -131,7 +131,7 @@
             await self._injectors[TRAITS[fault.kind].group].inject(fault)
         except NoVictimError:
             self.record.skipped.append(fault.kind.value)
-            self._say(f"{fault.kind.value}: nobody to strike")
+            self._log_progress(f"{fault.kind.value}: nobody to strike")
 
     # What goes on all the while.
 
--- a/cranebank/fleetlab/soak_plan.py
+++ b/cranebank/fleetlab/soak_plan.py
@@ -1,7 +1,7 @@
 """Plans of soak runs, drawn from a seed: which faults happen when, so that two or three overlap. No I/O.
 
-A run has episodes. In each one faults overlap; when all of them have healed comes a calm time, in which the system must
-serve again. The next episode begins when the calm time of the one before is over, however long its faults took.
+A run consists of episodes. The faults of an episode overlap; after all of them have healed, a calm period follows in
+which the system must serve again. The next episode begins at the end of that period, however long the faults took.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from cranebank.fleetlab.fleet import FleetShape
 from cranebank.fleetlab.run_options import RunOptions, TallyLoad, WarmUp
 
-FIRST_FAULT_S = 1.0  # from the beginning of an episode
-AT_ONCE = 3  # faults that overlap
-LARGE_EVERY = 4  # of the seeds have five controllers
-APART_RATE = 40.0  # requests a second in a run of several zones
-APART_RUN = RunOptions(TallyLoad(4.0), WarmUp(3.0, 5.0))
+FIRST_FAULT_AT_S = 1.0  # after the beginning of an episode
+MAX_CONCURRENT_FAULTS = 3
+LARGE_FLEET_INTERVAL = 4  # every fourth seed has five controllers
+MULTI_ZONE_RATE = 40.0  # requests a second in a run of several zones
+MULTI_ZONE_OPTIONS = RunOptions(TallyLoad(4.0), WarmUp(3.0, 5.0))
 
 
 class FaultKind(Enum):
-    """What can go wrong."""
+    """The kinds of faults."""
 
     KILL_PRIMARY = "kill-primary"
     KILL_CONTROLLER = "kill-controller"
@@ -74,7 +74,7 @@
 
 
 class FaultGroup(Enum):
-    """What a fault strikes, and so who injects it."""
+    """The part of the system that a fault hits, which decides on its injector."""
 
     PROCESSES = "processes"
     NETWORK = "network"
@@ -83,13 +83,13 @@
 
 
 class Traits(msgspec.Struct, frozen=True):
-    """What a fault strikes, how long it lasts (seconds, at least and at most), and what it may only be drawn with."""
+    """The target of a fault, its minimum and maximum duration in seconds, and limits on drawing it."""
 
     group: FaultGroup
     shortest: float
     longest: float
     loses_disk: bool = False
-    is_final: bool = False  # what it takes away doesn't come back: for the last episode
+    is_final: bool = False  # removes something for good, so it is drawn for the last episode only
 
 
 TRAITS: dict[FaultKind, Traits] = {
@@ -143,14 +143,14 @@
 
 
 def kinds_of(group: FaultGroup) -> tuple[FaultKind, ...]:
-    """The kinds of faults of a group."""
+    """Return the kinds of faults of a group."""
     return tuple(kind for kind, traits in TRAITS.items() if traits.group is group)
 
 
-USUAL_KINDS = tuple(kind for kind, traits in TRAITS.items() if traits.group is not FaultGroup.ZONES)
-"""The kinds of a run in one zone, in the order by which seeds name them."""
+SINGLE_ZONE_KINDS = tuple(kind for kind, traits in TRAITS.items() if traits.group is not FaultGroup.ZONES)
+"""The kinds of a run in one zone. Seeds select the leading kind by this order."""
 
-APART_KINDS = (
+MULTI_ZONE_KINDS = (
     *kinds_of(FaultGroup.ZONES),
     FaultKind.KILL_PRIMARY,
     FaultKind.KILL_CONTROLLER,
@@ -174,7 +174,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault: when it begins within its episode, and for how long. ``choice`` decides on victims and variants."""
+    """One fault: its start within the episode and its duration. ``choice`` seeds the choice of victims and variants."""
 
     at: float
     kind: FaultKind
@@ -183,8 +183,8 @@
 
 
 class SoakPlan(msgspec.Struct, frozen=True):
-    """A run. ``calm_s`` follows each episode, once all its faults have healed; the system has ``settle_s`` of it to
-    come back."""
+    """The plan of a run. A calm period of ``calm_s`` follows each episode once its faults have healed; the system must
+    recover within the first ``settle_s`` of it."""
 
     seed: int
     shape: FleetShape
@@ -194,15 +194,15 @@
     rate: float = 25.0  # requests a second
     beat_ms: float = 500
     options: RunOptions = RunOptions()
-    services: dict[str, tuple[str, ...]] | None = None  # stages of each service's backends, where not the usual ones
+    services: dict[str, tuple[str, ...]] | None = None  # stages of each service's backends, instead of the default
 
 
 class PlanOptions(msgspec.Struct, frozen=True):
-    """What plans are drawn of."""
+    """The parameters for drawing plans."""
 
-    kinds: tuple[FaultKind, ...] = USUAL_KINDS
+    kinds: tuple[FaultKind, ...] = SINGLE_ZONE_KINDS
     episodes: int = 2
-    faults: tuple[int, int] = (4, 6)  # in an episode, at least and at most
+    faults: tuple[int, int] = (4, 6)  # minimum and maximum number in an episode
     episode_s: float = 19.0
     settle_s: float = 5.0
     calm_s: float = 11.0
@@ -228,9 +228,9 @@
     settle_s=4.0,
     calm_s=8.5,
 )
-"""A run of some 15 s."""
+"""A run of about 15 s."""
 
-APART = PlanOptions(APART_KINDS, is_apart=True)
+APART = PlanOptions(MULTI_ZONE_KINDS, is_apart=True)
 SHORT_APART = PlanOptions(
     (
         FaultKind.ZONE_LOSS,
@@ -248,16 +248,16 @@
     calm_s=10.0,
     is_apart=True,
 )
-"""A run of some 35 s."""
+"""A run of about 35 s."""
 
 
 def draw(seed: int, options: PlanOptions = USUAL) -> SoakPlan:
-    """The plan of a seed. Seeds in a row lead each of their episodes with all kinds in turn."""
+    """Return the plan of a seed. Over consecutive seeds, each episode begins with every kind in turn."""
     random = Random(seed)
-    shape = _apart_shape(seed) if options.is_apart else _shape(seed)
-    apart = len(options.kinds) // options.episodes
+    shape = _multi_zone_shape(seed) if options.is_apart else _shape(seed)
+    lead_offset = len(options.kinds) // options.episodes
     episodes = tuple(
-        _episode(random, options, shape, seed + number * apart, number == options.episodes - 1)
+        _draw_episode(random, options, shape, seed + number * lead_offset, number == options.episodes - 1)
         for number in range(options.episodes)
     )
     if not options.is_apart:
@@ -265,30 +265,39 @@
     stages = ("prefill",) * shape.zones + ("decode",) * shape.zones  # each zone has one of each
     services = {"g1": stages, "g2": stages}
     return SoakPlan(
-        seed, shape, episodes, options.settle_s, options.calm_s, APART_RATE, options=APART_RUN, services=services
+        seed,
+        shape,
+        episodes,
+        options.settle_s,
+        options.calm_s,
+        MULTI_ZONE_RATE,
+        options=MULTI_ZONE_OPTIONS,
+        services=services,
     )
 
 
 def _shape(seed: int) -> FleetShape:
-    return FleetShape(5, 4, 2) if seed % LARGE_EVERY == 0 else FleetShape(3, 3, 1)
+    return FleetShape(5, 4, 2) if seed % LARGE_FLEET_INTERVAL == 0 else FleetShape(3, 3, 1)
 
 
-def _apart_shape(seed: int) -> FleetShape:
-    """Five controllers, in three zones or in five."""
+def _multi_zone_shape(seed: int) -> FleetShape:
+    """Return a shape with five controllers in three or five zones."""
     if seed % 2:
         return FleetShape(5, 6, 2, zones=3, zone_tolerance=1)
     return FleetShape(5, 5, 2, zones=5, zone_tolerance=1)
 
 
-def _episode(random: Random, options: PlanOptions, shape: FleetShape, turn: int, is_last: bool) -> tuple[Fault, ...]:
-    """Faults that overlap: each begins while the one before lasts, no more than three at a time."""
-    kinds = _kinds(random, options, shape, turn, is_last)
+def _draw_episode(
+    random: Random, options: PlanOptions, shape: FleetShape, lead_index: int, is_last: bool
+) -> tuple[Fault, ...]:
+    """Draw overlapping faults, at most MAX_CONCURRENT_FAULTS at a time. Each begins while the previous one lasts."""
+    kinds = _draw_kinds(random, options, shape, lead_index, is_last)
     faults: list[Fault] = []
-    at = FIRST_FAULT_S
+    at = FIRST_FAULT_AT_S
     for kind in kinds:
         traits = TRAITS[kind]
         seconds = round(random.uniform(traits.shortest, traits.longest), 2)
-        at = _rounded_up(max(at, _free_from(faults, at)))
+        at = _round_up(max(at, _earliest_start(faults, at)))
         if faults and at + traits.shortest > options.episode_s:
             break
         seconds = max(traits.shortest, min(seconds, options.episode_s - at))
@@ -297,50 +306,52 @@
     return tuple(faults)
 
 
-def _rounded_up(seconds: float) -> float:
-    """To hundredths; never to before the end of a fault that is waited for."""
+def _round_up(seconds: float) -> float:
+    """Round up to hundredths, so that the result is never before the end of a fault that must be over."""
     return math.ceil(seconds * 100 + 1) / 100
 
 
-def _free_from(faults: list[Fault], at: float) -> float:
-    """From when on fewer than the most that may overlap are under way."""
-    under_way = sorted(fault.at + fault.seconds for fault in faults if fault.at + fault.seconds > at)
-    return under_way[-AT_ONCE] if len(under_way) >= AT_ONCE else at
-
-
-def _kinds(random: Random, options: PlanOptions, shape: FleetShape, turn: int, is_last: bool) -> list[FaultKind]:
-    """The kinds of one episode. No more disks are lost than may be, and what never comes back waits for the end."""
-    leading = options.kinds[turn % len(options.kinds)]
-    able = [kind for kind in options.kinds if is_last or not TRAITS[kind].is_final]
-    wanted = random.randint(*options.faults)
-    drawn = [leading] if leading in able else []
-    disks = sum(TRAITS[kind].loses_disk for kind in drawn)
-    while len(drawn) < wanted:
-        kind = random.choice(able)
-        if TRAITS[kind].loses_disk and disks >= shape.tolerance:
+def _earliest_start(faults: list[Fault], at: float) -> float:
+    """Return the earliest time from which fewer than MAX_CONCURRENT_FAULTS are active."""
+    active_ends = sorted(fault.at + fault.seconds for fault in faults if fault.at + fault.seconds > at)
+    return active_ends[-MAX_CONCURRENT_FAULTS] if len(active_ends) >= MAX_CONCURRENT_FAULTS else at
+
+
+def _draw_kinds(
+    random: Random, options: PlanOptions, shape: FleetShape, lead_index: int, is_last: bool
+) -> list[FaultKind]:
+    """Draw the kinds of one episode, within the tolerance for lost disks; final kinds for the last episode only."""
+    lead_kind = options.kinds[lead_index % len(options.kinds)]
+    allowed = [kind for kind in options.kinds if is_last or not TRAITS[kind].is_final]
+    fault_count = random.randint(*options.faults)
+    drawn = [lead_kind] if lead_kind in allowed else []
+    disk_losses = sum(TRAITS[kind].loses_disk for kind in drawn)
+    while len(drawn) < fault_count:
+        kind = random.choice(allowed)
+        if TRAITS[kind].loses_disk and disk_losses >= shape.tolerance:
             continue
         if TRAITS[kind].is_final and any(TRAITS[other].is_final for other in drawn):
             continue
-        disks += TRAITS[kind].loses_disk
+        disk_losses += TRAITS[kind].loses_disk
         drawn.append(kind)
     return drawn
 
 
 def overlaps(intervals: list[tuple[str, float, float]]) -> dict[str, int]:
-    """How often each pair of kinds overlapped in time, and how often three did at once (key: ``three at once``)."""
+    """Count how often each pair of kinds overlapped, and how often three faults did (key ``three at once``)."""
     counts: dict[str, int] = {}
     for index, (kind, begin, end) in enumerate(intervals):
-        beside = [other for other in intervals[:index] if other[1] < end and begin < other[2]]
-        for other in beside:
+        overlapping = [other for other in intervals[:index] if other[1] < end and begin < other[2]]
+        for other in overlapping:
             pair = " + ".join(sorted((kind, other[0])))
             counts[pair] = counts.get(pair, 0) + 1
-        if _has_common(begin, end, beside):
+        if _has_common_time(begin, end, overlapping):
             counts["three at once"] = counts.get("three at once", 0) + 1
     return counts
 
 
-def _has_common(begin: float, end: float, others: list[tuple[str, float, float]]) -> bool:
-    """Whether two of the others overlap within a time."""
+def _has_common_time(begin: float, end: float, others: list[tuple[str, float, float]]) -> bool:
+    """Return whether two of the other intervals overlap within this one."""
     clipped = [(max(begin, low), min(end, high)) for _, low, high in others]
     return any(
         max(one[0], two[0]) < min(one[1], two[1]) for index, one in enumerate(clipped) for two in clipped[:index]
--- a/tests/test_soak_faults.py
+++ b/tests/test_soak_faults.py
@@ -88,7 +88,7 @@
         self.model = SimpleNamespace(stage=stage)
         self.phase, self.faults, self.ended = "ready", set[str](), asyncio.Event()
         self.zone = "z-1"
-        self.beat_address = "10.0.0.1:1"
+        self.heartbeat_address = "10.0.0.1:1"
 
     def fault(self, name: str, on: bool = True) -> None:
         if name == "crash":
@@ -99,8 +99,8 @@
         self.phase = "draining"
         self.ended.set()
 
-    def beat_at(self, address: str) -> None:
-        self.beat_address = address
+    def send_heartbeats_to(self, address: str) -> None:
+        self.heartbeat_address = address
 
 
 class Stage:
@@ -154,9 +154,9 @@
 
 @pytest.fixture(autouse=True)
 def _no_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("RESTART_S", "TURN_S", "LIST_LAG_S", "CATCH_UP_S"):
+    for name in ("RESTART_DELAY_S", "ROLL_INTERVAL_S", "LIST_LAG_S", "CATCH_UP_S"):
         monkeypatch.setattr(process_faults, name, 0.0)
-    monkeypatch.setattr(backend_faults, "BORN_AHEAD_S", 0.0)
+    monkeypatch.setattr(backend_faults, "SUCCESSOR_LEAD_S", 0.0)
 
 
 def fault(kind: FaultKind, choice: int = 1, seconds: float = 0.0) -> Fault:
@@ -232,7 +232,7 @@
 
 def test_a_roll_passes_over_what_another_fault_has_ended(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Everything is killed while the roll waits between two of its processes."""
-    monkeypatch.setattr(process_faults, "TURN_S", 0.05)
+    monkeypatch.setattr(process_faults, "ROLL_INTERVAL_S", 0.05)
 
     async def story(stage: Stage) -> None:
         roll = asyncio.ensure_future(stage.process_faults.inject(fault(FaultKind.ROLL_CONTROLLERS)))
@@ -328,4 +328,4 @@
 
 def test_all_heartbeats_go_to_one_controller(tmp_path: Path) -> None:
     stage = play(tmp_path, lambda stage: stage.backend_faults.inject(fault(FaultKind.HEARTBEATS_TO_ONE, 5)))
-    assert len({one.beat_address for one in stage.backends}) == 1
+    assert len({one.heartbeat_address for one in stage.backends}) == 1
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -11,11 +11,11 @@
 from cranebank.fleetlab.run_options import RunOptions
 from cranebank.fleetlab.soak_plan import (
     APART,
-    APART_KINDS,
-    AT_ONCE,
+    MAX_CONCURRENT_FAULTS,
+    MULTI_ZONE_KINDS,
+    SINGLE_ZONE_KINDS,
     TRAITS,
     USUAL,
-    USUAL_KINDS,
     Fault,
     FaultGroup,
     FaultKind,
@@ -45,7 +45,7 @@
 def test_faults_overlap_and_no_more_than_three_at_a_time(seed: int) -> None:
     for faults in draw(seed).episodes:
         assert len(faults) >= 2
-        assert max(under_way(faults, fault.at) for fault in faults) in range(2, AT_ONCE + 1)
+        assert max(under_way(faults, fault.at) for fault in faults) in range(2, MAX_CONCURRENT_FAULTS + 1)
         for before, after in pairwise(faults):
             assert before.at <= after.at
         for fault in faults:
@@ -66,14 +66,14 @@
     assert sum(TRAITS[fault.kind].is_final for fault in last) <= 1
 
 
-@pytest.mark.parametrize(("options", "kinds"), [(USUAL, USUAL_KINDS), (APART, APART_KINDS)])
+@pytest.mark.parametrize(("options", "kinds"), [(USUAL, SINGLE_ZONE_KINDS), (APART, MULTI_ZONE_KINDS)])
 def test_as_many_seeds_as_there_are_kinds_have_all_of_them(options: PlanOptions, kinds: tuple[FaultKind, ...]) -> None:
     plans = [draw(seed, options) for seed in range(1, len(kinds) + 1)]
     assert {fault.kind for plan in plans for faults in plan.episodes for fault in faults} == set(kinds)
 
 
 def test_every_kind_is_drawn_by_one_of_the_two_forms() -> None:
-    assert set(USUAL_KINDS) | set(APART_KINDS) == set(FaultKind)
+    assert set(SINGLE_ZONE_KINDS) | set(MULTI_ZONE_KINDS) == set(FaultKind)
 
 
 def test_a_plan_of_one_zone_is_the_one_that_it_was_before_there_were_zones() -> None:
--- a/tests/test_zone_faults.py
+++ b/tests/test_zone_faults.py
@@ -120,7 +120,7 @@
 
 @pytest.fixture(autouse=True)
 def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(zone_faults, "BACK_WITHIN_S", 0.01)
+    monkeypatch.setattr(zone_faults, "MAX_RETURN_DELAY_S", 0.01)
 
 
 @pytest.mark.parametrize("choice", CHOICES)
