--- a/cranebank/fleetlab/evacuations.py
+++ b/cranebank/fleetlab/evacuations.py
@@ -1,4 +1,4 @@
-"""The operator's evacuations of zones: nothing more is to be sent to a zone's backends, until that is taken back."""
+"""The operator's evacuations of zones: no requests go to a zone's backends until the evacuation is ended."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from random import Random
 
 from cranebank.fleetlab.backend import Backend
-from cranebank.fleetlab.operator import FINAL, RETRY_S, Ask, ask_following
+from cranebank.fleetlab.operator import FINAL_STATUSES, RETRY_INTERVAL_S, Ask, ask_following
 from cranebank.fleetlab.records import EvacuationOrder
 
-LAST_ATTEMPT = 3  # at which any other 4xx ends an order
-MOST_FINISHES = 5  # of one zone, one after another
-COLD_AHEAD_S = 0.2  # a zone's backends turn cold so much earlier than it is taken back
+MAX_CLIENT_ERROR_ATTEMPTS = 3  # from this attempt on, any other 4xx ends an order too
+MAX_FINISHES = 5  # consecutive Finish orders for one zone
+COLD_LEAD_S = 0.2  # a zone's backends turn cold this long before its evacuation ends
 CLIENT_ERROR, SERVER_ERROR = 400, 500
 
 
 class EvacuationOperator:
-    """Sends orders until there is a clear answer, no longer than ``give_up_s``."""
+    """Sends orders until there is a definite answer, for at most ``give_up_s``."""
 
     def __init__(
         self,
@@ -32,8 +32,8 @@
         self._ask, self._give_up_s, self._progress = ask, give_up_s, progress
 
     async def evacuate(self, zone: str, seconds: float | None, backends: Iterable[Backend]) -> None:
-        """Empty a zone, and take it back after a while, or never; those of these backends that are in it are cold
-        then. An operator whose Finish got no clear answer gives it anew, a few times."""
+        """Evacuate a zone, and end the evacuation after some seconds, or never if None. The zone's backends turn cold
+        before the end. A Finish without a definite answer is repeated, up to MAX_FINISHES in total."""
         await self._order(zone, True)
         if seconds is None:
             return
@@ -41,8 +41,8 @@
         for backend in backends:
             if backend.zone == zone:
                 backend.turn_cold()
-        await asyncio.sleep(COLD_AHEAD_S)
-        for _ in range(MOST_FINISHES):
+        await asyncio.sleep(COLD_LEAD_S)
+        for _ in range(MAX_FINISHES):
             finish = await self._order(zone, False)
             if finish.acked is not None or finish.is_refused:
                 return
@@ -60,9 +60,11 @@
             if 200 <= status < 300:
                 order.acked = loop.time()
                 break
-            if status in FINAL or (CLIENT_ERROR <= status < SERVER_ERROR and attempts >= LAST_ATTEMPT):
+            if status in FINAL_STATUSES or (
+                CLIENT_ERROR <= status < SERVER_ERROR and attempts >= MAX_CLIENT_ERROR_ATTEMPTS
+            ):
                 order.refused_with = status
                 break
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         self._progress(f"{path}: {order.outcome}")
         return order
--- a/cranebank/fleetlab/lab_run.py
+++ b/cranebank/fleetlab/lab_run.py
@@ -161,7 +161,7 @@
         if self._applications is None:
             return
         await asyncio.sleep(self.record.bounds.merge_ms / 1e3)
-        await self._applications.read_all(self.record.bounds.contact_ms / 1e3)
+        await self._applications.read_final_totals(self.record.bounds.contact_ms / 1e3)
         self._log_progress(f"{acknowledged_share(self.record):.4f} of the adds to tallies acknowledged")
 
     async def _start(self) -> None:
@@ -173,7 +173,7 @@
                 await self._add_backend(service, stage)
         await self._operator.begin(first_configuration(dict.fromkeys(self._services, SPEC), self._options.warm_up))
         proxies = list(self._platform.proxies.values())
-        while not all(await asyncio.gather(*(self._platform.look(proxy) for proxy in proxies))):
+        while not all(await asyncio.gather(*(self._platform.check_ready(proxy) for proxy in proxies))):
             missing = [proxy.name for proxy in proxies if proxy.misses]
             if loop.time() > begun + START_S:
                 raise StartError(f"not ready after {START_S:g} s: {', '.join(missing)}")
--- a/cranebank/fleetlab/operator.py
+++ b/cranebank/fleetlab/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a day: whole configurations and amendments, sent until there is a clear answer."""
+"""The operator of a day, who sends configurations and amendments until there is a definite answer."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 HOST = "shop.example"
 Document = dict[str, Any]
 Ask = Callable[[str, str, str, bytes, float, dict[str, str] | None], Awaitable[Answer]]
-FINAL = frozenset({400, 409, 412, 413, 422})
-GIVE_UP_S = 15.0
-PATIENCE_S = 1.0
-RETRY_S = 0.1
+FINAL_STATUSES = frozenset({400, 409, 412, 413, 422})
+CHANGE_TIMEOUT_S = 15.0
+CALL_TIMEOUT_S = 1.0
+RETRY_INTERVAL_S = 0.1
 
 
-def route(name: str, service: str, variant: str = "streaming", **more: object) -> Document:
-    """One route of a configuration, at the prefix of its name."""
+def route(name: str, service: str, variant: str = "streaming", **extra: object) -> Document:
+    """Return one route of a configuration, with its name as the prefix."""
     return {
         "name": f"r-{name}",
         "hostname": HOST,
@@ -40,12 +40,12 @@
         "pinned": True,
         "resumable": True,
         "gap_aim_ms": 200,
-        **more,
+        **extra,
     }
 
 
 def service(name: str, spec: EngineSpec, warm_up: WarmUp | None = None) -> Document:
-    """One service, as its backends are."""
+    """Return one service of a configuration, for backends of this spec."""
     cold = {} if warm_up is None else {"cold_s": warm_up.cold_s, "warmup_per_s": warm_up.warmup_per_s}
     return cold | {
         "name": name,
@@ -67,7 +67,7 @@
 
 
 def first_configuration(specs: dict[str, EngineSpec], warm_up: WarmUp | None = None) -> Document:
-    """What a day begins with: routes that may be resumed and one that may not, over two services."""
+    """Return the first configuration of a day: resumable and non-resumable routes to two services."""
     one, two = list(specs)
     return {
         "revision": 2,
@@ -83,19 +83,19 @@
     }
 
 
-def amended(document: Document, body: Document) -> Document:
-    """The whole configuration that an amendment makes."""
-    made = dict(document, revision=body["revision"])
+def apply_amendment(document: Document, body: Document) -> Document:
+    """Return the whole configuration that results from an amendment."""
+    result = dict(document, revision=body["revision"])
     for key, names in body.get("remove", {}).items():
-        made[key] = [item for item in made[key] if item["name"] not in names]
+        result[key] = [item for item in result[key] if item["name"] not in names]
     for key, items in body.get("upsert", {}).items():
-        fresh = {item["name"]: item for item in items}
-        made[key] = [fresh.pop(item["name"], item) for item in made[key]] + list(fresh.values())
-    return made
+        items_by_name = {item["name"]: item for item in items}
+        result[key] = [items_by_name.pop(item["name"], item) for item in result[key]] + list(items_by_name.values())
+    return result
 
 
-def known_by(document: Document) -> str:
-    """The digest of a configuration, whatever the order of its items."""
+def configuration_digest(document: Document) -> str:
+    """Return the digest of a configuration, which does not depend on the order of its items."""
     sorted_items = {
         key: sorted(value, key=lambda item: str(item["name"])) if isinstance(value, list) else value
         for key, value in document.items()
@@ -103,13 +103,13 @@
     return digest(json.dumps(sorted_items, sort_keys=True).encode())
 
 
-def rules(document: Document) -> tuple[RouteRule, ...]:
-    """Its routes, for the judge."""
+def route_rules(document: Document) -> tuple[RouteRule, ...]:
+    """Return the routes of a configuration for the judge."""
     return tuple(RouteRule(item["hostname"], item["path_prefix"], (item["target"],)) for item in document["routes"])
 
 
 class Operator:
-    """Sends changes one after another, or two at once, and remembers what was acknowledged."""
+    """Sends changes one after another or two at once, and keeps the last acknowledged configuration."""
 
     def __init__(
         self,
@@ -120,104 +120,114 @@
         readings: list[Reading] | None = None,
         caller: Caller | None = None,
     ) -> None:
-        """``caller`` makes the calls, where they go over a network that may lose some."""
+        """``caller`` makes the calls if they go over a network that may lose some."""
         self._controllers, self._changes, self._random, self._progress = controllers, changes, random, progress
         self._readings = [] if readings is None else readings
         self._ask = ask_once if caller is None else caller.ask
         self.current: Document = {"revision": 0, "routes": [], "services": []}
-        self._steps = 0
+        self._amendment_count = 0
 
     async def begin(self, document: Document) -> None:
-        """The first configuration, sent until it is taken."""
+        """Send the first configuration until it is acknowledged."""
         await self._change("Replace", document, document, 0)
 
-    def _next(self, name: str) -> Document:
-        """An amendment: a route added, one moved to the other service, and the oldest additional one removed."""
-        self._steps += 1
+    def _next_amendment(self, name: str) -> Document:
+        """Return an amendment that adds a route, moves one to the other service and removes the oldest extra one."""
+        self._amendment_count += 1
         services = [item["name"] for item in self.current["services"]]
-        known = {item["name"]: item for item in self.current["routes"]}
-        moved = known["r-moved"]["target"]
-        to = services[1 - services.index(moved)]
-        gone = [item for item in known if item not in {"r-chat", "r-write", "r-search", "r-moved"}][:1]
+        routes_by_name = {item["name"]: item for item in self.current["routes"]}
+        moved_target = routes_by_name["r-moved"]["target"]
+        next_target = services[1 - services.index(moved_target)]
+        removed = [item for item in routes_by_name if item not in {"r-chat", "r-write", "r-search", "r-moved"}][:1]
         return {
             "revision": self.current["revision"] + self._random.randint(1, 4),
-            "upsert": {"routes": [route("moved", to, resumable=False, tries=2, rank=1), route(name, services[0])]},
-            "remove": {"routes": gone},
+            "upsert": {
+                "routes": [route("moved", next_target, resumable=False, tries=2, rank=1), route(name, services[0])]
+            },
+            "remove": {"routes": removed},
         }
 
     async def amend(self) -> bool:
-        """One change; whether it was acknowledged."""
-        body = self._next(f"extra{self._steps}")
-        return await self._change("Amend", body, amended(self.current, body), self.current["revision"])
+        """Send one change, and return whether it was acknowledged."""
+        body = self._next_amendment(f"extra{self._amendment_count}")
+        return await self._change("Amend", body, apply_amendment(self.current, body), self.current["revision"])
 
     async def race(self) -> int:
-        """Two changes at once on top of the same version; how many were acknowledged."""
-        base, bodies = self.current["revision"], [self._next(f"left{self._steps}"), self._next(f"right{self._steps}")]
+        """Send two concurrent changes to the same version, and return how many were acknowledged."""
+        base, bodies = (
+            self.current["revision"],
+            [
+                self._next_amendment(f"left{self._amendment_count}"),
+                self._next_amendment(f"right{self._amendment_count}"),
+            ],
+        )
         if bodies[0]["revision"] == bodies[1]["revision"]:
             bodies[1]["revision"] += 1
-        whole = [amended(self.current, body) for body in bodies]
+        resulting = [apply_amendment(self.current, body) for body in bodies]
         return sum(
             await asyncio.gather(
-                *(self._change("Amend", body, made, base) for body, made in zip(bodies, whole, strict=True))
+                *(self._change("Amend", body, result, base) for body, result in zip(bodies, resulting, strict=True))
             )
         )
 
     async def invalid(self) -> bool:
-        """A change that can't be in force; whether it was acknowledged all the same."""
+        """Send an invalid change, and return whether it was acknowledged nevertheless."""
         body = {"revision": self.current["revision"] + 1, "upsert": {"routes": [route("bad", "nowhere")]}}
-        return await self._change("Amend", body, amended(self.current, body), self.current["revision"], False)
+        return await self._change("Amend", body, apply_amendment(self.current, body), self.current["revision"], False)
 
     async def read_back(self, seconds: float) -> ReadBack:
-        """Ask for the newest configuration until it comes."""
+        """Request the newest configuration until it is received or the time is over."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        while loop.time() < until:
+        deadline = loop.time() + seconds
+        while loop.time() < deadline:
             document = await self.read()
             if document is not None:
-                return ReadBack(loop.time(), document["revision"], known_by(document))
-            await asyncio.sleep(RETRY_S)
+                return ReadBack(loop.time(), document["revision"], configuration_digest(document))
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return ReadBack(loop.time(), 0, "")
 
     async def read(self) -> Document | None:
-        """Ask any controller once for the newest configuration; nothing where it is not sure of it."""
+        """Request the newest configuration once from a random controller, or return None without a definite answer."""
         loop = asyncio.get_running_loop()
         sent = loop.time()
         answer = await self._call("GET", "Read", b"", {})
         if answer.status != 200 or not answer.whole:
             return None
         document: Document = json.loads(answer.body)
-        self._readings.append(Reading(sent, loop.time(), document["revision"], known_by(document)))
+        self._readings.append(Reading(sent, loop.time(), document["revision"], configuration_digest(document)))
         return document
 
     async def catch_up(self) -> None:
-        """Go on from the newest configuration, whatever became of the changes that had no clear answer."""
+        """Continue from the newest configuration, regardless of the outcome of changes without a definite answer."""
         while (document := await self.read()) is None:
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         self.current = document
 
-    async def _change(self, call: str, body: Document, whole: Document, base: int, valid: bool = True) -> bool:
+    async def _change(self, call: str, body: Document, resulting: Document, base: int, valid: bool = True) -> bool:
         loop = asyncio.get_running_loop()
-        change = Change(whole["revision"], base, rules(whole), known_by(whole), loop.time(), valid)
+        change = Change(
+            resulting["revision"], base, route_rules(resulting), configuration_digest(resulting), loop.time(), valid
+        )
         self._changes.append(change)
         data = json.dumps(body).encode()
-        while loop.time() < change.sent + GIVE_UP_S:
+        while loop.time() < change.sent + CHANGE_TIMEOUT_S:
             answer = await self._call("POST", call, data, {"X-Base-Version": str(base)})
             if answer.status == 200 and answer.whole:
                 change.acked = change.answered = loop.time()
                 if valid:
-                    self.current = whole
+                    self.current = resulting
                 self._progress(f"revision {change.revision} acknowledged after {change.acked - change.sent:.2f} s")
                 return True
-            if answer.status in FINAL:
+            if answer.status in FINAL_STATUSES:
                 change.refused, change.answered = True, loop.time()
                 self._progress(f"revision {change.revision} refused with {answer.status}")
                 return False
-            await asyncio.sleep(RETRY_S)
-        self._progress(f"revision {change.revision} got no clear answer")
+            await asyncio.sleep(RETRY_INTERVAL_S)
+        self._progress(f"revision {change.revision} got no definite answer")
         return False
 
     async def _call(self, method: str, call: str, body: bytes, headers: dict[str, str]) -> Answer:
-        """One call to any controller, following it twice to where it is sent on."""
+        """Call a random controller, following up to two redirects."""
         at = self._random.choice(self._controllers())
         return await ask_following(self._ask, at, method, f"/api/Configuration.{call}", body, headers)
 
@@ -225,10 +235,10 @@
 async def ask_following(
     ask: Ask, at: str, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Answer:
-    """One call to a controller, following it twice to where it is sent on."""
+    """Call a controller, following up to two redirects."""
     answer = Answer()
     for _ in range(3):
-        answer = await ask(at, method, path, body, PATIENCE_S, headers)
+        answer = await ask(at, method, path, body, CALL_TIMEOUT_S, headers)
         if answer.status != 307:
             break
         at = urlsplit(answer.headers.get("location", "")).netloc
--- a/tests/test_evacuation_judge.py
+++ b/tests/test_evacuation_judge.py
@@ -84,7 +84,7 @@
 def test_an_order_is_sent_until_there_is_a_clear_answer(
     monkeypatch: pytest.MonkeyPatch, statuses: tuple[int, ...], calls: int, is_acked: bool, refused_with: int
 ) -> None:
-    monkeypatch.setattr("cranebank.fleetlab.evacuations.RETRY_S", 0.001)
+    monkeypatch.setattr("cranebank.fleetlab.evacuations.RETRY_INTERVAL_S", 0.001)
     answers, orders = iter(statuses), list[EvacuationOrder]()
     asked: list[str] = []
 
--- a/tests/test_model_backend.py
+++ b/tests/test_model_backend.py
@@ -9,20 +9,20 @@
 
 from cranebank.fleetlab.model import (
     Action,
-    Asked,
     Began,
+    CallerLeft,
     Cut,
     DeleteHandle,
     Emit,
     EngineSpec,
     Event,
     GenerationRequest,
-    Gone,
     HandleTaken,
     ModelBackend,
     Order,
     Ordered,
     ReportAsked,
+    RequestReceived,
     Respond,
     TakeHandle,
     Wake,
@@ -68,7 +68,7 @@
         return actions
 
     def ask(self, call: int, asked: GenerationRequest | None = None) -> list[Action]:
-        return self.do(Asked(call, asked or request(f"a{call}", f"s:1000,o{call}:200")))
+        return self.do(RequestReceived(call, asked or request(f"a{call}", f"s:1000,o{call}:200")))
 
     def run(self, until: float) -> None:
         while self._wake is not None and self._wake <= until:
@@ -310,7 +310,7 @@
                 if asked:
                     gone = random.choice(sorted(asked))
                     left.add(gone)
-                    driver.do(Gone(gone))
+                    driver.do(CallerLeft(gone))
             case "taken":
                 taking = [a.call for _, a in driver.log if isinstance(a, TakeHandle)]
                 for known in taking:
--- a/tests/test_tally_judge.py
+++ b/tests/test_tally_judge.py
@@ -100,7 +100,7 @@
 def test_applications_go_on_with_the_same_id_after_silence_a_failure_and_refusals_that_may_pass(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(applications, "PAUSE_S", 0.0)
+    monkeypatch.setattr(applications, "RETRY_INTERVAL_S", 0.0)
     statuses = iter([0, 500, 429, 503, 200])
 
     async def answer(*call: object) -> Answer:
