--- a/cranebank/fleetlab/applications.py
+++ b/cranebank/fleetlab/applications.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from cranebank.fleetlab.caller import Caller
-from cranebank.fleetlab.fleet import CONTROL, Fleet, Process
+from cranebank.fleetlab.fleet import CONTROL_PORT, Fleet, Process
 from cranebank.fleetlab.operator import Ask
 from cranebank.fleetlab.records import TallyCall
 from cranebank.fleetlab.run_options import TallyLoad
@@ -103,7 +103,7 @@
         loop = asyncio.get_running_loop()
         call.machine, call.life, call.sent = process.name, process.life, loop.time()
         self._calls.append(call)
-        answer = await _send(ask, f"{process.ip}:{CONTROL}", call)
+        answer = await _send(ask, f"{process.ip}:{CONTROL_PORT}", call)
         if answer.whole:
             call.status = answer.status
             call.total = _decode_total(answer) if not call.id else None
--- a/cranebank/fleetlab/day.py
+++ b/cranebank/fleetlab/day.py
@@ -1,4 +1,4 @@
-"""A small day of the whole system on loopback: controllers and proxies as real processes, everybody else in here."""
+"""A small day of the whole system on loopback, with real controller and proxy processes and all else simulated here."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 __all__ = ["COLD", "DAYS", "DEMO", "EVACUATION", "SHORT", "TALLIES", "DayPlan", "StartError", "Step", "play"]
 
-RESTART_S = 0.4
+RESTART_DELAY_S = 0.4
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Something that happens: a change (amend, race, invalid), a trouble (kill-primary, stop-proxy, crash) or a
-    drain, or a fault of a backend for a while (dark, cut, late, silent). A backend may turn cold, or lose its power for
-    a while and come back cold (cold-return). A zone is emptied and taken back after a while (evacuate). A drain and a
-    crash are followed by a replacement; scale-in is a drain, and lose a crash, of a backend that nobody replaces.
-    ``stage`` says of which, and ``zone`` names the zone."""
+    """An event of a day: a change (amend, race, invalid), a trouble (kill-primary, stop-proxy, crash), a drain, or a
+    backend fault (dark, cut, late, silent) that lasts ``for_s``. A backend may turn cold (cold), or lose its power for
+    ``for_s`` and return cold (cold-return). A zone may be evacuated for ``for_s`` (evacuate). A drain and a crash are
+    followed by a replacement; scale-in is a drain and lose a crash without one. ``stage`` selects the backend, and
+    ``zone`` names the zone."""
 
     at: float
     what: str
@@ -36,7 +36,7 @@
 
 
 class DayPlan(msgspec.Struct, frozen=True):
-    """A day: how long clients come, how many a second, and what happens."""
+    """The plan of a day: how long clients send requests, at which rate, and the events."""
 
     seconds: float
     rate: float
@@ -44,7 +44,7 @@
     seed: int = 1
     beat_ms: float = 500
     fleet: Mapping[str, tuple[str, ...]] = SERVICES  # stages of each service's backends
-    own_tokens: tuple[int, int] = OWN_TOKENS  # fewest and most of each prompt's own part
+    own_tokens: tuple[int, int] = OWN_TOKENS  # minimum and maximum size of each prompt's unique part
     shape: FleetShape = FleetShape()
     options: RunOptions = RunOptions()
 
@@ -90,7 +90,7 @@
     (Step(1.5, "kill-primary", 1.0), Step(5.0, "kill-primary", 1.0)),
     options=RunOptions(tallies=TallyLoad()),
 )
-"""Adds to tallies and readings of them while controllers come and go."""
+"""Adds to tallies and readings of them while primaries are killed and restarted."""
 
 COLD = DayPlan(
     14.0,
@@ -103,7 +103,7 @@
     ),
     options=RunOptions(warm_up=WarmUp()),
 )
-"""Backends that come back cold, or start cold, under a load that one of them alone would not bear then."""
+"""Backends that return or start cold, under a load that one of them could not handle alone while cold."""
 
 EVACUATION = DayPlan(
     16.0,
@@ -112,14 +112,14 @@
     shape=FleetShape(3, 3, 1, zones=3, zone_tolerance=1),
     options=RunOptions(warm_up=WarmUp()),
 )
-"""A zone that is emptied and taken back, its backends cold; the primary is killed in between."""
+"""An evacuation of a zone whose backends are cold at its end; the primary is killed during it."""
 
 DAYS = {"demo": DEMO, "tallies": TALLIES, "cold": COLD, "evacuation": EVACUATION}
-"""By the names of the command line."""
+"""The days by their names on the command line."""
 
 
 class Day(LabRun):
-    """Plays one day and writes down what clients, backends and the operator see."""
+    """Plays one day, and records what clients, backends and the operator see."""
 
     def __init__(self, plan: DayPlan, progress: Callable[[str], None], folder: Path | None) -> None:
         super().__init__(
@@ -128,27 +128,27 @@
         self.plan = plan
 
     async def _play(self) -> None:
-        enough = asyncio.Event()
+        stop = asyncio.Event()
         load = self._spawn(self._clients.load(self.plan.rate, self.plan.seconds))
-        steps = self._spawn(self._step_all())
-        calls = self._spawn(self._call_on(enough))
+        steps = self._spawn(self._run_steps())
+        calls = self._spawn(self._run_applications(stop))
         await load
         await steps
-        enough.set()
+        stop.set()
         await calls
         await self._read_tallies()
         self.record.read_back = await self._operator.read_back(self.record.bounds.contact_ms / 1e3)
         self.record.ended = asyncio.get_running_loop().time()
         self._log_progress(f"read back revision {self.record.read_back.revision}")
 
-    async def _step_all(self) -> None:
+    async def _run_steps(self) -> None:
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as group:
             for step in self.plan.steps:
-                await asyncio.sleep(max(0.0, self._begin + step.at - loop.time()))
-                group.create_task(self._step(step))
+                await asyncio.sleep(max(0.0, self._begun_at + step.at - loop.time()))
+                group.create_task(self._run_step(step))
 
-    async def _step(self, step: Step) -> None:
+    async def _run_step(self, step: Step) -> None:
         match step.what:
             case "amend":
                 await self._amend()
@@ -161,13 +161,13 @@
             case "stop-proxy":
                 await self._stop_proxy("edge-2")
             case "drain" | "scale-in":
-                backend = self._one(step.stage)
+                backend = self._random_backend(step.stage)
                 self._log_progress(f"{backend.instance} drains")
                 backend.drain()
                 if step.what == "drain":
                     await self._add_backend(backend.service, backend.model.stage, backend.zone)
             case "crash" | "lose":
-                backend = self._one(step.stage)
+                backend = self._random_backend(step.stage)
                 self._log_progress(f"{backend.instance} crashes")
                 backend.stop()
                 if step.what == "crash":
@@ -176,24 +176,24 @@
             case "evacuate":
                 await self._evacuations.evacuate(step.zone, step.for_s, self._backends)
             case "cold":
-                backend = self._one(step.stage)
+                backend = self._random_backend(step.stage)
                 self._log_progress(f"{backend.instance} turns cold")
                 backend.turn_cold()
             case "cold-return":
-                backend = self._one(step.stage)
+                backend = self._random_backend(step.stage)
                 self._log_progress(f"{backend.instance} loses its power for {step.for_s:g} s")
                 backend.lose_power()
                 await asyncio.sleep(step.for_s)
                 backend.regain_power()
             case fault:
-                backend = self._one(step.stage)
+                backend = self._random_backend(step.stage)
                 self._log_progress(f"{backend.instance}: {fault} for {step.for_s:g} s")
                 backend.fault(fault)
                 await asyncio.sleep(step.for_s)
                 backend.fault(fault, False)
 
-    def _one(self, stage: str) -> Backend:
-        """A healthy backend of the larger service."""
+    def _random_backend(self, stage: str) -> Backend:
+        """Return a random healthy backend of a stage, of the larger service."""
         return self._random.choice(
             [
                 backend
@@ -212,14 +212,14 @@
         if not name:
             self._log_progress("no primary to kill")
             return
-        process, begin = self._fleet.controllers[name], loop.time()
+        process, killed_at = self._fleet.controllers[name], loop.time()
         self._log_progress(f"{name}, the primary, is killed")
         index = len(self.record.troubles)
-        self.record.troubles.append(Trouble("core", begin, float("inf"), f"{name} killed"))
+        self.record.troubles.append(Trouble("core", killed_at, float("inf"), f"{name} killed"))
         await process.kill()
         await asyncio.sleep(down_s)
         await self._fleet.start(process)
-        self.record.troubles[index] = Trouble("core", begin, loop.time(), f"{name} killed")
+        self.record.troubles[index] = Trouble("core", killed_at, loop.time(), f"{name} killed")
         self._log_progress(f"{name} is started again")
 
     async def _stop_proxy(self, name: str) -> None:
@@ -230,7 +230,7 @@
         self.record.troubles.append(Trouble(name, begin, float("inf"), "SIGTERM", True))
         if not await process.stop(self.record.bounds.grace_s):
             self.record.exits.append((f"{name} did not end in time", -9))
-        await asyncio.sleep(RESTART_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         self._platform.proxies[name].life += 1
         await self._fleet.start(process)
         self.record.troubles[index] = Trouble(name, begin, loop.time(), "SIGTERM", True)
@@ -238,8 +238,8 @@
 
 
 def play(plan: DayPlan, progress: Callable[[str], None] = lambda text: None, folder: Path | None = None) -> DayRecord:
-    """Play a day; settings, logs and disks are left in the folder, if one is named. SIGTERM ends it as Ctrl-C does:
-    the processes are ended first."""
+    """Play a day and return its record. A given folder keeps settings, logs and disks. SIGTERM ends the day as Ctrl-C
+    does, after ending the processes."""
 
     async def run() -> DayRecord:
         playing = asyncio.ensure_future(Day(plan, progress, folder).play())
--- a/cranebank/fleetlab/fleet.py
+++ b/cranebank/fleetlab/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a laboratory run: real controllers and proxies, each on a loopback address of its own."""
+"""The processes of a laboratory run: real controllers and proxies, each on its own loopback address."""
 
 from __future__ import annotations
 
@@ -19,48 +19,49 @@
 
 from cranebank.fleetlab.records import Bounds
 
-ROOT = Path(__file__).parents[2]
-FRONT, READY, CONTROL, LINKS, BACKEND, CLAIM = 8263, 8268, 8262, 7300, 8080, 8259
-METRICS = LINKS + 1
-PORTS = (LINKS, LINKS + 15)
-ZONE = "here"
-KILLED_S = 5.0  # for the kernel to clear away a process that was killed
-FIRST_CONTROLLER, FIRST_APPLICATION, FIRST_PROXY, FIRST_BACKEND = 11, 51, 61, 101  # last part of the addresses
-INHERITED = ("PATH", "HOME", "LANG")
+PROJECT_ROOT = Path(__file__).parents[2]
+FRONT_PORT, READY_PORT, CONTROL_PORT, LINK_PORT, BACKEND_PORT, CLAIM_PORT = 8263, 8268, 8262, 7300, 8080, 8259
+METRICS_PORT = LINK_PORT + 1
+LINK_PORT_RANGE = (LINK_PORT, LINK_PORT + 15)
+DEFAULT_ZONE = "here"
+KILL_TIMEOUT_S = 5.0  # longest wait for the kernel to remove a killed process
+# Added to the number of a machine, the offset gives the last part of its address.
+CONTROLLER_HOST_OFFSET, APPLICATION_HOST_OFFSET, PROXY_HOST_OFFSET, BACKEND_HOST_OFFSET = 11, 51, 61, 101
+INHERITED_VARIABLES = ("PATH", "HOME", "LANG")
 
 
 class StartError(RuntimeError):
-    """The system did not come up; says who."""
+    """Raised when the system did not start; the message names the processes that are not ready."""
 
 
 class FleetShape(msgspec.Struct, frozen=True):
-    """How many processes there are, and how many controllers may be lost."""
+    """The number of processes and zones, and how many of them may be lost."""
 
     controllers: int = 3
     proxies: int = 3
     tolerance: int = 1
     zones: int = 1
-    zone_tolerance: int = 0  # zones that may be lost at once
+    zone_tolerance: int = 0  # zones that may be lost at the same time
 
     @property
     def zone_names(self) -> tuple[str, ...]:
-        """Its zones."""
-        return (ZONE,) if self.zones == 1 else tuple(f"zone-{number}" for number in range(1, self.zones + 1))
+        """The names of the zones."""
+        return (DEFAULT_ZONE,) if self.zones == 1 else tuple(f"zone-{number}" for number in range(1, self.zones + 1))
 
     def zone_of(self, number: int) -> str:
-        """The zone of the n-th controller, proxy or backend: they take turns."""
+        """Return the zone of the n-th controller, proxy or backend, which are assigned to the zones in turn."""
         return self.zone_names[(number - 1) % self.zones]
 
 
 class Programs(msgspec.Struct, frozen=True):
-    """How the programs are started: a module that takes a role, and variables beside the usual ones."""
+    """How programs are started: a module that takes a role as argument, and additional environment variables."""
 
     module: str = "cranebank.programs"
     variables: dict[str, str] = {}
 
 
 class Process:
-    """One program of the system on an address of its own."""
+    """One program of the system on its own address."""
 
     def __init__(
         self, name: str, role: str, ip: str, folder: Path, settings: dict[str, Any], programs: Programs
@@ -71,17 +72,17 @@
         self.log = folder / f"{name}.log"
         self._programs = programs
         self.process: asyncio.subprocess.Process | None = None
-        self.wanted = False  # it should run: an end is one by itself
+        self.should_run = False  # while set, an end of the process is unexpected
         self.started_at = 0.0
-        self.life = 0  # rises with each start
+        self.life = 0  # incremented by each start
 
     async def start(self, is_first_start: bool) -> None:
-        """Write its settings and start it. Its former process must have ended."""
+        """Write the settings and start the process. An earlier process must have ended."""
         if self.is_running:
-            raise RuntimeError(f"{self.name} is started though it runs")
+            raise RuntimeError(f"{self.name} is already running")
         self._file.write_text(yaml.safe_dump(self.settings | {"is_first_start": is_first_start}), encoding="utf-8")
-        inherited = {key: os.environ[key] for key in INHERITED if key in os.environ}
-        own = {"CRANEBANK_NODE_FILE": str(self._file), "PYTHONPATH": str(ROOT)}
+        inherited = {key: os.environ[key] for key in INHERITED_VARIABLES if key in os.environ}
+        own_variables = {"CRANEBANK_NODE_FILE": str(self._file), "PYTHONPATH": str(PROJECT_ROOT)}
         self.started_at = asyncio.get_running_loop().time()
         self.life += 1
         with self.log.open("ab") as log:
@@ -90,65 +91,65 @@
                 "-m",
                 self._programs.module,
                 self.role,
-                cwd=ROOT,
+                cwd=PROJECT_ROOT,
                 stdout=log,
                 stderr=log,
-                env=inherited | self._programs.variables | own,
+                env=inherited | self._programs.variables | own_variables,
             )
-        self.wanted = True  # not before: the former process has ended
+        self.should_run = True  # set only now, as the earlier process has ended
 
     @property
     def zone(self) -> str:
-        """Where it stands."""
+        """The zone of the process."""
         return str(self.settings["zone"])
 
     @property
     def is_running(self) -> bool:
-        """Whether the process is there, though it may stand still."""
+        """Whether the process exists; it may be paused."""
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal that leaves it running."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal that does not end the process."""
         if self.process is not None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
-    def end(self, number: signal.Signals) -> None:
-        """Send a signal that ends it; it needn't run on."""
-        self.wanted = False
-        self.send(number)
+    def terminate(self, signal_number: signal.Signals) -> None:
+        """Send a signal that ends the process, whose end is expected from now on."""
+        self.should_run = False
+        self.send(signal_number)
 
     async def kill(self) -> None:
-        """SIGKILL, and wait until it is over."""
-        self.end(signal.SIGKILL)
-        await self.ended(KILLED_S)
+        """Send SIGKILL, and wait for the process to end."""
+        self.terminate(signal.SIGKILL)
+        await self.wait_ended(KILL_TIMEOUT_S)
 
     async def stop(self, seconds: float) -> bool:
-        """SIGTERM, and SIGKILL if it has not ended by then; whether it ended by itself."""
-        self.end(signal.SIGTERM)
-        return await self.ended(seconds)
+        """Send SIGTERM, and SIGKILL after some seconds. Return whether the process ended without SIGKILL."""
+        self.terminate(signal.SIGTERM)
+        return await self.wait_ended(seconds)
 
-    async def ended(self, seconds: float) -> bool:
-        """Wait for its end, no longer than this: then it is killed."""
+    async def wait_ended(self, seconds: float) -> bool:
+        """Wait for the process to end, and kill it after some seconds. Return whether it ended in time."""
         assert self.process is not None
         try:
             async with asyncio.timeout(seconds):
                 await self.process.wait()
         except TimeoutError:
-            self.end(signal.SIGKILL)
+            self.terminate(signal.SIGKILL)
             await self.process.wait()
             return False
         return True
 
     def clear_disk(self) -> None:
-        """Empty its data folder."""
+        """Empty the data folder."""
         data = Path(self.settings["data_dir"])
         shutil.rmtree(data)
         data.mkdir()
 
 
 class Fleet:
-    """All processes of a run, and their settings."""
+    """All processes of a run and their settings."""
 
     def __init__(
         self,
@@ -159,76 +160,76 @@
         bounds: Bounds,
         programs: Programs,
     ) -> None:
-        """``net``: the first three parts of all addresses."""
+        """``net`` is the first three parts of all addresses."""
         self.shape, self.net = shape, net
         self._folder, self._beat_ms, self._bounds, self._programs = folder, beat_ms, bounds, programs
-        self._numbers = itertools.count(1)
+        self._controller_numbers = itertools.count(1)
         self.controllers: dict[str, Process] = {}
         self.proxies: dict[str, Process] = {}
-        self.former: list[Process] = []  # taken away for good
+        self.removed: list[Process] = []  # controllers removed for good
         for _ in range(shape.controllers):
             self.add_controller()
         for number in range(1, shape.proxies + 1):
             self._add_proxy(number)
-        self.listed_controllers: list[str] = []  # addresses on callers' lists, which lag
+        self.listed_controllers: list[str] = []  # the addresses known to callers, updated with a delay
         self.list_controllers()
 
     @property
     def processes(self) -> list[Process]:
-        """Controllers and proxies."""
+        """All controllers and proxies."""
         return [*self.controllers.values(), *self.proxies.values()]
 
     @property
     def control_addresses(self) -> list[str]:
-        """Where the controllers serve control."""
-        return [f"{process.ip}:{CONTROL}" for process in self.controllers.values()]
+        """The control addresses of the controllers."""
+        return [f"{process.ip}:{CONTROL_PORT}" for process in self.controllers.values()]
 
     def list_controllers(self) -> None:
-        """Bring callers' lists up to date."""
+        """Update the callers' lists of controllers."""
         self.listed_controllers = self.control_addresses
 
     def listed_nearest(self, zone: str, random: Random) -> list[Process]:
-        """The controllers on callers' lists, those of this zone first, in a random order otherwise."""
-        known = {f"{process.ip}:{CONTROL}": process for process in [*self.former, *self.controllers.values()]}
+        """Return the controllers on callers' lists in random order, those of this zone first."""
+        known = {f"{process.ip}:{CONTROL_PORT}": process for process in [*self.removed, *self.controllers.values()]}
         listed = [known[address] for address in self.listed_controllers]
         random.shuffle(listed)
         return sorted(listed, key=lambda process: process.zone != zone)
 
     def backend_address(self, number: int) -> str:
-        """The address of the n-th backend of the run."""
-        return f"{self.net}.{FIRST_BACKEND + number}:{BACKEND}"
+        """Return the address of the n-th backend of the run."""
+        return f"{self.net}.{BACKEND_HOST_OFFSET + number}:{BACKEND_PORT}"
 
     def application_ip(self, zone: str) -> str:
-        """Where the applications of a zone are."""
-        return f"{self.net}.{FIRST_APPLICATION + self.shape.zone_names.index(zone)}"
+        """Return the IP of the applications of a zone."""
+        return f"{self.net}.{APPLICATION_HOST_OFFSET + self.shape.zone_names.index(zone)}"
 
     def add_controller(self, zone: str = "") -> Process:
-        """A controller at a new address, with an empty disk, in this zone or the next one's turn; not started yet."""
-        number = next(self._numbers)
-        name, ip = f"control-{number}", f"{self.net}.{FIRST_CONTROLLER + number}"
+        """Add a controller at a new address with an empty disk, in this zone or the next in turn. It is not started."""
+        number = next(self._controller_numbers)
+        name, ip = f"control-{number}", f"{self.net}.{CONTROLLER_HOST_OFFSET + number}"
         data = self._folder / f"disk-{number}"
         data.mkdir(exist_ok=True)
         zone = zone or self.shape.zone_of(number)
-        settings = self._settings(name, "control", ip, zone, {"control_addr": f"{ip}:{CONTROL}"}, str(data))
+        settings = self._settings(name, "control", ip, zone, {"control_addr": f"{ip}:{CONTROL_PORT}"}, str(data))
         process = Process(name, "control", ip, self._folder, settings, self._programs)
         self.controllers[name] = process
         return process
 
     def remove_controller(self, name: str) -> None:
-        """It was taken away for good; settings that are written later don't name it."""
-        self.former.append(self.controllers.pop(name))
+        """Remove a controller for good; settings written later don't name it."""
+        self.removed.append(self.controllers.pop(name))
 
     async def start(self, process: Process, is_first_start: bool = False) -> None:
-        """Start a process with the settings of now."""
+        """Start a process with the current seed addresses."""
         process.settings["seed_addrs"] = self.control_addresses[:3]
         await process.start(is_first_start)
 
     async def start_all(self) -> None:
-        """The first start of all."""
+        """Start all processes for the first time."""
         await asyncio.gather(*(self.start(process, True) for process in self.processes))
 
     async def stop_all(self, seconds: float) -> list[Process]:
-        """SIGTERM to all that run, and SIGKILL after this time; those that had to be killed."""
+        """Send SIGTERM to all running processes, and SIGKILL after some seconds. Return those that had to be killed."""
         running = [process for process in self.processes if process.is_running]
         for process in running:
             process.send(signal.SIGCONT)
@@ -236,8 +237,8 @@
         return [process for process, in_time in zip(running, ended, strict=True) if not in_time]
 
     def _add_proxy(self, number: int) -> None:
-        name, ip = f"edge-{number}", f"{self.net}.{FIRST_PROXY + number}"
-        binds = {"front": f"{ip}:{FRONT}", "ready_addr": f"{ip}:{READY}"}
+        name, ip = f"edge-{number}", f"{self.net}.{PROXY_HOST_OFFSET + number}"
+        binds = {"front": f"{ip}:{FRONT_PORT}", "ready_addr": f"{ip}:{READY_PORT}"}
         settings = self._settings(name, "edge", ip, self.shape.zone_of(number), binds, None)
         self.proxies[name] = Process(name, "edge", ip, self._folder, settings, self._programs)
 
@@ -251,10 +252,10 @@
             "serves": [role],
             "ip": ip,
             "zone": zone,
-            "region": ZONE,
-            "zones": dict.fromkeys(self.shape.zone_names, ZONE),
+            "region": DEFAULT_ZONE,
+            "zones": dict.fromkeys(self.shape.zone_names, DEFAULT_ZONE),
             "binds": binds,
-            "port_range": list(PORTS),
+            "port_range": list(LINK_PORT_RANGE),
             "seed_addrs": [],
             "data_dir": data_dir,
             "beat_ms": self._beat_ms,
@@ -265,15 +266,15 @@
         }
 
 
-def claim() -> tuple[str, socket.socket]:
-    """A network of loopback addresses (127.0.x) that no other run uses, held until the socket is closed."""
+def claim_network() -> tuple[str, socket.socket]:
+    """Return a network of loopback addresses (127.0.x) that is reserved for this run until the socket is closed."""
     for number in Random().sample(range(1, 255), 254):
-        held = socket.socket()
+        claim_socket = socket.socket()
         try:
-            held.bind((f"127.0.{number}.254", CLAIM))
-            held.listen(1)
+            claim_socket.bind((f"127.0.{number}.254", CLAIM_PORT))
+            claim_socket.listen(1)
         except OSError:
-            held.close()
+            claim_socket.close()
             continue
-        return f"127.0.{number}", held
+        return f"127.0.{number}", claim_socket
     raise StartError("no free network of loopback addresses")
--- a/cranebank/fleetlab/guarded_connection.py
+++ b/cranebank/fleetlab/guarded_connection.py
@@ -1,9 +1,9 @@
-"""A connection of a process under test that keeps to the laboratory's cuts: silence instead of resets.
+"""A connection of a process under test that applies the laboratory's cuts, with silence instead of resets.
 
-``GuardedConnection`` stands between the real transport and the program's protocol. While a direction is cut, bytes are
-held and delivered after it has healed, as TCP sends them again; the end of a connection isn't noticed by the other side
-either. Bytes that nobody acknowledges end a connection by the ``TCP_USER_TIMEOUT`` that the program has set, as they
-would on a real link.
+``GuardedConnection`` sits between the real transport and the program's protocol. While a direction is cut, bytes are
+held, and delivered after it has healed, as TCP would retransmit them. The end of a connection doesn't pass a cut
+either. Unacknowledged bytes end a connection after the ``TCP_USER_TIMEOUT`` that the program has set, as on a real
+link.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 
 from cranebank.fleetlab.network import NetworkView
 
-NO_LINGER = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets
+NO_LINGER = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close resets the connection
 
 
 class _State(Enum):
-    PENDING = "pending"  # accepted by the kernel while cut off: the handshake would not have come to its end
+    PENDING = "pending"  # accepted by the kernel during a cut, when a real handshake would not have completed
     OPEN = "open"
-    CLOSED = "closed"  # the program has ended it, or was told of its end
+    CLOSED = "closed"  # the program has closed it, or was notified of its end
 
 
 class _EndOfStream:
-    """The peer has closed its sending direction."""
+    """Marks that the peer has closed its sending direction."""
 
 
 class _Lost:
-    """The real connection is over."""
+    """Marks that the real connection has ended."""
 
     def __init__(self, error: Exception | None) -> None:
         self.error = error
 
 
 class GuardedConnection(asyncio.Protocol):
-    """What the real transport talks to; ``transport`` is what the program talks to."""
+    """The protocol of the real transport; ``transport`` is the transport that the program uses."""
 
     def __init__(self, protocol: asyncio.Protocol, view: NetworkView, dialled: bool) -> None:
         self.protocol = protocol
@@ -55,10 +55,10 @@
         self._is_paused = False
         self._closes_after_healing = False
 
-    # What the real transport tells.
+    # Callbacks of the real transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The kernel has a connection."""
+        """The real connection is established."""
         self._real = cast(asyncio.Transport, transport)
         address = transport.get_extra_info("peername")
         self.remote = str(address[0]) if address else ""
@@ -67,13 +67,13 @@
             self._open()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came."""
+        """Bytes were received."""
         if self._state is not _State.CLOSED:
             self._incoming.append(data)
             self._deliver()
 
     def eof_received(self) -> bool:
-        """The peer sends no more; the transport is kept until that is delivered."""
+        """The peer sends no more. The transport stays open until this is delivered to the program."""
         if self._state is _State.CLOSED:
             return False
         self._incoming.append(_EndOfStream())
@@ -81,19 +81,19 @@
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The real connection is over."""
+        """The real connection has ended."""
         self._real = None
         if self._state is not _State.OPEN:
             self._view.discard(self)
             return
         if exc is not None:
-            self._incoming.clear()  # bytes that were held up are lost where their sender resets
+            self._incoming.clear()  # a reset by the sender discards the held bytes
         self._incoming.append(_Lost(exc))
         self._deliver()
 
     def abandon(self) -> None:
-        """The dial was given up. Where the connection came up in the same turn, the loop has closed it and told nobody:
-        its socket is not touched any more, and the program hears nothing either."""
+        """Handle that the dial was cancelled. If the connection was established in the same loop iteration, the loop
+        has closed it without a callback: its socket must not be used any more, and the program is not notified."""
         self._real = None
         self._state = _State.CLOSED
         self._incoming.clear()
@@ -106,14 +106,14 @@
             self.protocol.pause_writing()
 
     def resume_writing(self) -> None:
-        """There is room again."""
+        """The real transport's buffer has room again."""
         if self._state is _State.OPEN:
             self.protocol.resume_writing()
 
-    # What the network tells.
+    # Callbacks of the network view.
 
     def network_changed(self) -> None:
-        """Paths were cut or healed, or time has passed."""
+        """Handle that paths were cut or healed, or that time has passed."""
         if self._view.is_connectable(self.remote):
             self._unacknowledged_since = None
             if self._state is _State.PENDING:
@@ -125,7 +125,7 @@
             self._time_out()
 
     def reset(self) -> None:
-        """End now with a reset that both sides notice."""
+        """Reset the connection at once, so that both sides notice."""
         if self._real is None:
             return
         sock = self._real.get_extra_info("socket")
@@ -133,10 +133,10 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self._real.abort()
 
-    # What the program does.
+    # Calls of the program.
 
     def write(self, data: bytes) -> None:
-        """Send, or hold what can't get out."""
+        """Send bytes, or hold them while the path is cut."""
         if self._state is _State.CLOSED:
             return
         if not self._view.is_connectable(self.remote) and self._unacknowledged_since is None:
@@ -147,7 +147,7 @@
             self._real.write(data)
 
     def close(self, is_abort: bool) -> None:
-        """End the connection; the peer notices when the path there is open."""
+        """Close or abort the connection. The peer notices once the path to it is open."""
         if self._state is _State.CLOSED:
             return
         if is_abort:
@@ -159,7 +159,7 @@
             (self._real.abort if is_abort else self._real.close)()
 
     def pause(self, paused: bool) -> None:
-        """The program reads no more for now, or reads on."""
+        """Pause or resume reading for the program."""
         self._is_paused = paused
         if self._real is not None:
             (self._real.pause_reading if paused else self._real.resume_reading)()
@@ -168,27 +168,27 @@
 
     @property
     def real(self) -> asyncio.Transport | None:
-        """The real transport, while it is there."""
+        """The real transport, or None after its connection has ended."""
         return self._real
 
     @property
     def is_closed(self) -> bool:
-        """Whether the program has ended it, or was told of its end."""
+        """Whether the program has closed the connection or was notified of its end."""
         return self._state is _State.CLOSED
 
     @property
     def held(self) -> int:
-        """Bytes that wait to get out."""
+        """Number of bytes held by a cut."""
         return len(self._outgoing)
 
-    # Inside.
+    # Internals.
 
     def _open(self) -> None:
         self._state = _State.OPEN
         self.protocol.connection_made(self.transport)
 
     def _deliver(self) -> None:
-        """Hand on what came, for as long as it may come."""
+        """Deliver received events to the program, unless the path is cut or reading is paused."""
         while self._incoming and self._state is _State.OPEN:
             if self._view.is_cut_from(self.remote) or self._is_paused:
                 return
@@ -212,7 +212,7 @@
             self._real.close()
 
     def _time_out(self) -> None:
-        """End it where bytes were not acknowledged for longer than the program waits."""
+        """End the connection if bytes were unacknowledged for longer than the program's TCP_USER_TIMEOUT."""
         if self._unacknowledged_since is None or self._real is None:
             return
         sock = self._real.get_extra_info("socket")
@@ -224,88 +224,88 @@
             self._finish(TimeoutError(errno.ETIMEDOUT, "bytes were not acknowledged"))
 
     def _finish(self, error: Exception | None, at_once: bool = False) -> None:
-        """The program's side is over."""
-        told = self._state is not _State.PENDING
+        """End the program's side of the connection."""
+        was_open = self._state is not _State.PENDING
         self._state = _State.CLOSED
         self._incoming.clear()
         if self._real is None:
             self._view.discard(self)
         if at_once:
             self.protocol.connection_lost(error)
-        elif told:
+        elif was_open:
             asyncio.get_running_loop().call_soon(self.protocol.connection_lost, error)
 
 
 class GuardedTransport(asyncio.Transport):
-    """The transport that the program sees."""
+    """The transport that the program uses."""
 
     def __init__(self, connection: GuardedConnection) -> None:
         super().__init__()
         self._connection = connection
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send."""
+        """Send bytes."""
         self._connection.write(bytes(data))
 
     def writelines(self, list_of_data: Iterable[bytes | bytearray | memoryview]) -> None:
-        """Send all."""
+        """Send all chunks."""
         self.write(b"".join(list_of_data))
 
     def close(self) -> None:
-        """End it once everything is sent."""
+        """Close the connection once everything is sent."""
         self._connection.close(is_abort=False)
 
     def abort(self) -> None:
-        """End it now."""
+        """Abort the connection."""
         self._connection.close(is_abort=True)
 
     def is_closing(self) -> bool:
-        """Whether it is over or about to be."""
+        """Return whether the connection is closed or closing."""
         real = self._connection.real
         return self._connection.is_closed or (real is not None and real.is_closing())
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Of the real transport."""
+        """Return extra information of the real transport."""
         real = self._connection.real
         return default if real is None else real.get_extra_info(name, default)
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the program has written and the kernel has not taken."""
+        """Return the number of bytes written by the program and not yet accepted by the kernel."""
         real = self._connection.real
         return self._connection.held + (0 if real is None else real.get_write_buffer_size())
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Of the real transport; what a cut holds up is not limited."""
+        """Set the limits of the real transport. Bytes held by a cut are not limited."""
         if self._connection.real is not None:
             self._connection.real.set_write_buffer_limits(high, low)
 
     def can_write_eof(self) -> bool:
-        """As TCP can."""
+        """Return True, as for TCP."""
         return True
 
     def write_eof(self) -> None:
-        """Send no more; while the path is cut the peer does not learn of it before the connection ends."""
+        """Close the sending direction. While a cut holds bytes, the peer notices only the end of the connection."""
         real = self._connection.real
         if real is not None and not self._connection.held:
             real.write_eof()
 
     def pause_reading(self) -> None:
-        """Read no more for now."""
+        """Pause reading."""
         self._connection.pause(True)
 
     def resume_reading(self) -> None:
-        """Read on."""
+        """Resume reading."""
         self._connection.pause(False)
 
     def is_reading(self) -> bool:
-        """Whether the real transport reads."""
+        """Return whether the real transport reads."""
         real = self._connection.real
         return real is not None and real.is_reading()
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Hand the connection on to another protocol."""
+        """Pass the connection to another protocol."""
         self._connection.protocol = cast(asyncio.Protocol, protocol)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """The program's protocol."""
+        """Return the program's protocol."""
         return self._connection.protocol
--- a/cranebank/fleetlab/lab_run.py
+++ b/cranebank/fleetlab/lab_run.py
@@ -1,4 +1,4 @@
-"""What all plays of the laboratory share: the fleet, backends, clients and operator, started, watched and ended."""
+"""The base of all laboratory runs: starts, watches and ends the fleet, backends, clients and operator."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from cranebank.fleetlab.caller import Caller
 from cranebank.fleetlab.clients import OWN_TOKENS, Clients, Ingress, Platform
 from cranebank.fleetlab.evacuations import EvacuationOperator
-from cranebank.fleetlab.fleet import FRONT, READY, Fleet, FleetShape, Programs, StartError, claim
+from cranebank.fleetlab.fleet import FRONT_PORT, READY_PORT, Fleet, FleetShape, Programs, StartError, claim_network
 from cranebank.fleetlab.model import EngineSpec
 from cranebank.fleetlab.operator import Operator, first_configuration
 from cranebank.fleetlab.records import Bounds, DayRecord, Trouble
@@ -29,22 +29,22 @@
 from cranebank.fleetlab.warmth import Warmth
 from cranebank.transport.http_client import ask_once
 
-START_S = 10.0  # for the whole fleet to be ready
-KEEP_S = 0.2  # between looks for processes that ended by themselves
-SAMPLE_S = 0.5  # between questions for the primary
-PROBES, PROBE_EVERY_S, PROBE_AFTER_S = 3, 1.2, 0.1  # of the routes of a change, at each proxy
+START_TIMEOUT_S = 10.0  # until the whole fleet must be ready
+RESTART_INTERVAL_S = 0.2  # between checks for processes that ended unexpectedly
+PRIMARY_SAMPLE_INTERVAL_S = 0.5
+PROBE_ROUNDS, PROBE_INTERVAL_S, PROBE_DELAY_S = 3, 1.2, 0.1  # of the routes of a change, at each proxy
 SPEC = EngineSpec(link_mbps=2_000_000.0)
 SERVICES: Mapping[str, tuple[str, ...]] = MappingProxyType(
     {"g1": ("prefill", "prefill", "decode", "decode", "decode"), "g2": ("prefill", "decode", "decode")}
 )
-"""Stages of each service's backends, where a plan names no others."""
+"""The default stages of each service's backends."""
 BAD_LINE = re.compile(
     r" CRITICAL |unhandled: |Traceback \(most recent call last\)|InvariantBroken|invariant violated: "
 )
 
 
 class LabRun:
-    """One play. ``_play`` is what happens in it; the record is what clients, backends and the operator saw."""
+    """One run. Subclasses implement ``_play``. The record holds what clients, backends and the operator saw."""
 
     def __init__(
         self,
@@ -57,8 +57,8 @@
         own_tokens: tuple[int, int] = OWN_TOKENS,
         options: RunOptions = RunOptions(),  # noqa: B008
     ) -> None:
-        """``folder``: where settings, logs and disks are left; without one they are removed. ``own_tokens``: fewest and
-        most tokens of each prompt's own part."""
+        """``folder`` keeps settings, logs and disks; without one they are removed. ``own_tokens`` are the minimum and
+        maximum number of tokens of each prompt's unique part."""
         self.record = DayRecord(Bounds())
         self._seed, self._beat_ms, self._shape, self._services = seed, beat_ms, shape, services
         self._folder, self._own_tokens, self._options = folder, own_tokens, options
@@ -66,17 +66,17 @@
         self._random = Random(seed)
         self._backends: list[Backend] = []
         self._handles: dict[str, str] = {}
-        self._numbers = itertools.count(1)
+        self._backend_numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
-        self._begin = 0.0
+        self._begun_at = 0.0
 
     async def play(self) -> DayRecord:
-        """Play it; everything that was started has ended when this returns."""
-        net, held = claim()
-        with held, tempfile.TemporaryDirectory(prefix="cranebank-run-") as temporary:
+        """Play the run. All processes and tasks have ended when this returns."""
+        net, claim_socket = claim_network()
+        with claim_socket, tempfile.TemporaryDirectory(prefix="cranebank-run-") as temporary:
             folder = self._folder or Path(temporary)
             self._fleet = Fleet(self._shape, net, folder, self._beat_ms, self.record.bounds, self._programs(folder))
-            self._prepare()
+            self._create_actors()
             try:
                 await self._start()
                 await self._play()
@@ -87,27 +87,27 @@
         return self.record
 
     def _programs(self, folder: Path) -> Programs:
-        """How this run starts the programs."""
+        """Return how this run starts the programs."""
         return Programs()
 
     def _operator_caller(self) -> Caller | None:
-        """Who makes the operator's calls; none: over a network that loses nothing."""
+        """Return the operator's caller, or None for a network that loses nothing."""
         return None
 
     def _backend_caller(self, address: str) -> Caller | None:
-        """Who makes the calls of the backend at this address."""
+        """Return the caller of the backend at this address, or None as above."""
         return None
 
     def _application_caller(self, ip: str) -> Caller | None:
-        """Who makes the calls of the applications at this IP."""
+        """Return the caller of the applications at this IP, or None as above."""
         return None
 
     async def _play(self) -> None:
-        """From the first ready proxy to the end."""
+        """Play the run once all proxies are ready."""
         raise NotImplementedError
 
     def _log_progress(self, text: str) -> None:
-        at = asyncio.get_running_loop().time() - self._begin if self._begin else 0.0
+        at = asyncio.get_running_loop().time() - self._begun_at if self._begun_at else 0.0
         self._progress(f"{at:5.1f} s  {text}")
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -117,10 +117,10 @@
 
     # Start and end.
 
-    def _prepare(self) -> None:
+    def _create_actors(self) -> None:
         proxies = self._fleet.proxies.values()
         self._platform = Platform(
-            Ingress(proxy.name, f"{proxy.ip}:{FRONT}", f"{proxy.ip}:{READY}") for proxy in proxies
+            Ingress(proxy.name, f"{proxy.ip}:{FRONT_PORT}", f"{proxy.ip}:{READY_PORT}") for proxy in proxies
         )
         self._clients = Clients(self._platform, self.record, SPEC.stride, self._random, self._own_tokens)
         caller = self._operator_caller()
@@ -141,9 +141,9 @@
             self._log_progress,
         )
 
-        self._applications = self._made_applications()
+        self._applications = self._create_applications()
 
-    def _made_applications(self) -> Applications | None:
+    def _create_applications(self) -> Applications | None:
         load = self._options.tallies
         if load is None:
             return None
@@ -151,13 +151,13 @@
         random = Random(f"{self._seed} applications")
         return Applications(load, self._fleet, self.record.tally_calls, random, callers)
 
-    async def _call_on(self, enough: asyncio.Event) -> None:
-        """What the applications call, where there are any."""
+    async def _run_applications(self, stop: asyncio.Event) -> None:
+        """Run the applications, if there are any, until ``stop`` is set."""
         if self._applications is not None:
-            await self._applications.run_until(enough)
+            await self._applications.run_until(stop)
 
     async def _read_tallies(self) -> None:
-        """The last readings of all tallies, merge_ms after everything else is over."""
+        """Read all tallies for the last time, merge_ms after everything else has ended."""
         if self._applications is None:
             return
         await asyncio.sleep(self.record.bounds.merge_ms / 1e3)
@@ -175,10 +175,10 @@
         proxies = list(self._platform.proxies.values())
         while not all(await asyncio.gather(*(self._platform.check_ready(proxy) for proxy in proxies))):
             missing = [proxy.name for proxy in proxies if proxy.misses]
-            if loop.time() > begun + START_S:
-                raise StartError(f"not ready after {START_S:g} s: {', '.join(missing)}")
+            if loop.time() > begun + START_TIMEOUT_S:
+                raise StartError(f"not ready after {START_TIMEOUT_S:g} s: {', '.join(missing)}")
             await asyncio.sleep(0.05)
-        self.record.begun = self._begin = loop.time()
+        self.record.begun = self._begun_at = loop.time()
         self.record.troubles.append(Trouble("core", begun, begun, "start"))
         shape = self._shape
         self._log_progress(
@@ -186,8 +186,8 @@
             f"are up on {self._fleet.net}.0"
         )
         self._spawn(self._platform.watch())
-        self._spawn(self._sample())
-        self._spawn(self._keep())
+        self._spawn(self._sample_primary())
+        self._spawn(self._restart_ended())
 
     async def _end(self) -> None:
         for task in self._tasks:
@@ -202,16 +202,16 @@
             raise ExceptionGroup("tasks of the laboratory failed", errors)
 
     def _bad_log_lines(self) -> list[str]:
-        """Lines that no process should write, whatever happens to it."""
+        """Return the log lines that no process may write under any fault."""
         found = []
-        for process in [*self._fleet.processes, *self._fleet.former]:
+        for process in [*self._fleet.processes, *self._fleet.removed]:
             text = process.log.read_text(encoding="utf-8", errors="replace") if process.log.exists() else ""
             found += [f"{process.name}: {line}" for line in text.splitlines() if BAD_LINE.search(line)]
         return found
 
     async def _add_backend(self, service: str, stage: str, zone: str = "") -> Backend:
-        """Start one more backend, in this zone or, where none is named, in the next one's turn."""
-        number = next(self._numbers)
+        """Start one more backend, in this zone or the next in turn."""
+        number = next(self._backend_numbers)
         turn = number % self._shape.controllers
 
         def controllers() -> list[str]:
@@ -237,7 +237,7 @@
             self._backend_caller(self._fleet.backend_address(number)),
             warmth,
         )
-        await backend.start(is_cold=self._begin > 0)
+        await backend.start(is_cold=self._begun_at > 0)
         self._backends.append(backend)
         self.record.backend_zones[instance] = backend.zone
         return backend
@@ -245,7 +245,7 @@
     # While it runs.
 
     async def _amend(self) -> bool:
-        """A change, and probes of what it changed; whether it was acknowledged."""
+        """Send a change and probe the routes it changed. Return whether the change was acknowledged."""
         before = self._routes()
         if not await self._operator.amend():
             return False
@@ -253,13 +253,13 @@
         return True
 
     def _routes(self) -> set[str]:
-        """The names of the routes in force, as the operator knows."""
+        """Return the names of the routes in the operator's current configuration."""
         return {rule["path_prefix"].strip("/") for rule in self._operator.current["routes"]}
 
     async def _probe(self, names: set[str]) -> None:
-        """Ask every proxy directly on the routes that came and went, and on one that never was."""
-        await asyncio.sleep(PROBE_AFTER_S)
-        for _ in range(PROBES):
+        """Send requests directly to each ready proxy, on the changed routes and on one that never existed."""
+        await asyncio.sleep(PROBE_DELAY_S)
+        for _ in range(PROBE_ROUNDS):
             await asyncio.gather(
                 *(
                     self._clients.probe(proxy, name)
@@ -268,35 +268,35 @@
                     for name in [*sorted(names), "never"]
                 )
             )
-            await asyncio.sleep(PROBE_EVERY_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
-    async def _keep(self) -> None:
-        """Start again what ended by itself."""
+    async def _restart_ended(self) -> None:
+        """Restart processes that ended unexpectedly."""
         while True:
-            await asyncio.sleep(KEEP_S)
+            await asyncio.sleep(RESTART_INTERVAL_S)
             for process in self._fleet.processes:
-                if process.wanted and process.process is not None and process.process.returncode is not None:
-                    self._log_progress(f"{process.name} ended by itself with {process.process.returncode}")
+                if process.should_run and process.process is not None and process.process.returncode is not None:
+                    self._log_progress(f"{process.name} ended unexpectedly with {process.process.returncode}")
                     self.record.exits.append((process.name, process.process.returncode))
                     await self._fleet.start(process)
 
     async def _primary(self) -> str:
-        """Who says that it is primary."""
+        """Return the name of the controller that reports to be primary, or an empty string."""
         addresses = self._fleet.control_addresses
         found = await asyncio.gather(*(ask_once(at, "GET", "/api/System.Status", seconds=0.4) for at in addresses))
         for answer in found:
             if answer.status == 200 and answer.whole:
-                told = msgspec.json.decode(answer.body)
-                if told["is_primary"]:
-                    return str(told["node"])
+                status = msgspec.json.decode(answer.body)
+                if status["is_primary"]:
+                    return str(status["node"])
         return ""
 
-    async def _sample(self) -> None:
+    async def _sample_primary(self) -> None:
         loop = asyncio.get_running_loop()
         for turn in itertools.count():
             now = loop.time()
             self.record.primaries.append((now, await self._primary()))
             if turn % 4 == 0 and turn:
                 clients = self._clients
-                self._log_progress(f"{clients.asked} asked, {clients.served} served, {clients.failed} not")
-            await asyncio.sleep(max(0.05, SAMPLE_S - (loop.time() - now)))
+                self._log_progress(f"{clients.asked} requests sent, {clients.served} served, {clients.failed} failed")
+            await asyncio.sleep(max(0.05, PRIMARY_SAMPLE_INTERVAL_S - (loop.time() - now)))
--- a/cranebank/fleetlab/network.py
+++ b/cranebank/fleetlab/network.py
@@ -1,7 +1,7 @@
-"""Which network paths of a laboratory run are cut, told to all its processes by a file.
+"""The cut network paths of a laboratory run, passed to all its processes by a file.
 
-A path is directed: from one IP to another. The laboratory writes the file through ``LabNetwork``; each process under
-test reads it through ``NetworkView`` and keeps its own connections and datagrams to it (``launcher``).
+A path is directed, from one IP to another. The laboratory writes the file through ``LabNetwork``; each process under
+test reads it through ``NetworkView`` and applies the cuts to its connections and datagrams (``launcher``).
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 import msgspec
 
-POLL_S = 0.01  # how long a process may take to learn of a change
-RESETS_KEPT = 64
+POLL_INTERVAL_S = 0.01  # after which a process has noticed a change
+MAX_RESETS = 64
 
 
 class Path(NamedTuple):
-    """The way of bytes from one IP to another."""
+    """The path of bytes from one IP to another."""
 
     source: str
     target: str
 
 
 class Reset(msgspec.Struct, frozen=True, array_like=True):
-    """All connections between two IPs are reset, once; ``number`` rises with each reset."""
+    """One reset of all connections between two IPs; ``number`` increases with each reset."""
 
     number: int
     one: str
@@ -36,24 +36,24 @@
 
 
 class NetworkState(msgspec.Struct, frozen=True):
-    """What the file says."""
+    """The contents of the file."""
 
     cuts: tuple[Path, ...] = ()
     resets: tuple[Reset, ...] = ()
 
 
 def both_ways(near: Iterable[str], far: Iterable[str]) -> tuple[Path, ...]:
-    """The paths between two sets of IPs, there and back."""
+    """Return the paths between two sets of IPs in both directions."""
     return (*one_way(near, far := tuple(far)), *one_way(far, near))
 
 
 def one_way(sources: Iterable[str], targets: Iterable[str]) -> tuple[Path, ...]:
-    """The paths from each source to each target."""
+    """Return the paths from each source to each target."""
     return tuple(Path(*pair) for pair in itertools.product(sources, targets))
 
 
 class LabNetwork:
-    """The writing end: what is cut now. Cuts may overlap; a path is open again when the last of them has healed."""
+    """The writer of the file. Cuts may overlap; a path is open again when the last of its cuts has healed."""
 
     def __init__(self, file: FilePath) -> None:
         self.file = file
@@ -64,12 +64,12 @@
         self._write()
 
     def cut(self, paths: Iterable[Path]) -> None:
-        """Lose everything on these paths."""
+        """Cut these paths."""
         self._cuts.update(paths)
         self._write()
 
     def heal(self, paths: Iterable[Path]) -> None:
-        """Take back one ``cut`` of the same paths."""
+        """Undo one ``cut`` of the same paths."""
         self._cuts.subtract(paths)
         self._cuts = +self._cuts
         self._write()
@@ -77,87 +77,87 @@
     def reset(self, one: str, other: str) -> None:
         """Reset all connections between two IPs."""
         self._resets.append(Reset(next(self._numbers), one, other))
-        del self._resets[:-RESETS_KEPT]
+        del self._resets[:-MAX_RESETS]
         self._write()
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether bytes from one IP to the other are lost now."""
+        """Return whether the path from one IP to the other is cut."""
         return Path(source, target) in self._cuts
 
     async def until_connectable(self, one: str, other: str) -> None:
-        """Wait until a handshake can come to its end: it needs both directions."""
+        """Wait until a handshake can complete, which needs both directions."""
         while self.is_cut(one, other) or self.is_cut(other, one):
             await self._changed.wait()
 
     def _write(self) -> None:
         state = NetworkState(tuple(sorted(self._cuts)), tuple(self._resets))
-        fresh = self.file.with_suffix(".new")
-        fresh.write_bytes(msgspec.json.encode(state))
-        fresh.replace(self.file)  # readers see the whole old file or the whole new one
+        new_file = self.file.with_suffix(".new")
+        new_file.write_bytes(msgspec.json.encode(state))
+        new_file.replace(self.file)  # atomic: readers see either the old or the new file
         self._changed.set()
         self._changed = asyncio.Event()
 
 
 class GuardedEnd(Protocol):
-    """A connection of a process that keeps to the cuts."""
+    """A connection of a process that applies the cuts."""
 
     @property
     def remote(self) -> str:
         """The peer's IP."""
 
     def network_changed(self) -> None:
-        """Paths were cut or healed, or time has passed while some are cut."""
+        """Handle that paths were cut or healed, or that time has passed while some are cut."""
 
     def reset(self) -> None:
-        """End now with a reset."""
+        """Reset the connection at once."""
 
 
 class NetworkView:
-    """The reading end, in one process."""
+    """The reader of the file in one process."""
 
     def __init__(self, file: FilePath, own_ip: str) -> None:
         self.own_ip = own_ip
         self._file = file
         self._read_version = (0, 0)
         self._cuts: frozenset[Path] = frozenset()
-        self._ends: set[GuardedEnd] = set()
+        self._connections: set[GuardedEnd] = set()
         self._changed = asyncio.Event()
         state = self._read()
         self._cuts = frozenset(state.cuts)
         self._last_reset = max((reset.number for reset in state.resets), default=0)
 
     def is_cut_to(self, remote: str) -> bool:
-        """Whether bytes that are sent there are lost."""
+        """Return whether the path to a remote IP is cut."""
         return bool(self._cuts) and Path(self.own_ip, remote) in self._cuts
 
     def is_cut_from(self, remote: str) -> bool:
-        """Whether bytes that come from there are lost."""
+        """Return whether the path from a remote IP is cut."""
         return bool(self._cuts) and Path(remote, self.own_ip) in self._cuts
 
     def is_connectable(self, remote: str) -> bool:
-        """Whether a handshake can come to its end."""
+        """Return whether a handshake can complete."""
         return not self.is_cut_to(remote) and not self.is_cut_from(remote)
 
     async def until_connectable(self, remote: str) -> None:
-        """Wait until a handshake can come to its end."""
+        """Wait until a handshake can complete."""
         while not self.is_connectable(remote):
             await self._changed.wait()
 
     def add(self, end: GuardedEnd) -> None:
-        """Tell this connection of changes from now on."""
-        self._ends.add(end)
+        """Notify this connection of changes from now on."""
+        self._connections.add(end)
 
     def discard(self, end: GuardedEnd) -> None:
-        """The connection is over."""
-        self._ends.discard(end)
+        """Remove a connection that has ended."""
+        self._connections.discard(end)
 
     def poll_on(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Look at the file from now on, for as long as the loop runs."""
-        loop.call_later(POLL_S, self.poll_on, loop)
+        """Poll the file for as long as the loop runs."""
+        loop.call_later(POLL_INTERVAL_S, self.poll_on, loop)
         self.poll()
 
     def poll(self) -> None:
-        """Look at the file once; while paths are cut, connections look at the time as well."""
+        """Check the file once. While paths are cut, connections are notified in any case, to check their time-outs."""
         had_cuts = bool(self._cuts)
         state = self._read_if_changed()
         if state is not None:
@@ -165,7 +165,7 @@
             self._changed.set()
             self._changed = asyncio.Event()
         if had_cuts or self._cuts:
-            for end in tuple(self._ends):
+            for end in tuple(self._connections):
                 end.network_changed()
         if state is not None:
             self._reset_connections(state.resets)
@@ -178,19 +178,19 @@
             if self.own_ip not in {reset.one, reset.other}:
                 continue
             remote = reset.other if reset.one == self.own_ip else reset.one
-            for end in [end for end in self._ends if end.remote == remote]:
+            for end in [end for end in self._connections if end.remote == remote]:
                 end.reset()
 
     def _read_if_changed(self) -> NetworkState | None:
-        found = self._file.stat()
-        if (found.st_ino, found.st_mtime_ns) == self._read_version:
+        file_status = self._file.stat()
+        if (file_status.st_ino, file_status.st_mtime_ns) == self._read_version:
             return None
         return self._read()
 
     def _read(self) -> NetworkState:
         with self._file.open("rb") as opened:
-            found = FilePath(self._file).stat()
-            self._read_version = (found.st_ino, found.st_mtime_ns)
+            file_status = FilePath(self._file).stat()
+            self._read_version = (file_status.st_ino, file_status.st_mtime_ns)
             with contextlib.suppress(msgspec.DecodeError):
                 return msgspec.json.decode(opened.read(), type=NetworkState)
         return NetworkState()
--- a/cranebank/fleetlab/report.py
+++ b/cranebank/fleetlab/report.py
@@ -1,4 +1,4 @@
-"""What came of a system day: the rules and the routes as tables, and one page with plots."""
+"""The report of a system day: tables of the rules and routes, and one page with plots."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def rules_table(verdict: Verdict) -> Table:
-    """How much each rule was tried on, and whether it held."""
+    """Return a table with how often each rule was judged, and whether it was kept."""
     broken = verdict.broken()
     rows = [
         (f"{rule}: {RULES[rule]}", verdict.judged[rule], broken.get(rule, 0), OUTCOMES[rule in broken])
@@ -45,13 +45,13 @@
 
 
 def route_table(day: DayRecord) -> Table:
-    """What became of each route's requests."""
-    by: dict[str, list[Try]] = defaultdict(list)
+    """Return a table of the outcomes of each route's requests."""
+    by_route: dict[str, list[Try]] = defaultdict(list)
     for client_try in day.tries:
         if not client_try.is_probe:
-            by[_route(client_try)].append(client_try)
+            by_route[_route(client_try)].append(client_try)
     rows = []
-    for name, tries in sorted(by.items()):
+    for name, tries in sorted(by_route.items()):
         whole = [client_try for client_try in tries if served(client_try) and client_try.event_times]
         rows.append(
             (
@@ -69,19 +69,19 @@
 
 
 def _by_second(day: DayRecord, points: Sequence[tuple[float, float]]) -> dict[int, list[float]]:
-    found: dict[int, list[float]] = defaultdict(list)
+    grouped: dict[int, list[float]] = defaultdict(list)
     for at, value in points:
-        found[int(at - day.begun)].append(value)
-    return dict(sorted(found.items()))
+        grouped[int(at - day.begun)].append(value)
+    return dict(sorted(grouped.items()))
 
 
 def _first_tokens(day: DayRecord) -> Draw:
     def draw(axes: Axes) -> None:
-        by: dict[str, list[Try]] = defaultdict(list)
+        by_route: dict[str, list[Try]] = defaultdict(list)
         for client_try in day.tries:
             if client_try.event_times and not client_try.is_probe:
-                by[_route(client_try)].append(client_try)
-        for name, tries in sorted(by.items()):
+                by_route[_route(client_try)].append(client_try)
+        for name, tries in sorted(by_route.items()):
             axes.plot(
                 [client_try.sent - day.begun for client_try in tries],
                 [_first_event_ms(client_try) for client_try in tries],
@@ -123,8 +123,8 @@
         seconds = range(int(day.ended - day.begun) + 1)
         rows = []
         for points in kinds.values():
-            by = _by_second(day, points)
-            rows.append([sum(by.get(second, ())) for second in seconds])
+            by_second = _by_second(day, points)
+            rows.append([sum(by_second.get(second, ())) for second in seconds])
         axes.stackplot(list(seconds), np.array(rows), labels=list(kinds))
         axes.set_xlabel("seconds")
         axes.set_ylabel("prompt tokens a second")
@@ -134,14 +134,12 @@
 
 def _budget(day: DayRecord) -> Draw:
     def draw(axes: Axes) -> None:
-        found = list(Judge(day).repeated_arrivals())
-        for number, service in enumerate(sorted({further.service for further in found})):
-            series = [further for further in found if further.service == service]
-            at = [further.begin - day.begun for further in series]
-            axes.plot(at, [further.found for further in series], ".-", color=f"C{number}", label=f"{service}: further")
-            axes.plot(
-                at, [further.allowed for further in series], "--", color=f"C{number}", label=f"{service}: allowed"
-            )
+        windows = list(Judge(day).repeated_arrivals())
+        for number, service in enumerate(sorted({window.service for window in windows})):
+            series = [window for window in windows if window.service == service]
+            at = [window.begin - day.begun for window in series]
+            axes.plot(at, [window.found for window in series], ".-", color=f"C{number}", label=f"{service}: repeated")
+            axes.plot(at, [window.allowed for window in series], "--", color=f"C{number}", label=f"{service}: allowed")
         axes.set_ylim(bottom=0)
         axes.set_xlabel("seconds at which a window begins")
         axes.set_ylabel(f"arrivals in {day.bounds.retry_window_s:g} s")
@@ -171,8 +169,8 @@
         tries = [client_try for client_try in day.tries if not client_try.is_probe]
         seconds = range(int(day.ended - day.begun) + 1)
         for name, series in (("tries", tries), ("served", [client_try for client_try in tries if served(client_try)])):
-            by = _by_second(day, [(client_try.sent, 1.0) for client_try in series])
-            axes.plot(list(seconds), [len(by.get(second, ())) for second in seconds], label=name)
+            by_second = _by_second(day, [(client_try.sent, 1.0) for client_try in series])
+            axes.plot(list(seconds), [len(by_second.get(second, ())) for second in seconds], label=name)
         axes.set_ylim(bottom=0)
         axes.set_xlabel("seconds")
         axes.set_ylabel("a second")
@@ -181,7 +179,7 @@
 
 
 def day_page(day: DayRecord, verdict: Verdict) -> str:
-    """The page of one day."""
+    """Return the page of one day."""
     marks = [
         Mark(trouble.begin - day.begun, trouble.end - trouble.begin, trouble.what)
         for trouble in day.troubles
@@ -192,8 +190,8 @@
         ("Time to the first token", drawn(_first_tokens(day), marks)),
         ("Gaps between events", drawn(_gaps(day), marks)),
         ("Prompt tokens: kept, moved and read", drawn(_tokens(day), marks)),
-        ("Further arrivals against the budget", drawn(_budget(day))),
-        ("Who was primary", drawn(_primary(day), marks)),
+        ("Repeated arrivals against the budget", drawn(_budget(day))),
+        ("Primary controller", drawn(_primary(day), marks)),
         ("Tries", drawn(_tries_per_second(day), marks)),
     ]
     tries = [client_try for client_try in day.tries if not client_try.is_probe]
@@ -203,7 +201,7 @@
         f"{share(day, served):.4f} of them served; {len(day.arrivals)} arrivals at backends, "
         f"{kept / max(1, kept + read):.3f} of the prompt tokens were kept where they were needed.",
         *(f"Noted: {remark}." for remark in verdict.remarks),
-        *(f"{name} ended by itself with {code}." for name, code in day.exits),
+        *(f"{name} ended unexpectedly with {code}." for name, code in day.exits),
     ]
     return PAGE.render(
         title="cranebank: a day of the whole system",
