--- a/tests/mutants_liveness.py
+++ b/tests/mutants_liveness.py
@@ -1,4 +1,4 @@
-"""Planted faults of what is thought of backends whose heartbeats are missed."""
+"""Planted faults of the handling of backends with missed heartbeats."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 LIVENESS_MUTANTS = (
     Mutant(
         Point.LIVENESS,
-        "that a heartbeat was heard is told ahead of what it changed",
+        "changes by a heartbeat are not published before its receipt",
         "programs/registry_service.py",
         "self.publish()  # what a heartbeat changed",
         "pass  # what a heartbeat changed",
@@ -15,7 +15,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "one suspect makes each choice look at all ready backends",
+        "a single suspect makes every choice scan all ready backends",
         "dataplane/suspects.py",
         "if well >= FAIL_OPEN_SHARE * (well + suspects):",
         "if False:",
@@ -23,7 +23,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "lost backends are not used where most are lost",
+        "lost backends are not used when most backends are lost",
         "dataplane/suspects.py",
         "if not _are_enough(now, ready, len(unfailed)):",
         "if False:",
@@ -31,7 +31,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "lost backends are used beside many that are ready",
+        "lost backends are used although many backends are ready",
         "dataplane/suspects.py",
         "FAIL_OPEN_SHARE = 0.5",
         "FAIL_OPEN_SHARE = 1.0",
@@ -39,7 +39,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "ready backends that fail keep suspects out",
+        "failing ready backends prevent the use of suspects",
         "dataplane/suspects.py",
         "well += seen.away_until <= now",
         "well += 1",
@@ -47,7 +47,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend that fails calls is used like a ready one",
+        "a lost backend with failed calls is used like a ready one",
         "dataplane/suspects.py",
         "if not seen.has_failed]",
         "]",
@@ -55,7 +55,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an old answer vouches for a lost backend",
+        "an old answer counts as a sign of life of a lost backend",
         "dataplane/suspects.py",
         "if now - seen.answered_at <= ANSWERED_S]",
         "if seen.answered_at > 0.0]",
@@ -63,7 +63,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "an answer does not vouch for a lost backend",
+        "an answer does not count as a sign of life of a lost backend",
         "dataplane/suspects.py",
         "if now - seen.answered_at <= ANSWERED_S]",
         "if False]",
@@ -71,7 +71,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend is tried again before its back-off is over",
+        "a lost backend is retried before its back-off has ended",
         "dataplane/suspects.py",
         "and seen.away_until <= now",
         "",
@@ -79,7 +79,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend is tried for ever",
+        "a lost backend is tried without a time limit",
         "dataplane/suspects.py",
         "if now - seen.lost_at <= SUSPECT_S:",
         "if True:",
@@ -87,7 +87,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a lost backend whose address has passed on is tried",
+        "a lost backend is tried although its address belongs to another backend",
         "dataplane/candidates.py",
         'if before is not None and before is not seen and before.backend.phase == "lost":',
         "if False:",
@@ -95,7 +95,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "one that drains stays a suspect",
+        "a draining backend remains a suspect",
         "dataplane/candidates.py",
         "self._suspects.remove(place, seen.backend.id)",
         "pass",
@@ -103,7 +103,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "nobody is tried where all are lost and have failed",
+        "no backend is tried when all are lost and have failed",
         "dataplane/candidates.py",
         "self._usable(now, self._suspects.last_resort(now, place), without)",
         "[]",
@@ -111,7 +111,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "another backend's answer to a reading vouches for a lost one",
+        "a prefill answer from another backend counts as a sign of life of a lost one",
         "dataplane/exchange.py",
         "if leg.status == MISDIRECTED:\n                self._shared",
         "if False:\n                self._shared",
@@ -119,7 +119,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "heartbeats are not relayed to controllers beyond a cut",
+        "heartbeats are not relayed to controllers behind a cut",
         "programs/registry_service.py",
         "self._relay_to_unreached(sync)  # also",
         "pass  # also",
@@ -127,7 +127,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "changes are not relayed to controllers beyond a cut",
+        "changes are not relayed to controllers behind a cut",
         "programs/registry_service.py",
         "self._links.broadcast(sync)\n        self._relay_to_unreached(sync)",
         "self._links.broadcast(sync)",
@@ -135,7 +135,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that is heard by way of proxies counts as out of touch",
+        "a controller reached only through proxies counts as out of contact",
         "programs/registry_service.py",
         " or self._relay.is_heard(now, ip)",
         "",
@@ -143,7 +143,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "records of backends that are heard elsewhere are not asked for",
+        "records of backends known to other controllers are not requested",
         "programs/registry_service.py",
         "RegistrySync(answers, requested_ids=requested_ids)",
         "RegistrySync(answers)",
@@ -151,7 +151,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a backend held for lost is not asked for",
+        "the record of a backend considered lost is not requested",
         "control/registry.py",
         "asks.append(backend_id)\n                self",
         "self",
@@ -159,7 +159,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a loss counts as wrong whenever a heartbeat comes after it",
+        "a loss counts as wrong after any later heartbeat",
         "control/registry.py",
         "self.wrong_losses += at <= self._ended[backend_id]",
         "self.wrong_losses += 1",
@@ -167,7 +167,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a proxy names the destination as the source",
+        "a proxy gives the destination as the source of a relayed message",
         "membership/fleet.py",
         "Relayed(source, sync)",
         "Relayed(destination, sync)",
@@ -175,7 +175,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "the proxy that is known to reach the destination is not used",
+        "the proxy known to reach the destination is not used",
         "programs/registry_relay.py",
         "if arrival is None or not arrival.link.up or arrival.link in drawn:",
         "if True:",
@@ -183,7 +183,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a proxy whose link is over is used",
+        "a proxy with a closed link is used",
         "programs/registry_relay.py",
         "not arrival.link.up or ",
         "",
@@ -191,7 +191,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that was heard once is heard for ever",
+        "relayed contact with a controller never expires",
         "programs/registry_relay.py",
         "return arrival is not None and now - arrival.at <= RELAYED_CONTACT_TIMEOUT_S",
         "return arrival is not None",
@@ -199,7 +199,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a backend without a record is not asked for",
+        "the record of an unknown backend is not requested",
         "control/registry.py",
         "asks.append(backend_id)\n            elif",
         "pass\n            elif",
@@ -207,7 +207,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "records that are asked for are not sent",
+        "requested records are not sent",
         "programs/registry_service.py",
         "answers = self.registry.as_of(now, self.registry.records_of(sync.requested_ids))",
         "answers = ()",
@@ -215,7 +215,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "what a proxy holds for lost is lost",
+        "a backend that a proxy considers lost is marked lost",
         "control/registry.py",
         'if record.phase == "lost":\n                continue',
         "if False:\n                continue",
@@ -223,7 +223,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that does not hear all others takes what it does not know for lost",
+        "a controller without contact to all others marks unknown backends lost",
         "control/registry.py",
         "knows_all = hears_all and now",
         "knows_all = now",
@@ -231,7 +231,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller counts as hearing all others",
+        "a controller always counts as in contact with all others",
         "programs/registry_service.py",
         "all(self._hears(now, ip) for ip in self._member_ips())",
         "True",
@@ -239,7 +239,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that nobody hears acknowledges heartbeats",
+        "an isolated controller acknowledges heartbeats",
         "control/operator_api.py",
         "if self._plane.is_isolated():",
         "if False:",
@@ -247,7 +247,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a controller that only proxies hear acknowledges no heartbeats",
+        "a controller in contact only with proxies acknowledges no heartbeats",
         "programs/registry_service.py",
         " or bool(self._delivery.proxies)",
         "",
@@ -255,7 +255,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "losses are told on between neighbours",
+        "losses are forwarded between neighbours",
         "membership/outbox.py",
         'record.phase in {old.phase, "lost"}',
         "record.phase == old.phase",
@@ -263,7 +263,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a neighbour's loss is taken",
+        "a loss reported by a neighbour is accepted",
         "membership/neighbours.py",
         '[record for record in records if record.phase != "lost" or record.id not in known]',
         "records",
@@ -271,7 +271,7 @@
     ),
     Mutant(
         Point.LIVENESS,
-        "a prompt that was read is given up when its only decode backend has just failed another",
+        "a prefilled prompt is given up when its only decode backend has just failed another request",
         "dataplane/dispatch.py",
         "return decode_backend if may_begin else None",
         "return None",
--- a/tests/test_cold_judge.py
+++ b/tests/test_cold_judge.py
@@ -1,4 +1,4 @@
-"""Cold backends of the laboratory: what they say of themselves, and the rule on what may be sent to them."""
+"""Cold backends of the laboratory: what they report, and the rule on the requests sent to them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from cranebank.fleetlab.warmth import Warmth
 from cranebank.transport.http_client import Answer
 
-ALLOWED = 8  # 2 a second x 1.5 + 5
+ALLOWED = 8  # 2 per second x 1.5 + 5
 COLD = ColdTime("i-1", 10.0, 13.0, 2.0)
 
 
@@ -27,7 +27,7 @@
     ]
 
 
-def found(*seen: list[Arrival], cold: tuple[ColdTime, ...] = (COLD,)) -> list[int]:
+def flood_sizes(*seen: list[Arrival], cold: tuple[ColdTime, ...] = (COLD,)) -> list[int]:
     day = DayRecord(Bounds(cold_over=1.5, cold_slack=5), cold_times=list(cold))
     day.arrivals = [arrival for some in seen for arrival in some]
     return [flood.found for flood in floods(day)]
@@ -35,27 +35,27 @@
 
 @pytest.mark.parametrize("kind", ["make", "read"])
 def test_one_request_too_many_in_a_second(kind: str) -> None:
-    assert found(arrivals(ALLOWED + 1, 11.5, 0.9, kind=kind)) == [ALLOWED + 1]
-    assert found(arrivals(ALLOWED, 11.5, 0.9, kind=kind)) == []
+    assert flood_sizes(arrivals(ALLOWED + 1, 11.5, 0.9, kind=kind)) == [ALLOWED + 1]
+    assert flood_sizes(arrivals(ALLOWED, 11.5, 0.9, kind=kind)) == []
 
 
 def test_the_second_may_begin_anywhere() -> None:
-    assert found(arrivals(5, 11.6, 0.3), arrivals(4, 12.1, 0.3)) == [ALLOWED + 1]
-    assert found(arrivals(5, 11.6, 0.3), arrivals(4, 12.6, 0.3)) == []
+    assert flood_sizes(arrivals(5, 11.6, 0.3), arrivals(4, 12.1, 0.3)) == [ALLOWED + 1]
+    assert flood_sizes(arrivals(5, 11.6, 0.3), arrivals(4, 12.6, 0.3)) == []
 
 
 def test_requests_that_got_421_or_came_while_it_was_warm_do_not_count() -> None:
-    assert found(arrivals(ALLOWED, 11.5, 0.5), arrivals(9, 11.5, 0.5, 421)) == []
-    assert found(arrivals(ALLOWED, 10.0, 0.5), arrivals(40, 9.0, 0.99)) == []
-    assert found(arrivals(ALLOWED, 12.4, 0.5), arrivals(40, 13.01, 0.5)) == []
+    assert flood_sizes(arrivals(ALLOWED, 11.5, 0.5), arrivals(9, 11.5, 0.5, 421)) == []
+    assert flood_sizes(arrivals(ALLOWED, 10.0, 0.5), arrivals(40, 9.0, 0.99)) == []
+    assert flood_sizes(arrivals(ALLOWED, 12.4, 0.5), arrivals(40, 13.01, 0.5)) == []
 
 
 def test_a_backend_that_turns_cold_again_is_cold_to_the_later_end() -> None:
     again = ColdTime("i-1", 12.0, 15.0, 2.0)
     other = ColdTime("i-2", 12.0, 15.0, 2.0)
     late = arrivals(ALLOWED + 1, 12.5, 0.9)
-    assert found(late, cold=(COLD, again)) == [ALLOWED + 1]
-    assert found(late, cold=(COLD, other)) == []
+    assert flood_sizes(late, cold=(COLD, again)) == [ALLOWED + 1]
+    assert flood_sizes(late, cold=(COLD, other)) == []
 
 
 def test_cold_time_runs_down_and_begins_again() -> None:
@@ -75,7 +75,7 @@
 
 
 def test_a_backend_tells_at_once_that_it_has_turned_cold(monkeypatch: pytest.MonkeyPatch) -> None:
-    told: list[int] = []
+    reported_ms: list[int] = []
 
     async def run() -> None:
         warmth = Warmth("i-1", WarmUp(3.0, 2.0), [])
@@ -84,11 +84,11 @@
             EngineSpec(), "i-1", "g1", "decode", here, "z", lambda: [here], 60.0, 1.0, [], [], {}, [], None, warmth
         )
 
-        async def taken(at: str, method: str, path: str, body: bytes) -> Answer:
-            told.append(json.loads(body)["cold_left_ms"])
+        async def accept(at: str, method: str, path: str, body: bytes) -> Answer:
+            reported_ms.append(json.loads(body)["cold_left_ms"])
             return Answer(200, whole=True)
 
-        monkeypatch.setattr(backend, "_ask", taken)
+        monkeypatch.setattr(backend, "_ask", accept)
         await backend.start()
         await asyncio.sleep(0.01)
         backend.turn_cold()
@@ -101,4 +101,4 @@
         backend.stop()
 
     asyncio.run(run())
-    assert [left > 0 for left in told] == [False, True, True]
+    assert [left > 0 for left in reported_ms] == [False, True, True]
--- a/tests/test_fleetlab_judge.py
+++ b/tests/test_fleetlab_judge.py
@@ -1,4 +1,4 @@
-"""The judge of a system day finds each rule broken by hand, and nothing in a day that keeps them."""
+"""The judge finds each rule that is broken deliberately, and no breach in a day that keeps all rules."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 )
 
 
-def sent(
+def make_try(
     attempt: str, at: float, *, proxy: str = "edge-1", path: str = "/chat/1", life: int = 1, repeatable: bool = False
 ) -> Try:
-    """A try served in order."""
+    """Return a try that was served in full."""
     run = f"i-1.{attempt}"
-    events = tuple(StreamEvent(number, attempt, run) for number in (1, 2))
+    stream_events = tuple(StreamEvent(number, attempt, run) for number in (1, 2))
     return Try(
         int(attempt[1:]),
         attempt,
@@ -57,28 +57,28 @@
         True,
         attempt,
         f"{run}.{attempt}",
-        events,
+        stream_events,
         (at + 0.1, at + 0.2),
         at + 0.2,
     )
 
 
-def arrived(of: Try, service: str = "g1", instance: str = "i-1", after_s: float = 0.05) -> Arrival:
-    """Its one arrival, that ran."""
+def make_arrival(client_try: Try, service: str = "g1", instance: str = "i-1", after_s: float = 0.05) -> Arrival:
+    """Return the single arrival of a try, which ran."""
     return Arrival(
-        of.sent + after_s,
+        client_try.sent + after_s,
         service,
         instance,
-        of.attempt,
-        of.method,
-        of.path,
-        of.digest,
+        client_try.attempt,
+        client_try.method,
+        client_try.path,
+        client_try.digest,
         "make",
         0,
         200,
         False,
-        f"i-1.{of.attempt}",
-        of.sent + after_s + 0.03,
+        f"i-1.{client_try.attempt}",
+        client_try.sent + after_s + 0.03,
         0,
         0,
         2,
@@ -87,7 +87,7 @@
 
 
 def make_day() -> DayRecord:
-    """A day that keeps every rule: three changes, a drain, a lost race, a kill of the primary."""
+    """Return a day that keeps every rule, with three changes, a drain, a lost race and a kill of the primary."""
     day = DayRecord(
         Bounds(retry_slack=2),
         0.0,
@@ -108,9 +108,9 @@
     for number in range(100):
         at = 1.0 + number * 0.5
         path, service = ("/chat/1", "g1") if number % 3 else ("/new/1", "g2") if at > 12 else ("/old/1", "g1")
-        made = sent(f"t{number}", at, path=path, proxy=f"edge-{number % 2}")
-        day.tries.append(made)
-        day.arrivals.append(arrived(made, service))
+        client_try = make_try(f"t{number}", at, path=path, proxy=f"edge-{number % 2}")
+        day.tries.append(client_try)
+        day.arrivals.append(make_arrival(client_try, service))
     return day
 
 
@@ -120,126 +120,193 @@
     assert verdict.judged["MIXED"] == 100
 
 
-Break = Callable[[DayRecord], object]
+BreakRule = Callable[[DayRecord], object]
 
 
-def add(day: DayRecord, made: Try, *arrivals: Arrival) -> object:
-    day.tries.append(made)
+def add_try(day: DayRecord, client_try: Try, *arrivals: Arrival) -> object:
+    day.tries.append(client_try)
     day.arrivals += arrivals
     return day
 
 
-def put(record: object, **fields: object) -> object:
+def set_fields(record: object, **fields: object) -> object:
     for name, value in fields.items():
         setattr(record, name, value)
     return record
 
 
-def change(made: Try, **fields: object) -> Try:
-    return msgspec.structs.replace(made, **fields)
+def with_fields(client_try: Try, **fields: object) -> Try:
+    return msgspec.structs.replace(client_try, **fields)
 
 
-def events(made: Try, *numbers: int) -> tuple[StreamEvent, ...]:
-    return tuple(StreamEvent(number, made.attempt, f"i-1.{made.attempt}") for number in numbers)
+def stream_events(client_try: Try, *numbers: int) -> tuple[StreamEvent, ...]:
+    return tuple(StreamEvent(number, client_try.attempt, f"i-1.{client_try.attempt}") for number in numbers)
 
 
-def order(at: float, owner: str, fence_no: int, instance: str = "i-1") -> OrderSeen:
+def make_order(at: float, owner: str, fence_no: int, instance: str = "i-1") -> OrderSeen:
     return OrderSeen(at, instance, owner, fence_no, "decode", 202)
 
 
-S = sent("t900", 15.0)
-R = sent("t901", 15.0, repeatable=True)
-BREAKS: dict[str, tuple[str, Break]] = {
-    "no seal": ("MIXED", lambda day: add(day, change(S, seal=""), arrived(S))),
-    "a seal of another": ("MIXED", lambda day: add(day, change(S, seal="i-1.t5.t5"), arrived(S))),
-    "the answer of another": ("MIXED", lambda day: add(day, change(S, answer_attempt="t5"), arrived(S))),
+ONCE_ONLY = make_try("t900", 15.0)
+REPEATABLE = make_try("t901", 15.0, repeatable=True)
+RULE_BREAKS: dict[str, tuple[str, BreakRule]] = {
+    "no seal": ("MIXED", lambda day: add_try(day, with_fields(ONCE_ONLY, seal=""), make_arrival(ONCE_ONLY))),
+    "a seal of another": (
+        "MIXED",
+        lambda day: add_try(day, with_fields(ONCE_ONLY, seal="i-1.t5.t5"), make_arrival(ONCE_ONLY)),
+    ),
+    "the answer of another": (
+        "MIXED",
+        lambda day: add_try(day, with_fields(ONCE_ONLY, answer_attempt="t5"), make_arrival(ONCE_ONLY)),
+    ),
     "events of another": (
         "MIXED",
-        lambda day: add(day, change(S, events=(S.events[0], StreamEvent(2, "t5", S.events[0].run))), arrived(S)),
+        lambda day: add_try(
+            day,
+            with_fields(ONCE_ONLY, events=(ONCE_ONLY.events[0], StreamEvent(2, "t5", ONCE_ONLY.events[0].run))),
+            make_arrival(ONCE_ONLY),
+        ),
+    ),
+    "no HTTP": (
+        "MIXED",
+        lambda day: add_try(day, with_fields(ONCE_ONLY, is_http=False, whole=False), make_arrival(ONCE_ONLY)),
     ),
-    "no HTTP": ("MIXED", lambda day: add(day, change(S, is_http=False, whole=False), arrived(S))),
     "a success where the backend failed": (
         "MIXED",
-        lambda day: add(day, S, msgspec.structs.replace(arrived(S), status=500)),
+        lambda day: add_try(day, ONCE_ONLY, msgspec.structs.replace(make_arrival(ONCE_ONLY), status=500)),
+    ),
+    "the handle of another": (
+        "MIXED",
+        lambda day: add_try(day, ONCE_ONLY, msgspec.structs.replace(make_arrival(ONCE_ONLY), handle_of="t5")),
+    ),
+    "never sent": ("UNASKED", lambda day: set_fields(day, arrivals=[*day.arrivals, make_arrival(ONCE_ONLY)])),
+    "another body": (
+        "UNASKED",
+        lambda day: add_try(day, ONCE_ONLY, msgspec.structs.replace(make_arrival(ONCE_ONLY), digest="e")),
     ),
-    "the handle of another": ("MIXED", lambda day: add(day, S, msgspec.structs.replace(arrived(S), handle_of="t5"))),
-    "never sent": ("UNASKED", lambda day: put(day, arrivals=[*day.arrivals, arrived(S)])),
-    "another body": ("UNASKED", lambda day: add(day, S, msgspec.structs.replace(arrived(S), digest="e"))),
     "ran twice": (
         "TWICE",
-        lambda day: add(day, S, arrived(S), msgspec.structs.replace(arrived(S), run="i-2.x", instance="i-2")),
+        lambda day: add_try(
+            day,
+            ONCE_ONLY,
+            make_arrival(ONCE_ONLY),
+            msgspec.structs.replace(make_arrival(ONCE_ONLY), run="i-2.x", instance="i-2"),
+        ),
+    ),
+    "refused and ran": (
+        "REFUSED",
+        lambda day: add_try(day, with_fields(ONCE_ONLY, status=503, seal="", events=()), make_arrival(ONCE_ONLY)),
     ),
-    "refused and ran": ("REFUSED", lambda day: add(day, change(S, status=503, seal="", events=()), arrived(S))),
-    "a service that no route names": ("ROUTE", lambda day: add(day, S, arrived(S, "g7"))),
+    "a service that no route names": ("ROUTE", lambda day: add_try(day, ONCE_ONLY, make_arrival(ONCE_ONLY, "g7"))),
     "after the drain": (
         "DRAIN",
-        lambda day: add(day, change(S, sent=22.5), arrived(change(S, sent=22.5), instance="i-9")),
+        lambda day: add_try(
+            day, with_fields(ONCE_ONLY, sent=22.5), make_arrival(with_fields(ONCE_ONLY, sent=22.5), instance="i-9")
+        ),
     ),
     "lost at SIGTERM": (
         "LOST",
         lambda day: (
-            put(day, troubles=[*day.troubles, Trouble("edge-7", 14.9, 20.0, "SIGTERM", True)]),
-            add(day, change(S, proxy="edge-7", whole=False), arrived(S)),
+            set_fields(day, troubles=[*day.troubles, Trouble("edge-7", 14.9, 20.0, "SIGTERM", True)]),
+            add_try(day, with_fields(ONCE_ONLY, proxy="edge-7", whole=False), make_arrival(ONCE_ONLY)),
         ),
     ),
     "dropped route served": (
         "CONFIG",
-        lambda day: add(day, change(S, sent=35.0, path="/old/1"), arrived(change(S, sent=35.0, path="/old/1"))),
+        lambda day: add_try(
+            day,
+            with_fields(ONCE_ONLY, sent=35.0, path="/old/1"),
+            make_arrival(with_fields(ONCE_ONLY, sent=35.0, path="/old/1")),
+        ),
+    ),
+    "new route refused": (
+        "CONFIG",
+        lambda day: add_try(day, with_fields(ONCE_ONLY, path="/new/1", status=404, seal="", events=())),
     ),
-    "new route refused": ("CONFIG", lambda day: add(day, change(S, path="/new/1", status=404, seal="", events=()))),
     "back to an older revision": (
         "CONFIG",
         lambda day: (
-            add(day, change(S, sent=10.5, path="/new/1"), arrived(change(S, sent=10.5, path="/new/1"), "g2")),
-            add(day, change(sent("t902", 11.0), path="/new/1", status=404, seal="", events=())),
+            add_try(
+                day,
+                with_fields(ONCE_ONLY, sent=10.5, path="/new/1"),
+                make_arrival(with_fields(ONCE_ONLY, sent=10.5, path="/new/1"), "g2"),
+            ),
+            add_try(day, with_fields(make_try("t902", 11.0), path="/new/1", status=404, seal="", events=())),
         ),
     ),
     "a lost race in force": (
         "CONFIG",
-        lambda day: add(day, change(S, path="/old/1", sent=10.2, status=404, seal="", events=())),
+        lambda day: add_try(day, with_fields(ONCE_ONLY, path="/old/1", sent=10.2, status=404, seal="", events=())),
+    ),
+    "both of a race": (
+        "CONFIG",
+        lambda day: (set_fields(day.changes[2], acked=10.6), set_fields(day.changes[2], refused=False)),
+    ),
+    "an invalid one": ("CONFIG", lambda day: set_fields(day.changes[4], acked=40.2)),
+    "read back older": ("CONFIG", lambda day: set_fields(day, read_back=ReadBack(60.0, 3, "c3"))),
+    "read back differs": ("CONFIG", lambda day: set_fields(day, read_back=ReadBack(60.0, 6, "c3"))),
+    "not read back": ("CONFIG", lambda day: set_fields(day, read_back=ReadBack(60.0, 0, ""))),
+    "a piece lost": (
+        "ORDER",
+        lambda day: add_try(
+            day, with_fields(ONCE_ONLY, events=stream_events(ONCE_ONLY, 1, 3), events_due=3), make_arrival(ONCE_ONLY)
+        ),
+    ),
+    "a piece twice": (
+        "ORDER",
+        lambda day: add_try(
+            day, with_fields(ONCE_ONLY, events=stream_events(ONCE_ONLY, 1, 1)), make_arrival(ONCE_ONLY)
+        ),
+    ),
+    "complete too early": (
+        "ORDER",
+        lambda day: add_try(day, with_fields(ONCE_ONLY, events=stream_events(ONCE_ONLY, 1)), make_arrival(ONCE_ONLY)),
     ),
-    "both of a race": ("CONFIG", lambda day: (put(day.changes[2], acked=10.6), put(day.changes[2], refused=False))),
-    "an invalid one": ("CONFIG", lambda day: put(day.changes[4], acked=40.2)),
-    "read back older": ("CONFIG", lambda day: put(day, read_back=ReadBack(60.0, 3, "c3"))),
-    "read back differs": ("CONFIG", lambda day: put(day, read_back=ReadBack(60.0, 6, "c3"))),
-    "not read back": ("CONFIG", lambda day: put(day, read_back=ReadBack(60.0, 0, ""))),
-    "a piece lost": ("ORDER", lambda day: add(day, change(S, events=events(S, 1, 3), events_due=3), arrived(S))),
-    "a piece twice": ("ORDER", lambda day: add(day, change(S, events=events(S, 1, 1)), arrived(S))),
-    "complete too early": ("ORDER", lambda day: add(day, change(S, events=events(S, 1)), arrived(S))),
     "two runs joined": (
         "ORDER",
-        lambda day: add(
+        lambda day: add_try(
             day,
-            change(R, events=(R.events[0], StreamEvent(2, R.attempt, "i-2.x"))),
-            arrived(R),
-            msgspec.structs.replace(arrived(R), run="i-2.x"),
+            with_fields(REPEATABLE, events=(REPEATABLE.events[0], StreamEvent(2, REPEATABLE.attempt, "i-2.x"))),
+            make_arrival(REPEATABLE),
+            msgspec.structs.replace(make_arrival(REPEATABLE), run="i-2.x"),
         ),
     ),
     "too many further arrivals": (
         "BUDGET",
-        lambda day: add(
+        lambda day: add_try(
             day,
-            R,
+            REPEATABLE,
             *(
-                msgspec.structs.replace(arrived(R, after_s=0.1 * number), run="", status=503, not_run=True)
+                msgspec.structs.replace(
+                    make_arrival(REPEATABLE, after_s=0.1 * number), run="", status=503, not_run=True
+                )
                 for number in range(9)
             ),
-            arrived(R),
+            make_arrival(REPEATABLE),
         ),
     ),
     "a change without an answer": (
         "ACKS",
-        lambda day: put(day, changes=[*day.changes, Change(9, 6, (CHAT, NEW), "c9", 45.0)]),
+        lambda day: set_fields(day, changes=[*day.changes, Change(9, 6, (CHAT, NEW), "c9", 45.0)]),
+    ),
+    "a lower fence": (
+        "ONE",
+        lambda day: set_fields(day, orders=[make_order(20.0, "c-1", 5), make_order(30.0, "c-1", 4)]),
     ),
-    "a lower fence": ("ONE", lambda day: put(day, orders=[order(20.0, "c-1", 5), order(30.0, "c-1", 4)])),
-    "two holders of one fence": ("ONE", lambda day: put(day, orders=[order(20.0, "c-1", 5), order(30.0, "c-2", 5)])),
-    "holders that take turns": ("ONE", lambda day: put(day, orders=[order(20.0, "c-1", 5), order(22.9, "c-2", 6)])),
-    "an older reading": ("CONFIG", lambda day: put(day, readings=[Reading(32.3, 32.4, 3, "c3")])),
-    "a reading of what was refused": ("CONFIG", lambda day: put(day, readings=[Reading(11.0, 11.1, 4, "c4")])),
-    "a reading of other contents": ("CONFIG", lambda day: put(day, readings=[Reading(31.0, 31.1, 6, "c7")])),
+    "two holders of one fence": (
+        "ONE",
+        lambda day: set_fields(day, orders=[make_order(20.0, "c-1", 5), make_order(30.0, "c-2", 5)]),
+    ),
+    "holders that take turns": (
+        "ONE",
+        lambda day: set_fields(day, orders=[make_order(20.0, "c-1", 5), make_order(22.9, "c-2", 6)]),
+    ),
+    "an older reading": ("CONFIG", lambda day: set_fields(day, readings=[Reading(32.3, 32.4, 3, "c3")])),
+    "a reading of what was refused": ("CONFIG", lambda day: set_fields(day, readings=[Reading(11.0, 11.1, 4, "c4")])),
+    "a reading of other contents": ("CONFIG", lambda day: set_fields(day, readings=[Reading(31.0, 31.1, 6, "c7")])),
     "a tally without what its machine acknowledged": (
         "STALE",
-        lambda day: put(
+        lambda day: set_fields(
             day,
             tally_calls=[
                 TallyCall("t", "a", 4, "c-1", 1, 5.0, 5.1, 200),
@@ -249,26 +316,29 @@
     ),
     "an emptied zone reached": (
         "EVAC",
-        lambda day: put(
+        lambda day: set_fields(
             day, backend_zones={"i-1": "z-1"}, evacuations=[EvacuationOrder("z-1", True, 5.0, 5.2)], ended=14.0
         ),
     ),
     "a cold backend flooded": (
         "FAILBACK",
         lambda day: (
-            put(day, cold_times=[ColdTime("i-1", 15.0, 18.0, 2.0)]),
-            [add(day, made, arrived(made)) for made in (sent(f"t{920 + n}", 15.0 + 0.05 * n) for n in range(9))],
+            set_fields(day, cold_times=[ColdTime("i-1", 15.0, 18.0, 2.0)]),
+            [
+                add_try(day, client_try, make_arrival(client_try))
+                for client_try in (make_try(f"t{920 + n}", 15.0 + 0.05 * n) for n in range(9))
+            ],
         ),
     ),
-    "a drain without an answer": ("ACKS", lambda day: put(day, drains=[*day.drains, Drain("i-8", 33.0)])),
+    "a drain without an answer": ("ACKS", lambda day: set_fields(day, drains=[*day.drains, Drain("i-8", 33.0)])),
 }
 
 
-@pytest.mark.parametrize("name", BREAKS)
+@pytest.mark.parametrize("name", RULE_BREAKS)
 def test_a_broken_rule_is_found_and_no_other(name: str) -> None:
-    rule, broken = BREAKS[name]
+    rule, break_rule = RULE_BREAKS[name]
     day = make_day()
-    broken(day)
+    break_rule(day)
     assert set(judge(day).broken()) == {rule}
 
 
@@ -284,7 +354,7 @@
 def test_readings_that_are_right() -> None:
     day = make_day()
     day.readings += [
-        Reading(31.9, 32.4, 3, "c3"),  # sent before the newest had to be in force
+        Reading(31.9, 32.4, 3, "c3"),  # sent before the newest revision had to be in force
         Reading(10.2, 10.3, 3, "c3"),  # not acknowledged yet
         Reading(59.0, 59.1, 6, "c6"),
     ]
@@ -300,16 +370,16 @@
 
 
 def test_every_rule_is_broken_here() -> None:
-    assert {rule for rule, _ in BREAKS.values()} == set(RULES)
+    assert {rule for rule, _ in RULE_BREAKS.values()} == set(RULES)
 
 
 def test_a_stream_that_may_be_resumed_may_join_runs_and_run_twice() -> None:
     day = make_day()
-    add(
+    add_try(
         day,
-        change(R, events=(R.events[0], StreamEvent(2, R.attempt, "i-2.x"))),
-        arrived(R),
-        msgspec.structs.replace(arrived(R, after_s=0.2), run="i-2.x", after=1),
+        with_fields(REPEATABLE, events=(REPEATABLE.events[0], StreamEvent(2, REPEATABLE.attempt, "i-2.x"))),
+        make_arrival(REPEATABLE),
+        msgspec.structs.replace(make_arrival(REPEATABLE, after_s=0.2), run="i-2.x", after=1),
     )
     assert judge(day).kept
 
@@ -317,23 +387,28 @@
 def test_the_first_reading_of_a_prompt_is_no_further_arrival() -> None:
     day = make_day()
     for number in range(9):
-        made = sent(f"t{910 + number}", 15.0 + 0.1 * number)
-        reading = msgspec.structs.replace(arrived(made, after_s=0.01), kind="read", run="")
-        add(day, made, reading, arrived(made))
+        client_try = make_try(f"t{910 + number}", 15.0 + 0.1 * number)
+        reading = msgspec.structs.replace(make_arrival(client_try, after_s=0.01), kind="read", run="")
+        add_try(day, client_try, reading, make_arrival(client_try))
     assert judge(day).kept
 
 
 def test_rules_bounded_in_time_hold_for_machines_in_touch_only() -> None:
     day = make_day()
-    made = change(S, sent=35.0, path="/old/1")
-    add(day, made, arrived(made))
-    day.troubles.append(Trouble(made.proxy, 32.5, 32.6, "kill"))
+    client_try = with_fields(ONCE_ONLY, sent=35.0, path="/old/1")
+    add_try(day, client_try, make_arrival(client_try))
+    day.troubles.append(Trouble(client_try.proxy, 32.5, 32.6, "kill"))
     assert judge(day).kept
 
 
 def test_orders_of_one_holder_after_another_to_one_backend_and_to_several_keep_the_rule() -> None:
     day = make_day()
-    day.orders += [order(20.0, "c-1", 5), order(20.5, "c-1", 5), order(20.6, "c-2", 6, "i-2"), order(23.6, "c-2", 6)]
+    day.orders += [
+        make_order(20.0, "c-1", 5),
+        make_order(20.5, "c-1", 5),
+        make_order(20.6, "c-2", 6, "i-2"),
+        make_order(23.6, "c-2", 6),
+    ]
     verdict = judge(day)
     assert verdict.kept, verdict.breaches
     assert verdict.judged["ONE"] == 4
--- a/tests/test_model_backend.py
+++ b/tests/test_model_backend.py
@@ -1,4 +1,4 @@
-"""The model backend, by hand and under random load: no sockets, no clock."""
+"""The model backend, in single cases and under random load, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class Driver:
-    """Plays a backend alone, on a clock of its own; ``log`` holds actions with their times."""
+    """Drives a single backend on a simulated clock; ``log`` holds its actions with their times."""
 
     def __init__(self, stage: str = "decode", spec: EngineSpec = SPEC) -> None:
         self.backend = ModelBackend(spec, "i-1", stage)
@@ -67,8 +67,8 @@
                 self.log.append((self.now, action))
         return actions
 
-    def ask(self, call: int, asked: GenerationRequest | None = None) -> list[Action]:
-        return self.do(RequestReceived(call, asked or request(f"a{call}", f"s:1000,o{call}:200")))
+    def ask(self, call: int, generation_request: GenerationRequest | None = None) -> list[Action]:
+        return self.do(RequestReceived(call, generation_request or request(f"a{call}", f"s:1000,o{call}:200")))
 
     def run(self, until: float) -> None:
         while self._wake is not None and self._wake <= until:
@@ -92,7 +92,7 @@
     two.ask(1)
     two.ask(2)
     two.run(9.0)
-    assert two.times(Emit, 1)[0] > one.times(Emit, 1)[0]  # a piece of the other is read in the step
+    assert two.times(Emit, 1)[0] > one.times(Emit, 1)[0]  # the step also prefills a chunk of the other prompt
 
 
 def test_a_part_is_not_read_again_while_all_before_it_are_kept() -> None:
@@ -122,12 +122,12 @@
     driver = Driver("prefill")
     driver.ask(1, request(is_prefill=True))
     driver.run(1.0)
-    told = msgspec.json.decode(driver.answer(1).body)
-    assert told["tokens"] == 1200
+    handle = msgspec.json.decode(driver.answer(1).body)
+    assert handle["tokens"] == 1200
     assert driver.times(Respond, 1) == pytest.approx([0.12])
     assert driver.backend.held == 1200
-    driver.do(DeleteHandle(2, told["prompt_handle"]))
-    driver.do(DeleteHandle(3, told["prompt_handle"]))
+    driver.do(DeleteHandle(2, handle["prompt_handle"]))
+    driver.do(DeleteHandle(3, handle["prompt_handle"]))
     assert (driver.answer(2).status, driver.answer(3).status, driver.backend.held) == (200, 404, 0)
     driver.ask(4, request("a4", is_prefill=True))
     driver.run(2.0)
@@ -260,8 +260,8 @@
     driver.do(ReportAsked(8))
     driver.run(1.5)
     driver.do(ReportAsked(9))
-    told = [msgspec.json.decode(driver.answer(call).body) for call in (8, 9)]
-    assert [(body["active"], body["stage"], body["cache_total"]) for body in told] == [
+    reports = [msgspec.json.decode(driver.answer(call).body) for call in (8, 9)]
+    assert [(report["active"], report["stage"], report["cache_total"]) for report in reports] == [
         (1, "decode", 10_000),
         (2, "decode", 10_000),
     ]
@@ -269,7 +269,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_under_random_load_every_call_ends_once_and_the_memory_is_free_again(seed: int) -> None:
-    """The backend's own assertions hold after every event; none is left over at the end."""
+    """The backend checks its own invariants after every event. No request or memory is left at the end."""
     random = Random(seed)
     driver = Driver(
         random.choice(("prefill", "decode")),
@@ -283,16 +283,16 @@
             link_mbps=100_000,
         ),
     )
-    asked, left, taking = set(), set(), []
+    received, cancelled, taking = set(), set(), []
     for call in range(1, 300):
         driver.run(driver.now + random.expovariate(40))
         match random.choices(("ask", "leave", "taken", "order", "delete", "report"), (70, 8, 12, 2, 4, 4))[0]:
             case "ask":
                 parts = f"s{random.randrange(4)}:{random.randrange(1, 1500)},o{call}:{random.randrange(1, 800)}"
-                sizes = {f"s{n}": 100 + 300 * n for n in range(4)}  # a part has one size
+                sizes = {f"s{n}": 100 + 300 * n for n in range(4)}  # a part always has the same size
                 name = parts.partition(":")[0]
                 parts = f"{name}:{sizes[name]},{parts.partition(',')[2]}"
-                asked.add(call)
+                received.add(call)
                 driver.ask(
                     call,
                     request(
@@ -307,24 +307,24 @@
                     ),
                 )
             case "leave":
-                if asked:
-                    gone = random.choice(sorted(asked))
-                    left.add(gone)
-                    driver.do(CallerLeft(gone))
+                if received:
+                    victim = random.choice(sorted(received))
+                    cancelled.add(victim)
+                    driver.do(CallerLeft(victim))
             case "taken":
                 taking = [a.call for _, a in driver.log if isinstance(a, TakeHandle)]
-                for known in taking:
-                    driver.do(HandleTaken(known, random.random() < 0.8))
+                for taken_call in taking:
+                    driver.do(HandleTaken(taken_call, random.random() < 0.8))
             case "order":
                 driver.do(Ordered(10_000 + call, Order("stage", random.choice(("prefill", "decode")), "n", call)))
             case "delete":
                 driver.do(DeleteHandle(20_000 + call, f"i-1-{random.randrange(1, 60):x}"))
             case "report":
                 driver.do(ReportAsked(30_000 + call))
-    for known in [a.call for _, a in driver.log if isinstance(a, TakeHandle)]:
-        driver.do(HandleTaken(known, False))
+    for taken_call in [a.call for _, a in driver.log if isinstance(a, TakeHandle)]:
+        driver.do(HandleTaken(taken_call, False))
     driver.run(driver.now + 100.0)
-    for call in asked - left:
+    for call in received - cancelled:
         ends = [
             a
             for _, a in driver.log
--- a/tests/test_network_cuts.py
+++ b/tests/test_network_cuts.py
@@ -1,4 +1,4 @@
-"""Cut paths between processes: silence while they last, and what TCP would do when they heal. Real loopback sockets."""
+"""Cut paths between processes on real loopback sockets: silence during a cut, and TCP behaviour after it heals."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 OWN, PEER = "127.0.14.1", "127.0.14.2"
 TO_PEER, FROM_PEER = (Path(OWN, PEER),), (Path(PEER, OWN),)
-STORY_S = 10.0
-SILENT_S = 0.15  # in which something that isn't held up would have come
+TEST_TIMEOUT_S = 10.0
+SILENCE_S = 0.15  # anything that is not held back arrives within this time
 
 
 class Recorder(asyncio.Protocol):
-    """Keeps what it is told."""
+    """Records the bytes and events it receives."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -50,7 +50,7 @@
 
 
 class Peer:
-    """The other machine: plain sockets, which know nothing of cuts."""
+    """The remote machine, with plain sockets that don't apply cuts."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server((PEER, 0))
@@ -62,11 +62,11 @@
         return found
 
 
-Story = Callable[[LabNetwork, NetworkView, Peer], Awaitable[None]]
+Scenario = Callable[[LabNetwork, NetworkView, Peer], Awaitable[None]]
 
 
-def play(folder: FilePath, story: Story) -> None:
-    """Run a story on a loop that keeps to the cuts."""
+def play(folder: FilePath, scenario: Scenario) -> None:
+    """Run a scenario on a loop that applies the cuts."""
     loop: GuardedLoop | None = None
     view: NetworkView | None = None
 
@@ -80,15 +80,15 @@
         assert view is not None
         peer = Peer()
         with peer.listener:
-            async with asyncio.timeout(STORY_S):
-                await story(network, view, peer)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await scenario(network, view, peer)
 
-    network = asyncio.run(made(folder))
+    network = asyncio.run(make_network(folder))
     with asyncio.Runner(loop_factory=make) as runner:
         runner.run(run())
 
 
-async def made(folder: FilePath) -> LabNetwork:
+async def make_network(folder: FilePath) -> LabNetwork:
     return LabNetwork(folder / "network.json")
 
 
@@ -98,7 +98,7 @@
 
 
 async def cut(network: LabNetwork, view: NetworkView, paths: tuple[Path, ...]) -> None:
-    """Cut, and wait until the process knows."""
+    """Cut paths, and wait until the process has noticed."""
     network.cut(paths)
     await until(lambda: all(view.is_cut_to(p.target) if p.source == OWN else view.is_cut_from(p.source) for p in paths))
 
@@ -111,7 +111,7 @@
 
 async def has_nothing_to_read(sock: socket.socket) -> bool:
     try:
-        async with asyncio.timeout(SILENT_S):
+        async with asyncio.timeout(SILENCE_S):
             await asyncio.get_running_loop().sock_recv(sock, 100)
     except TimeoutError:
         return True
@@ -120,50 +120,50 @@
 
 @pytest.mark.parametrize("paths", [TO_PEER, FROM_PEER, TO_PEER + FROM_PEER], ids=["out", "in", "both"])
 def test_bytes_on_a_cut_path_come_when_it_heals_in_order(tmp_path: FilePath, paths: tuple[Path, ...]) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
         loop = asyncio.get_running_loop()
-        recorder, far = await dial(peer)
-        with far:
+        recorder, peer_socket = await dial(peer)
+        with peer_socket:
             assert recorder.transport is not None
             await cut(network, view, paths)
             recorder.transport.write(b"to ")
-            await loop.sock_sendall(far, b"from ")
+            await loop.sock_sendall(peer_socket, b"from ")
             if paths == TO_PEER:
                 await until(lambda: recorder.data == b"from ")
             if paths == FROM_PEER:
-                assert await loop.sock_recv(far, 100) == b"to "
+                assert await loop.sock_recv(peer_socket, 100) == b"to "
             if paths != FROM_PEER:
-                assert await has_nothing_to_read(far)
+                assert await has_nothing_to_read(peer_socket)
             if paths != TO_PEER:
                 assert recorder.data == b""
             network.heal(paths)
             recorder.transport.write(b"peer")
-            await loop.sock_sendall(far, b"peer")
+            await loop.sock_sendall(peer_socket, b"peer")
             await until(lambda: recorder.data == b"from peer")
             found = b"to " if paths == FROM_PEER else b""
             while found != b"to peer":
-                found += await loop.sock_recv(far, 100)
+                found += await loop.sock_recv(peer_socket, 100)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def test_a_dial_hangs_until_the_cut_heals(tmp_path: FilePath) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
         await cut(network, view, FROM_PEER)
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout(SILENT_S):
+            async with asyncio.timeout(SILENCE_S):
                 await dial(peer)
-        waiting = asyncio.ensure_future(dial(peer))
+        dial_task = asyncio.ensure_future(dial(peer))
         network.heal(FROM_PEER)
-        recorder, far = await waiting
-        far.close()
+        recorder, peer_socket = await dial_task
+        peer_socket.close()
         assert recorder.events == ["made"]
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def test_a_connection_accepted_while_cut_off_is_told_when_the_cut_heals(tmp_path: FilePath) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
         loop = asyncio.get_running_loop()
         accepted: list[Recorder] = []
 
@@ -174,58 +174,58 @@
         server = await loop.create_server(accept, OWN, 0)
         port = server.sockets[0].getsockname()[1]
         await cut(network, view, TO_PEER)
-        with socket.socket() as far:
-            far.setblocking(False)
-            far.bind((PEER, 0))
-            await loop.sock_connect(far, (OWN, port))
-            await loop.sock_sendall(far, b"early")
+        with socket.socket() as peer_socket:
+            peer_socket.setblocking(False)
+            peer_socket.bind((PEER, 0))
+            await loop.sock_connect(peer_socket, (OWN, port))
+            await loop.sock_sendall(peer_socket, b"early")
             await until(lambda: bool(accepted))
             assert accepted[0].events == []
             network.heal(TO_PEER)
             await until(lambda: accepted[0].data == b"early")
         server.close()
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def test_an_end_behind_a_cut_is_noticed_when_it_heals(tmp_path: FilePath) -> None:
-    """An orderly end brings the bytes before it."""
+    """The bytes sent before an orderly close are delivered."""
 
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
-        recorder, far = await dial(peer)
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+        recorder, peer_socket = await dial(peer)
         await cut(network, view, FROM_PEER)
-        await asyncio.get_running_loop().sock_sendall(far, b"last")
-        far.close()
-        await asyncio.sleep(SILENT_S)
+        await asyncio.get_running_loop().sock_sendall(peer_socket, b"last")
+        peer_socket.close()
+        await asyncio.sleep(SILENCE_S)
         assert (recorder.events, recorder.data) == (["made"], b"")
         network.heal(FROM_PEER)
         await until(lambda: "lost" in recorder.events)
         assert (recorder.events, recorder.data) == (["made", "end", "lost"], b"last")
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def test_the_peer_does_not_see_an_end_through_a_cut(tmp_path: FilePath) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
-        recorder, far = await dial(peer)
-        with far:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+        recorder, peer_socket = await dial(peer)
+        with peer_socket:
             assert recorder.transport is not None
             await cut(network, view, TO_PEER)
             recorder.transport.abort()
             assert recorder.transport.is_closing()
             await until(lambda: "lost" in recorder.events)
-            assert await has_nothing_to_read(far)
+            assert await has_nothing_to_read(peer_socket)
             network.heal(TO_PEER)
-            assert await asyncio.get_running_loop().sock_recv(far, 100) == b""
+            assert await asyncio.get_running_loop().sock_recv(peer_socket, 100) == b""
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("paths", [TO_PEER, FROM_PEER], ids=["out", "in"])
 def test_unacknowledged_bytes_end_a_connection_by_its_user_timeout(tmp_path: FilePath, paths: tuple[Path, ...]) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
-        recorder, far = await dial(peer)
-        with far:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+        recorder, peer_socket = await dial(peer)
+        with peer_socket:
             assert recorder.transport is not None
             sock = recorder.transport.get_extra_info("socket")
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 100)
@@ -234,60 +234,60 @@
             await until(lambda: "lost" in recorder.events)
             assert isinstance(recorder.error, TimeoutError)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def test_a_reset_ends_only_the_connections_of_its_pair(tmp_path: FilePath) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
-        recorder, far = await dial(peer)
-        with far:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+        recorder, peer_socket = await dial(peer)
+        with peer_socket:
             network.reset("127.0.14.3", PEER)
             network.reset(OWN, "127.0.14.3")
             network.reset(PEER, OWN)
             with pytest.raises(ConnectionResetError):
-                await asyncio.get_running_loop().sock_recv(far, 100)
+                await asyncio.get_running_loop().sock_recv(peer_socket, 100)
             await until(lambda: "lost" in recorder.events)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def test_a_pair_that_was_not_reset_lives_on(tmp_path: FilePath) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
-        recorder, far = await dial(peer)
-        with far:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+        recorder, peer_socket = await dial(peer)
+        with peer_socket:
             network.reset("127.0.14.3", PEER)
             network.reset(OWN, "127.0.14.3")
-            await cut(network, view, TO_PEER)  # by then the resets were read too
+            await cut(network, view, TO_PEER)  # the resets have been read by then
             network.heal(TO_PEER)
-            await asyncio.get_running_loop().sock_sendall(far, b"on")
+            await asyncio.get_running_loop().sock_sendall(peer_socket, b"on")
             await until(lambda: recorder.data == b"on")
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def test_datagrams_on_a_cut_path_are_lost(tmp_path: FilePath) -> None:
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
         with (
             guarded_sockets(view)(socket.AF_INET, socket.SOCK_DGRAM) as own,
-            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as far,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer_socket,
         ):
             own.setblocking(False)
             own.bind((OWN, 0))
-            far.bind((PEER, 0))
-            far.settimeout(STORY_S)
+            peer_socket.bind((PEER, 0))
+            peer_socket.settimeout(TEST_TIMEOUT_S)
             await cut(network, view, TO_PEER)
-            assert own.sendto(b"lost", far.getsockname()) == 4
+            assert own.sendto(b"lost", peer_socket.getsockname()) == 4
             network.heal(TO_PEER)
             await until(lambda: not view.is_cut_to(PEER))
-            own.sendto(b"comes", far.getsockname())
-            assert far.recv(100) == b"comes"
+            own.sendto(b"comes", peer_socket.getsockname())
+            assert peer_socket.recv(100) == b"comes"
             await cut(network, view, FROM_PEER)
-            far.sendto(b"lost", own.getsockname())
+            peer_socket.sendto(b"lost", own.getsockname())
             await until(lambda: is_readable(own))
             with pytest.raises(BlockingIOError):
                 own.recvfrom(100)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 def is_readable(sock: socket.socket) -> bool:
@@ -298,7 +298,7 @@
 
 
 def test_overlapping_cuts_of_a_path_heal_one_by_one(tmp_path: FilePath) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         network = LabNetwork(tmp_path / "network.json")
         first, second = both_ways([OWN], [PEER]), one_way([OWN], [PEER, "127.0.14.3"])
         network.cut(first)
@@ -309,12 +309,12 @@
         network.heal(second)
         assert not network.is_cut(OWN, PEER)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_process_ends_with_the_laboratory_that_started_it(tmp_path: FilePath) -> None:
-    """A controller whose parent is killed; its grandparent sees it end by the end of what it holds open."""
-    network = asyncio.run(made(tmp_path))
+    """A controller ends when its parent is killed. The test, its grandparent, notices by the end of the pipe."""
+    network = asyncio.run(make_network(tmp_path))
     settings = tmp_path / "settings.yaml"
     settings.write_text(
         f"node_name: n\nip: {OWN}\nzone: z\nis_first_start: true\n"
@@ -327,7 +327,7 @@
         while not listens(OWN, 8299):
             assert parent.poll() is None
         parent.kill()
-        assert parent.stdout.read() == b""  # at the end of all who hold it
+        assert parent.stdout.read() == b""  # returns once all processes that hold the pipe have ended
 
 
 def listens(ip: str, port: int) -> bool:
@@ -336,11 +336,11 @@
 
 
 def test_a_dial_given_up_in_the_turn_in_which_it_comes_up_is_asked_nothing_any_more(tmp_path: FilePath) -> None:
-    """The loop has closed its socket and told nobody. A reset of its path, and a cut, find nothing there; the process
-    goes on looking at the network."""
+    """The loop has closed its socket without a callback. A later reset and cut of its path must not use that socket,
+    and the process must keep polling the network."""
 
     class GivenUp(Recorder):
-        """Gives its dial up as soon as it is up and its socket was asked for, as a ``Link`` does."""
+        """Cancels its dial once connected, after using its socket as a ``Link`` does."""
 
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             super().connection_made(transport)
@@ -350,7 +350,7 @@
 
     dial_task: asyncio.Task[Any] | None = None
 
-    async def story(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
+    async def scenario(network: LabNetwork, view: NetworkView, peer: Peer) -> None:
         nonlocal dial_task
         recorder = GivenUp()
         loop = asyncio.get_running_loop()
@@ -368,4 +368,4 @@
         await until(lambda: view.is_connectable(PEER))
         assert recorder.events == ["made"]
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The short form of the soak: real processes under faults that overlap; and what is made of many runs."""
+"""Short soak runs of real processes under overlapping faults, and the campaign of many runs."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from cranebank.fleetlab.soak_verdict import SoakVerdict
 from cranebank.fleetlab.tally_judge import acknowledged_share
 
-CI_SEED = 3  # a controller cut off from the others, resets, a proxy killed: three at once
-APART_SEED = 7  # a zone loses its power, another is emptied, and those two lose each other
+CI_SEED = 3  # three at once: a controller cut off from the others, resets and a killed proxy
+MULTI_ZONE_SEED = 7  # a zone loses power, another is evacuated, and the two are cut off from each other
 
 
 def test_a_short_run_keeps_the_rules_and_serves(tmp_path: Path) -> None:
@@ -29,28 +29,28 @@
     assert any(" + " in pair for pair in verdict.overlaps)
     assert verdict.windows >= 3
     assert verdict.acknowledged >= 5
-    kept = msgspec.json.decode((tmp_path / "record.json").read_bytes(), type=DayRecord)
-    assert len(kept.tries) >= verdict.requests
+    record = msgspec.json.decode((tmp_path / "record.json").read_bytes(), type=DayRecord)
+    assert len(record.tries) >= verdict.requests
     assert msgspec.json.decode((tmp_path / "plan.json").read_bytes(), type=SoakPlan) == plan
 
 
 def test_zones_apart_lose_no_tally_flood_no_cold_backend_and_keep_to_evacuations(tmp_path: Path) -> None:
-    plan = draw(APART_SEED, SHORT_APART)
+    plan = draw(MULTI_ZONE_SEED, SHORT_APART)
     verdict = play(plan, tmp_path)
     assert not verdict.failures
     assert sum(verdict.faults.values()) == len(plan.episodes[0])
-    kept = msgspec.json.decode((tmp_path / "record.json").read_bytes(), type=DayRecord)
-    assert acknowledged_share(kept) >= 0.9
-    assert [order.acked is not None for order in kept.evacuations] == [True, True]
-    assert kept.cold_times
+    record = msgspec.json.decode((tmp_path / "record.json").read_bytes(), type=DayRecord)
+    assert acknowledged_share(record) >= 0.9
+    assert [order.acked is not None for order in record.evacuations] == [True, True]
+    assert record.cold_times
 
 
 def verdict(seed: int, failures: tuple[str, ...] = (), **faults: int) -> SoakVerdict:
     return SoakVerdict(seed, list(failures), faults, {"a + b": 2, "three at once": 1}, {}, 100, 1.0, 9, 0.1, 5)
 
 
-def scripted(monkeypatch: pytest.MonkeyPatch, verdicts: list[SoakVerdict]) -> None:
-    """Runs are not played but come out like this; in this process, where nothing has to be started."""
+def script_verdicts(monkeypatch: pytest.MonkeyPatch, verdicts: list[SoakVerdict]) -> None:
+    """Replace runs by given verdicts, in this process and without starting others."""
 
     def play_scripted(plan: SoakPlan, folder: Path, progress: object) -> SoakVerdict:
         (folder / "plan.json").write_bytes(b"{}")
@@ -62,7 +62,7 @@
 
 
 def test_what_a_failing_run_left_stays(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    scripted(monkeypatch, [verdict(1), verdict(2, ("OUTAGE: all refused",))])
+    script_verdicts(monkeypatch, [verdict(1), verdict(2, ("OUTAGE: all refused",))])
     campaign.play_one(draw(1), tmp_path / "seed-1")
     campaign.play_one(draw(2), tmp_path / "seed-2")
     assert {path.name for path in (tmp_path / "seed-1").iterdir()} == {"plan.json"}
--- a/tests/test_soak_faults.py
+++ b/tests/test_soak_faults.py
@@ -1,4 +1,4 @@
-"""Faults of soak runs on stand-ins for processes and backends: who is struck, what is cut, and that all of it heals."""
+"""Faults of soak runs on stand-ins for processes and backends: their victims, the cut paths, and that all heal."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
 
 
 class StandIn:
-    """A process that does as it is told at once."""
+    """A process that carries out and records each call at once."""
 
     def __init__(self, name: str, role: str, ip: str, zone: str = "z-1") -> None:
         self.name, self.role, self.ip, self.zone = name, role, ip, zone
         self.is_running = True
-        self.told: list[str] = []
+        self.calls: list[str] = []
         self.process = None
 
     async def kill(self) -> None:
         self.is_running = False
-        self.told.append("kill")
+        self.calls.append("kill")
 
     async def stop(self, seconds: float) -> bool:
         self.is_running = False
-        self.told.append("stop")
+        self.calls.append("stop")
         await asyncio.sleep(0)
         return True
 
     def send(self, number: signal.Signals) -> None:
-        self.told.append(number.name)
+        self.calls.append(number.name)
 
     def clear_disk(self) -> None:
         assert not self.is_running
-        self.told.append("clear")
+        self.calls.append("clear")
 
 
 class StandInFleet:
@@ -68,7 +68,7 @@
     async def start(self, process: StandIn) -> None:
         assert not process.is_running, "started twice"
         process.is_running = True
-        process.told.append("start")
+        process.calls.append("start")
 
     def add_controller(self, zone: str) -> StandIn:
         made = self.controllers["control-4"] = StandIn("control-4", "control", "10.0.0.4", zone)
@@ -103,8 +103,8 @@
         self.heartbeat_address = address
 
 
-class Stage:
-    """A scene on stand-ins."""
+class Harness:
+    """A fault scene with stand-ins."""
 
     def __init__(self, folder: Path) -> None:
         self.fleet = StandInFleet()
@@ -134,20 +134,20 @@
         return PRIMARY
 
     async def add_backend(self, service: str, stage: str, zone: str) -> StandInBackend:
-        assert zone == "z-1", "the one that it replaces is in another zone"
+        assert zone == "z-1", "the replaced backend is in another zone"
         self.backends.append(StandInBackend(len(self.backends) + 1, service, stage))
         return self.backends[-1]
 
-    def told(self) -> dict[str, list[str]]:
-        return {process.name: process.told for process in self.fleet.processes if process.told}
+    def calls(self) -> dict[str, list[str]]:
+        return {process.name: process.calls for process in self.fleet.processes if process.calls}
 
 
-def play(folder: Path, story: Callable[[Stage], Awaitable[None]]) -> Stage:
-    async def run() -> Stage:
-        stage = Stage(folder)
+def play(folder: Path, scenario: Callable[[Harness], Awaitable[None]]) -> Harness:
+    async def run() -> Harness:
+        harness = Harness(folder)
         async with asyncio.timeout(10):
-            await story(stage)
-        return stage
+            await scenario(harness)
+        return harness
 
     return asyncio.run(run())
 
@@ -165,21 +165,21 @@
 
 @pytest.mark.parametrize("kind", OF_PROCESSES)
 def test_a_fault_of_processes_is_noted_and_all_run_again(tmp_path: Path, kind: FaultKind) -> None:
-    stage = play(tmp_path, lambda stage: stage.process_faults.inject(fault(kind)))
-    assert all(process.is_running for process in stage.fleet.processes)
-    assert len(stage.fleet.controllers) == len(stage.fleet.proxies) == 3
-    assert not stage.scene.held
-    (noted,) = stage.record.faults
-    assert noted.kind == kind.value
-    assert noted.begin <= noted.end < float("inf")
-    assert stage.record.troubles
-    assert all(trouble.end < float("inf") for trouble in stage.record.troubles)
-    for name, proxy in stage.fleet.proxies.items():
-        assert stage.platform.proxies[name].life == 1 + proxy.told.count("start")
+    harness = play(tmp_path, lambda harness: harness.process_faults.inject(fault(kind)))
+    assert all(process.is_running for process in harness.fleet.processes)
+    assert len(harness.fleet.controllers) == len(harness.fleet.proxies) == 3
+    assert not harness.scene.held
+    (injected,) = harness.record.faults
+    assert injected.kind == kind.value
+    assert injected.begin <= injected.end < float("inf")
+    assert harness.record.troubles
+    assert all(trouble.end < float("inf") for trouble in harness.record.troubles)
+    for name, proxy in harness.fleet.proxies.items():
+        assert harness.platform.proxies[name].life == 1 + proxy.calls.count("start")
 
 
 @pytest.mark.parametrize(
-    ("kind", "least", "most"),
+    ("kind", "required", "allowed"),
     [
         (FaultKind.KILL_PRIMARY, {PRIMARY}, {PRIMARY}),
         (FaultKind.KILL_CONTROLLER, set(), {"control-1", "control-3"}),
@@ -187,75 +187,75 @@
     ],
 )
 @pytest.mark.parametrize("choice", range(5))
-def test_who_is_struck(tmp_path: Path, kind: FaultKind, least: set[str], most: set[str], choice: int) -> None:
-    struck = set(play(tmp_path, lambda stage: stage.process_faults.inject(fault(kind, choice))).told())
+def test_who_is_struck(tmp_path: Path, kind: FaultKind, required: set[str], allowed: set[str], choice: int) -> None:
+    struck = set(play(tmp_path, lambda harness: harness.process_faults.inject(fault(kind, choice))).calls())
     assert struck
-    assert least <= struck <= most
+    assert required <= struck <= allowed
 
 
 def test_a_wiped_disk_is_cleared_while_the_process_is_down(tmp_path: Path) -> None:
-    stage = play(tmp_path, lambda stage: stage.process_faults.inject(fault(FaultKind.WIPE_CONTROLLER)))
-    assert list(stage.told().values()) == [["kill", "clear", "start"]]
+    harness = play(tmp_path, lambda harness: harness.process_faults.inject(fault(FaultKind.WIPE_CONTROLLER)))
+    assert list(harness.calls().values()) == [["kill", "clear", "start"]]
 
 
 def test_a_replaced_controller_is_listed_at_its_new_address(tmp_path: Path) -> None:
-    stage = play(tmp_path, lambda stage: stage.process_faults.inject(fault(FaultKind.REPLACE_CONTROLLER)))
-    assert "control-4" in stage.fleet.controllers
-    assert "10.0.0.4:1" in stage.fleet.listed_controllers
-    assert len(stage.fleet.listed_controllers) == 3
+    harness = play(tmp_path, lambda harness: harness.process_faults.inject(fault(FaultKind.REPLACE_CONTROLLER)))
+    assert "control-4" in harness.fleet.controllers
+    assert "10.0.0.4:1" in harness.fleet.listed_controllers
+    assert len(harness.fleet.listed_controllers) == 3
 
 
 def test_two_faults_do_not_strike_one_process(tmp_path: Path) -> None:
-    async def story(stage: Stage) -> None:
-        first = asyncio.ensure_future(stage.process_faults.inject(fault(FaultKind.KILL_PRIMARY, seconds=0.1)))
+    async def scenario(harness: Harness) -> None:
+        first = asyncio.ensure_future(harness.process_faults.inject(fault(FaultKind.KILL_PRIMARY, seconds=0.1)))
         await asyncio.sleep(0.01)
         with pytest.raises(NoVictimError):
-            await stage.process_faults.inject(fault(FaultKind.PAUSE_PRIMARY))
+            await harness.process_faults.inject(fault(FaultKind.PAUSE_PRIMARY))
         await first
 
-    assert play(tmp_path, story).told() == {PRIMARY: ["kill", "start"]}
+    assert play(tmp_path, scenario).calls() == {PRIMARY: ["kill", "start"]}
 
 
 @pytest.mark.parametrize("kind", [FaultKind.KILL_CONTROLLER, FaultKind.STOP_CONTROLLER, FaultKind.ROLL_CONTROLLERS])
 def test_what_is_down_by_another_fault_is_left_to_it_when_everything_is_killed(tmp_path: Path, kind: FaultKind) -> None:
-    """Each process is started once for each time that it ended: the stand-in fails where one is started twice."""
+    """Each process is started once after each end. The stand-in fails if a running process is started."""
 
-    async def story(stage: Stage) -> None:
-        first = asyncio.ensure_future(stage.process_faults.inject(fault(kind, seconds=0.1)))
+    async def scenario(harness: Harness) -> None:
+        first = asyncio.ensure_future(harness.process_faults.inject(fault(kind, seconds=0.1)))
         await asyncio.sleep(0.01)
-        await stage.process_faults.inject(fault(FaultKind.KILL_EVERYTHING, seconds=0.02))
+        await harness.process_faults.inject(fault(FaultKind.KILL_EVERYTHING, seconds=0.02))
         await first
 
-    stage = play(tmp_path, story)
-    assert all(process.is_running for process in stage.fleet.processes)
+    harness = play(tmp_path, scenario)
+    assert all(process.is_running for process in harness.fleet.processes)
 
 
 def test_a_roll_passes_over_what_another_fault_has_ended(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Everything is killed while the roll waits between two of its processes."""
+    """All processes are killed while the rolling restart waits between two processes."""
     monkeypatch.setattr(process_faults, "ROLL_INTERVAL_S", 0.05)
 
-    async def story(stage: Stage) -> None:
-        roll = asyncio.ensure_future(stage.process_faults.inject(fault(FaultKind.ROLL_CONTROLLERS)))
+    async def scenario(harness: Harness) -> None:
+        roll = asyncio.ensure_future(harness.process_faults.inject(fault(FaultKind.ROLL_CONTROLLERS)))
         await asyncio.sleep(0.02)
-        await stage.process_faults.inject(fault(FaultKind.KILL_EVERYTHING, seconds=0.1))
+        await harness.process_faults.inject(fault(FaultKind.KILL_EVERYTHING, seconds=0.1))
         await roll
 
-    stage = play(tmp_path, story)
-    assert all(process.is_running for process in stage.fleet.processes)
-    assert {tuple(told) for name, told in stage.told().items() if name.startswith("control")} == {
+    harness = play(tmp_path, scenario)
+    assert all(process.is_running for process in harness.fleet.processes)
+    assert {tuple(calls) for name, calls in harness.calls().items() if name.startswith("control")} == {
         ("stop", "start", "kill", "start"),
         ("kill", "start"),
     }
 
 
 def test_a_paused_process_that_is_killed_is_started_again(tmp_path: Path) -> None:
-    async def story(stage: Stage) -> None:
-        first = asyncio.ensure_future(stage.process_faults.inject(fault(FaultKind.PAUSE_PRIMARY, seconds=0.1)))
+    async def scenario(harness: Harness) -> None:
+        first = asyncio.ensure_future(harness.process_faults.inject(fault(FaultKind.PAUSE_PRIMARY, seconds=0.1)))
         await asyncio.sleep(0.01)
-        await stage.process_faults.inject(fault(FaultKind.KILL_EVERYTHING, seconds=0.02))
+        await harness.process_faults.inject(fault(FaultKind.KILL_EVERYTHING, seconds=0.02))
         await first
 
-    assert play(tmp_path, story).told()[PRIMARY] == ["SIGSTOP", "kill", "start", "SIGCONT"]
+    assert play(tmp_path, scenario).calls()[PRIMARY] == ["SIGSTOP", "kill", "start", "SIGCONT"]
 
 
 @pytest.mark.parametrize("kind", CUTS)
@@ -263,53 +263,53 @@
 def test_a_cut_heals_and_leaves_some_backends_alone(tmp_path: Path, kind: FaultKind, choice: int) -> None:
     cuts: list[tuple[str, str]] = []
 
-    async def story(stage: Stage) -> None:
-        noted = stage.network.cut
+    async def scenario(harness: Harness) -> None:
+        original_cut = harness.network.cut
 
-        def cut(paths: Any) -> None:
+        def record_and_cut(paths: Any) -> None:
             cuts.extend(paths)
-            noted(paths)
+            original_cut(paths)
 
-        stage.network.cut = cut  # type: ignore[method-assign]
-        await stage.network_faults.inject(fault(kind, choice))
+        harness.network.cut = record_and_cut  # type: ignore[method-assign]
+        await harness.network_faults.inject(fault(kind, choice))
 
-    stage = play(tmp_path, story)
+    harness = play(tmp_path, scenario)
     assert cuts
     assert all(source != target for source, target in cuts)
-    assert not any(stage.network.is_cut(*path) for path in cuts)
-    backends = {one.address.rpartition(":")[0] for one in stage.backends}
+    assert not any(harness.network.is_cut(*path) for path in cuts)
+    backends = {one.address.rpartition(":")[0] for one in harness.backends}
     assert not backends <= {ip for path in cuts for ip in path}
-    assert all(trouble.end < float("inf") for trouble in stage.record.troubles)
+    assert all(trouble.end < float("inf") for trouble in harness.record.troubles)
     between = [path for path in cuts if all(ip.startswith("10.0.0.") for ip in path)]
-    assert bool(between) == any(trouble.machine == "core" for trouble in stage.record.troubles)
-    assert {name for broken in stage.record.broken_links for name in broken.machines} == {
+    assert bool(between) == any(trouble.machine == "core" for trouble in harness.record.troubles)
+    assert {name for broken in harness.record.broken_links for name in broken.machines} == {
         process.name
-        for process in stage.fleet.controllers.values()
+        for process in harness.fleet.controllers.values()
         if process.ip in {ip for path in between for ip in path}
     }
 
 
 def test_one_direction_is_cut_for_a_deaf_and_a_mute_controller(tmp_path: Path) -> None:
-    async def story(stage: Stage) -> None:
+    async def scenario(harness: Harness) -> None:
         for kind in (FaultKind.DEAF_CONTROLLER, FaultKind.MUTE_CONTROLLER):
-            paths = stage.network_faults._paths(kind, Random(3))
+            paths = harness.network_faults._paths(kind, Random(3))
             ends = {path.target if kind is FaultKind.DEAF_CONTROLLER else path.source for path in paths}
             assert len(ends) == 1
             assert len(paths) == 2
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("kind", ANSWERS)
 def test_answers_are_lost_for_the_time_of_the_fault_only(tmp_path: Path, kind: FaultKind) -> None:
-    async def story(stage: Stage) -> None:
-        losing = asyncio.ensure_future(stage.network_faults.inject(fault(kind, seconds=0.05)))
+    async def scenario(harness: Harness) -> None:
+        losing = asyncio.ensure_future(harness.network_faults.inject(fault(kind, seconds=0.05)))
         await asyncio.sleep(0.01)
-        assert [caller.share_lost > 0 for caller in stage.callers].count(True) == 1
+        assert [caller.share_lost > 0 for caller in harness.callers].count(True) == 1
         await losing
-        assert not any(caller.share_lost for caller in stage.callers)
+        assert not any(caller.share_lost for caller in harness.callers)
 
-    play(tmp_path, story)
+    play(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("kind", OF_BACKENDS)
@@ -317,15 +317,15 @@
 def test_after_a_fault_of_backends_each_service_can_still_be_served(
     tmp_path: Path, kind: FaultKind, choice: int
 ) -> None:
-    stage = play(tmp_path, lambda stage: stage.backend_faults.inject(fault(kind, choice)))
-    assert [noted.kind for noted in stage.record.faults] == [kind.value]
-    left = {(one.service, one.model.stage) for one in stage.backends if not one.ended.is_set()}
+    harness = play(tmp_path, lambda harness: harness.backend_faults.inject(fault(kind, choice)))
+    assert [injected.kind for injected in harness.record.faults] == [kind.value]
+    left = {(one.service, one.model.stage) for one in harness.backends if not one.ended.is_set()}
     assert {service for service, _ in left} == {"g1", "g2"}
     gone = {("g1", "prefill"), ("g1", "decode"), ("g2", "prefill"), ("g2", "decode")} - left
     assert len(gone) == (kind in {FaultKind.DECODE_STAGE_LEAVES, FaultKind.PREFILL_STAGE_LEAVES})
-    assert not any(one.faults - {"crash"} for one in stage.backends)
+    assert not any(one.faults - {"crash"} for one in harness.backends)
 
 
 def test_all_heartbeats_go_to_one_controller(tmp_path: Path) -> None:
-    stage = play(tmp_path, lambda stage: stage.backend_faults.inject(fault(FaultKind.HEARTBEATS_TO_ONE, 5)))
-    assert len({one.heartbeat_address for one in stage.backends}) == 1
+    harness = play(tmp_path, lambda harness: harness.backend_faults.inject(fault(FaultKind.HEARTBEATS_TO_ONE, 5)))
+    assert len({one.heartbeat_address for one in harness.backends}) == 1
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -1,4 +1,4 @@
-"""Plans of soak runs: the same for a seed, within their bounds, and with everything in them before long."""
+"""Plans of soak runs: determined by the seed, within their bounds, and covering all kinds of faults."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 )
 
 SEEDS = range(1, 101)
-PLAN_17 = "79ea788039d7c8b4"  # digest of the plan of seed 17
+PLAN_17_DIGEST = "79ea788039d7c8b4"  # digest of the plan of seed 17
 
 
-def under_way(faults: tuple[Fault, ...], at: float) -> int:
+def active_count(faults: tuple[Fault, ...], at: float) -> int:
     return sum(fault.at <= at < fault.at + fault.seconds for fault in faults)
 
 
@@ -45,7 +45,7 @@
 def test_faults_overlap_and_no_more_than_three_at_a_time(seed: int) -> None:
     for faults in draw(seed).episodes:
         assert len(faults) >= 2
-        assert max(under_way(faults, fault.at) for fault in faults) in range(2, MAX_CONCURRENT_FAULTS + 1)
+        assert max(active_count(faults, fault.at) for fault in faults) in range(2, MAX_CONCURRENT_FAULTS + 1)
         for before, after in pairwise(faults):
             assert before.at <= after.at
         for fault in faults:
@@ -79,7 +79,7 @@
 def test_a_plan_of_one_zone_is_the_one_that_it_was_before_there_were_zones() -> None:
     plan = draw(17)
     digest = hashlib.sha256(msgspec.json.encode((plan.seed, plan.shape.controllers, plan.episodes))).hexdigest()
-    assert digest[:16] == PLAN_17
+    assert digest[:16] == PLAN_17_DIGEST
     assert plan.options == RunOptions()
 
 
--- a/tests/test_system_day.py
+++ b/tests/test_system_day.py
@@ -1,4 +1,4 @@
-"""A short day of the whole system, with real processes on loopback; the primary is killed in it."""
+"""A short day of the whole system with real processes on loopback, during which the primary is killed."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def check_takeover(day: DayRecord) -> None:
-    """Another controller is primary after the kill, and the end of the day reads what was acknowledged."""
+    """Check that another controller becomes primary, and that the newest acknowledged revision is read back."""
     (killed,) = [trouble for trouble in day.troubles if "killed" in trouble.what]
     before = {name for at, name in day.primaries if at < killed.begin}
     after = {name for at, name in day.primaries if at > killed.end} - {""}
@@ -40,7 +40,7 @@
 
 
 def check_drain_and_race(day: DayRecord) -> None:
-    """The drain was acknowledged, and one of the two changes of the race at the end."""
+    """Check that the drain and one of the two racing changes at the end were acknowledged."""
     (drain,) = day.drains
     assert drain.acked is not None
     assert drain.ended is not None
@@ -50,6 +50,6 @@
 
 
 def test_the_command_line_knows_the_demo() -> None:
-    told = CliRunner().invoke(cli, ["system", "demo", "--help"]).output
-    assert "--small" in told
+    help_text = CliRunner().invoke(cli, ["system", "demo", "--help"]).output
+    assert "--small" in help_text
     assert set(DAY_NAMES) == set(DAYS)
