--- a/cranebank/fleetlab/backend_faults.py
+++ b/cranebank/fleetlab/backend_faults.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from cranebank.fleetlab.backend import Backend
-from cranebank.fleetlab.fault_scene import FaultScene, NoVictimError, is_well
+from cranebank.fleetlab.fault_scene import FaultScene, NoVictimError, is_healthy
 from cranebank.fleetlab.soak_plan import Fault, FaultKind
 
 SWITCHED_FAULTS = {
@@ -49,24 +49,24 @@
 
     def _random_replaceable(self, random: Random) -> Backend:
         """Return a random healthy backend whose service and stage have another one."""
-        well = self._scene.ready_backends()
-        counts = Counter((backend.service, backend.model.stage) for backend in well)
-        candidates = [backend for backend in well if counts[backend.service, backend.model.stage] > 1]
+        healthy = self._scene.ready_backends()
+        counts = Counter((backend.service, backend.model.stage) for backend in healthy)
+        candidates = [backend for backend in healthy if counts[backend.service, backend.model.stage] > 1]
         if not candidates:
             raise NoVictimError
         return random.choice(candidates)
 
     def _stage_backends(self, random: Random, stage: str) -> list[Backend]:
         """Return all backends of a stage, of a service whose other stage has backends that can take over."""
-        well = self._scene.ready_backends()
-        services = sorted({backend.service for backend in well if backend.model.stage != stage})
+        healthy = self._scene.ready_backends()
+        services = sorted({backend.service for backend in healthy if backend.model.stage != stage})
         candidates = [
-            service for service in services if any(b.service == service and b.model.stage == stage for b in well)
+            service for service in services if any(b.service == service and b.model.stage == stage for b in healthy)
         ]
         if not candidates:
             raise NoVictimError
         service = random.choice(candidates)
-        return [backend for backend in well if backend.service == service and backend.model.stage == stage]
+        return [backend for backend in healthy if backend.service == service and backend.model.stage == stage]
 
     # Injection.
 
@@ -98,11 +98,11 @@
     async def _release(self, fault: Fault, random: Random) -> None:
         """Replace all backends of a service one after another."""
         scene = self._scene
-        well = scene.ready_backends()
-        if not well:
+        healthy = scene.ready_backends()
+        if not healthy:
             raise NoVictimError
-        service = random.choice(sorted({backend.service for backend in well}))
-        victims = [backend for backend in well if backend.service == service]
+        service = random.choice(sorted({backend.service for backend in healthy}))
+        victims = [backend for backend in healthy if backend.service == service]
         with scene.recording_fault(fault, [victim.instance for victim in victims]):
             pause = max(SUCCESSOR_LEAD_S, fault.seconds / len(victims))
             for victim in victims:
@@ -117,7 +117,7 @@
         chosen = random.choice(addresses)
         with self._scene.recording_fault(fault, [chosen]):
             for backend in self._scene.backends:
-                if is_well(backend):
+                if is_healthy(backend):
                     backend.send_heartbeats_to(chosen)
             await asyncio.sleep(fault.seconds)
 
--- a/cranebank/fleetlab/fault_scene.py
+++ b/cranebank/fleetlab/fault_scene.py
@@ -120,7 +120,7 @@
 
     def ready_backends(self) -> list[Backend]:
         """Return the healthy backends."""
-        return [backend for backend in self.backends if is_well(backend)]
+        return [backend for backend in self.backends if is_healthy(backend)]
 
     async def kill(self, process: Process) -> None:
         """Send SIGKILL to a process that will be restarted later."""
@@ -146,7 +146,7 @@
         self._to_restart.discard(process.name)
 
 
-def is_well(backend: Backend) -> bool:
+def is_healthy(backend: Backend) -> bool:
     """Return whether a backend is ready and has no fault."""
     return backend.phase == "ready" and not backend.faults and not backend.ended.is_set()
 
--- a/cranebank/fleetlab/judge.py
+++ b/cranebank/fleetlab/judge.py
@@ -17,7 +17,7 @@
 RULES = {
     "MIXED": "an answer comes whole from the backend that ran the request, and belongs to no other request",
     "UNASKED": "backends run only what a client sent, unchanged",
-    "TWICE": "a request that can't be repeated runs at most once, and no tally reading exceeds the adds sent so far",
+    "TWICE": "a request that can't be repeated runs at most once, and no tally exceeds the adds that may have counted",
     "REFUSED": "a request answered with 408, 421, 429 or 503 never runs",
     "ROUTE": "a service runs only requests that some configuration routes to it",
     "DRAIN": "no request reaches a backend later than drain_ms after the acknowledgement of its drain",
--- a/cranebank/fleetlab/model.py
+++ b/cranebank/fleetlab/model.py
@@ -29,12 +29,12 @@
     stride: int = 8  # tokens per event
     handle_ttl_s: float = 5.0
     switch_s: float = 0.8
-    read_pace: float = 40_000.0
-    piece: int = 2048
-    token_s: float = 0.002
-    crowd: float = 1.0  # relative slowdown of a token in a full batch
+    prefill_tokens_per_s: float = 40_000.0
+    prefill_chunk: int = 2048  # tokens
+    token_s: float = 0.002  # decode time of a token, alone in the batch
+    full_batch_slowdown: float = 1.0  # added to the relative time of a token in a full batch
     checks_fence: bool = True
-    report_lag_s: float = 0.3
+    report_lag_s: float = 0.3  # age of the reported state
 
 
 class GenerationRequest(msgspec.Struct, frozen=True):
@@ -226,10 +226,10 @@
 class Step:
     """The work of the batch until ``ends``."""
 
-    __slots__ = ("decode_works", "ends", "piece", "prefill_work")
+    __slots__ = ("chunk", "decode_works", "ends", "prefill_work")
 
-    def __init__(self, ends: float, decode_works: list[Work], prefill_work: Work | None, piece: int) -> None:
-        self.ends, self.decode_works, self.prefill_work, self.piece = ends, decode_works, prefill_work, piece
+    def __init__(self, ends: float, decode_works: list[Work], prefill_work: Work | None, chunk: int) -> None:
+        self.ends, self.decode_works, self.prefill_work, self.chunk = ends, decode_works, prefill_work, chunk
 
 
 class ModelBackend:
@@ -465,18 +465,22 @@
         spec = self.spec
         decode_works = [work for work in self._batch if work.phase is Phase.DECODING]
         prefill_works = [work for work in self._batch if work.phase is Phase.PREFILLING]
-        prefill_work, piece, duration_s = None, 0, 0.0
+        prefill_work, chunk, duration_s = None, 0, 0.0
         if prefill_works:
             prefill_work = min(prefill_works, key=lambda work: work.urgency)
             if not prefill_work.has_begun_prefill:
                 self._begin_prefill(prefill_work)
             is_decode = self.stage == "decode"
-            piece = min(prefill_work.remaining, int(spec.piece * (DECODE_PREFILL_CHUNK_SHARE if is_decode else 1)))
-            duration_s += piece / (spec.read_pace * (DECODE_PREFILL_PACE_SHARE if is_decode else 1))
+            chunk = min(
+                prefill_work.remaining, int(spec.prefill_chunk * (DECODE_PREFILL_CHUNK_SHARE if is_decode else 1))
+            )
+            duration_s += chunk / (spec.prefill_tokens_per_s * (DECODE_PREFILL_PACE_SHARE if is_decode else 1))
         if decode_works:
-            duration_s += spec.stride * spec.token_s * (1 + spec.crowd * len(decode_works) / spec.capacity)
+            duration_s += (
+                spec.stride * spec.token_s * (1 + spec.full_batch_slowdown * len(decode_works) / spec.capacity)
+            )
         if decode_works or prefill_work is not None:
-            self._step = Step(now + max(duration_s, 1e-6), decode_works, prefill_work, piece)
+            self._step = Step(now + max(duration_s, 1e-6), decode_works, prefill_work, chunk)
 
     def _begin_prefill(self, work: Work) -> None:
         """Skip the parts that other requests have prefilled since this one joined the batch."""
@@ -491,8 +495,8 @@
     def _end_step(self, now: float, step: Step) -> None:
         prefill_work = step.prefill_work
         if prefill_work is not None and prefill_work in self._batch and prefill_work.phase is Phase.PREFILLING:
-            prefill_work.remaining -= step.piece
-            prefill_work.prefilled += step.piece
+            prefill_work.remaining -= step.chunk
+            prefill_work.prefilled += step.chunk
             if prefill_work.remaining <= 0:
                 self._finish_prompt(prefill_work)
                 if prefill_work.request.is_prefill:
--- a/cranebank/fleetlab/network_faults.py
+++ b/cranebank/fleetlab/network_faults.py
@@ -148,10 +148,10 @@
 
     def _some_backends(self, random: Random) -> list[str]:
         """Return the IPs of some healthy backends, but not of all."""
-        well = [_ip(backend.address) for backend in self._scene.ready_backends()]
-        if len(well) < 2:
+        healthy = [_ip(backend.address) for backend in self._scene.ready_backends()]
+        if len(healthy) < 2:
             raise NoVictimError
-        return random.sample(well, random.randint(1, max(1, len(well) // 2)))
+        return random.sample(healthy, random.randint(1, max(1, len(healthy) // 2)))
 
     # Affected machines.
 
--- a/cranebank/fleetlab/soak.py
+++ b/cranebank/fleetlab/soak.py
@@ -16,7 +16,7 @@
 from cranebank.fleetlab.backend import Backend
 from cranebank.fleetlab.backend_faults import BackendFaults
 from cranebank.fleetlab.caller import Caller
-from cranebank.fleetlab.fault_scene import FaultScene, NoVictimError, is_well
+from cranebank.fleetlab.fault_scene import FaultScene, NoVictimError, is_healthy
 from cranebank.fleetlab.fleet import METRICS_PORT, Process, Programs
 from cranebank.fleetlab.lab_run import SERVICES, LabRun
 from cranebank.fleetlab.launcher import VARIABLE as NETWORK_VARIABLE
@@ -184,7 +184,7 @@
     def _can_serve(self, now: float, backend: Backend, controllers: list[Process]) -> bool:
         """Return whether a backend is healthy, connected to a controller and not in an evacuated zone."""
         return (
-            is_well(backend)
+            is_healthy(backend)
             and backend.serves_since < now - START_GRACE_S
             and any(self._are_connectable(_ip(backend), controller.ip) for controller in controllers)
             and not self._may_be_evacuated(backend.zone)
