--- a/cranebank/lab/host.py
+++ b/cranebank/lab/host.py
@@ -156,7 +156,8 @@
         for job in self.model.advance(self.stage.now()):
             self._phase_ended(job)
 
-    def _on_model_timer(self) -> None:
+    def _turn(self) -> None:
+        """End the phases of the model that are due, and set the timer for the next one."""
         self._timer = self._timer_at = None
         self._advance_model()
         self._schedule_model()
@@ -166,7 +167,7 @@
         if due != self._timer_at:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer = None if due is None else self.stage.at(due, self._on_model_timer)
+            self._timer = None if due is None else self.stage.at(due, self._turn)
             self._timer_at = due
 
     def _phase_ended(self, job: Job) -> None:
@@ -228,7 +229,7 @@
             self._schedule_model()
 
         ask = Ask(name, leg.ask.root, leg.ask.kind, leg.ask.tenant, call.key, leg.ask.work, deadline - now)
-        leg.timer = stage.at(deadline, self._call_timed_out, leg, call)
+        leg.timer = stage.at(deadline, self._late, leg, call)
         leg.out = stage.ask(self._proxy, self.host.zone, ask, done, lambda: stage.write(records.Spare(name)))
 
     def _record_call(self, call: records.Asked, reply: Reply) -> None:
@@ -237,7 +238,7 @@
         call.broke, call.named = reply.trouble == "broke", reply.named
         self.stage.write(call)
 
-    def _call_timed_out(self, leg: Leg, call: records.Asked) -> None:
+    def _late(self, leg: Leg, call: records.Asked) -> None:
         """Give up a call at its deadline and fail its leg."""
         if leg.out is not None:
             out, leg.out = leg.out, None
@@ -298,7 +299,7 @@
         if self.host.start:
             self.stage.at(self.host.start, self.start)
         if self.host.stop != NEVER:
-            self.stage.at(self.host.stop, self._stop)
+            self.stage.at(self.host.stop, self._leave)
         for fault in self.stage.plan.faults:
             if fault.host == self.host.name:
                 self._schedule_fault(fault)
@@ -337,20 +338,20 @@
                 later(at, self.kill)
                 later(at + RESTART_DOWNTIME_US, self.start)
             case "stop":
-                later(at, self._freeze, until, False)
+                later(at, self._hush, until, False)
             case "half-open":
-                later(at, self._freeze, until, True)
+                later(at, self._hush, until, True)
             case "pause":
                 when = at + int(self._random.random() * fault.every)
                 while when < until:
-                    later(when, self._freeze, when + round(fault.size * 1000), False)
+                    later(when, self._hush, when + round(fault.size * 1000), False)
                     when += fault.every
             case "slow":
-                later(at, self._set_slowdown, fault.size)
-                later(until, self._set_slowdown, 1.0)
+                later(at, self._slow, fault.size)
+                later(until, self._slow, 1.0)
             case "refuse":
                 later(at, self.gate, True)
-                later(until, self._reopen)
+                later(until, self._accept)
             case "reset" | "spoil" | "swallow":
                 later(at, setattr, self, fault.what, fault.size or 1.0)
                 later(until, setattr, self, fault.what, 0.0)
@@ -358,11 +359,12 @@
                 later(at, setattr, self, "report_lateness", round(fault.size * 1e6))
                 later(until, setattr, self, "report_lateness", 0)
 
-    def _reopen(self) -> None:
+    def _accept(self) -> None:
+        """Accept connections again unless the host is down or stopping."""
         if self.up and not self.stopping:
             self.gate(False)
 
-    def _freeze(self, until: int, cut_off: bool) -> None:
+    def _hush(self, until: int, cut_off: bool) -> None:
         """Stop reading and working until ``until``; with ``cut_off``, new connections get no answer either."""
         self._advance_model()
         self.hushed = True
@@ -371,26 +373,28 @@
             self.cut_off = True
             self.gate(True, silent=True)
         self._schedule_model()
-        self.stage.at(until, self._unfreeze, cut_off)
+        self.stage.at(until, self._wake, cut_off)
 
-    def _unfreeze(self, cut_off: bool) -> None:
+    def _wake(self, cut_off: bool) -> None:
+        """End a freeze: after a cut-off, abort the connections and accept new ones; else read what arrived."""
         self.hushed = False
         if cut_off:
             self.cut_off = False
             self._abort_links()
-            self._reopen()
+            self._accept()
             return
         self._heard_again()
 
     def _heard_again(self) -> None:
         """Read the data that arrived while the host was frozen."""
 
-    def _set_slowdown(self, factor: float) -> None:
+    def _slow(self, factor: float) -> None:
+        """Slow the model down by ``factor``."""
         self._advance_model()
         self.model.slow(factor)
         self._schedule_model()
 
-    def _stop(self) -> None:
+    def _leave(self) -> None:
         """Stop a drained host: refuse connections and requests, finish those in progress, then exit."""
         self.stopping = True
         self.gate(True)
