--- a/cranebank/cli/system.py
+++ b/cranebank/cli/system.py
@@ -132,13 +132,13 @@
     unknown = [name for name in without if name not in known]
     if unknown:
         raise click.BadParameter(f"{', '.join(unknown)}: expected some of {', '.join(known)}", param_hint="--without")
-    options = soak_plan.APART if apart else soak_plan.USUAL
+    options = soak_plan.MULTI_ZONE if apart else soak_plan.SINGLE_ZONE
     kinds = tuple(kind for kind in options.kinds if kind.value not in without)
     if file is not None:
         plans = [msgspec.json.decode(file.read_bytes(), type=soak_plan.SoakPlan)]
         wanted: tuple[soak_plan.FaultKind, ...] = ()
     else:
-        plans = [soak_plan.draw(seed, msgspec.structs.replace(options, kinds=kinds)) for seed in _seeds(seeds)]
+        plans = [soak_plan.draw_plan(seed, msgspec.structs.replace(options, kinds=kinds)) for seed in _seeds(seeds)]
         wanted = kinds if len(plans) >= len(kinds) else ()
     folder = out or Path(FOLDER) / f"soak-{timestamp()}"
     report = campaign.run(plans, jobs, folder, wanted, lambda line: click.echo(line, err=True))
--- a/cranebank/fleetlab/backend.py
+++ b/cranebank/fleetlab/backend.py
@@ -316,7 +316,7 @@
                 health_headers["X-Cold-Left"] = str(self._cold_left_ms())
             self._answer(call, 200 if self.phase == "ready" else 503, b"ok", health_headers)
         elif path == "/api/report":
-            self._handle_event(m.ReportAsked(number))
+            self._handle_event(m.ReportRequested(number))
         elif path == "/api/order":
             self._take_order(number, _decode_order(body, headers))
         elif path.startswith("/api/kv-handle/") and method == "DELETE":
@@ -344,7 +344,7 @@
         if self.ended.is_set():
             return
         now = asyncio.get_running_loop().time()
-        for action in self.model.handle(now, m.Ordered(number, order)):
+        for action in self.model.handle(now, m.OrderReceived(number, order)):
             if isinstance(action, m.Respond) and action.call == number:
                 fence_no = -1 if order.fence_no is None else order.fence_no
                 seen = OrderSeen(now, self.instance, order.owner or "", fence_no, order.stage, action.status)
--- a/cranebank/fleetlab/lab_run.py
+++ b/cranebank/fleetlab/lab_run.py
@@ -38,7 +38,7 @@
     {"g1": ("prefill", "prefill", "decode", "decode", "decode"), "g2": ("prefill", "decode", "decode")}
 )
 """The default stages of each service's backends."""
-BAD_LINE = re.compile(
+FORBIDDEN_LOG_LINE = re.compile(
     r" CRITICAL |unhandled: |Traceback \(most recent call last\)|InvariantBroken|invariant violated: "
 )
 
@@ -206,7 +206,7 @@
         found = []
         for process in [*self._fleet.processes, *self._fleet.removed]:
             text = process.log.read_text(encoding="utf-8", errors="replace") if process.log.exists() else ""
-            found += [f"{process.name}: {line}" for line in text.splitlines() if BAD_LINE.search(line)]
+            found += [f"{process.name}: {line}" for line in text.splitlines() if FORBIDDEN_LOG_LINE.search(line)]
         return found
 
     async def _add_backend(self, service: str, stage: str, zone: str = "") -> Backend:
--- a/cranebank/fleetlab/model.py
+++ b/cranebank/fleetlab/model.py
@@ -97,13 +97,13 @@
     handle: str
 
 
-class ReportAsked(msgspec.Struct, frozen=True):
+class ReportRequested(msgspec.Struct, frozen=True):
     """``GET /api/report``."""
 
     call: int
 
 
-class Ordered(msgspec.Struct, frozen=True):
+class OrderReceived(msgspec.Struct, frozen=True):
     """``POST /api/order``."""
 
     call: int
@@ -114,7 +114,7 @@
     """The time of the last ``WakeAt`` has come."""
 
 
-Event = RequestReceived | CallerLeft | HandleTaken | DeleteHandle | ReportAsked | Ordered | Wake
+Event = RequestReceived | CallerLeft | HandleTaken | DeleteHandle | ReportRequested | OrderReceived | Wake
 
 # Actions.
 
@@ -298,9 +298,9 @@
                 self._handle_taken(now, call, done)
             case DeleteHandle(call, handle):
                 self._actions.append(Respond(call, 200 if self._free_handle(handle) else 404))
-            case ReportAsked(call):
+            case ReportRequested(call):
                 self._actions.append(Respond(call, 200, self._report(now)))
-            case Ordered(call, order):
+            case OrderReceived(call, order):
                 self._order(now, call, order)
             case Wake():
                 pass
--- a/cranebank/fleetlab/soak_plan.py
+++ b/cranebank/fleetlab/soak_plan.py
@@ -209,7 +209,7 @@
     is_apart: bool = False  # in several zones, with applications, warm-up and evacuations
 
 
-USUAL = PlanOptions()
+SINGLE_ZONE = PlanOptions()
 SHORT = PlanOptions(
     (
         FaultKind.KILL_PRIMARY,
@@ -230,7 +230,7 @@
 )
 """A run of about 15 s."""
 
-APART = PlanOptions(MULTI_ZONE_KINDS, is_apart=True)
+MULTI_ZONE = PlanOptions(MULTI_ZONE_KINDS, is_apart=True)
 SHORT_APART = PlanOptions(
     (
         FaultKind.ZONE_LOSS,
@@ -251,7 +251,7 @@
 """A run of about 35 s."""
 
 
-def draw(seed: int, options: PlanOptions = USUAL) -> SoakPlan:
+def draw_plan(seed: int, options: PlanOptions = SINGLE_ZONE) -> SoakPlan:
     """Return the plan of a seed. Over consecutive seeds, each episode begins with every kind in turn."""
     random = Random(seed)
     shape = _multi_zone_shape(seed) if options.is_apart else _shape(seed)
--- a/tests/controlsim/actors.py
+++ b/tests/controlsim/actors.py
@@ -280,7 +280,7 @@
         super().__init__(world, name, random)
         self._lifetime_s, self._crashes, self._number = lifetime_s, crashes, 0
         self.zone = "a"
-        self.preferred: str = ""  # the controller that gets its heartbeats as long as it answers
+        self.preferred_controller: str = ""  # the controller that gets its heartbeats as long as it answers
 
     def start(self) -> None:
         """Start its task."""
@@ -331,9 +331,9 @@
             }
         ).encode()
         path = f"/api/Servers.Heartbeat/{self.name}"
-        answer = await self.ask("POST", path, body, ip=self.preferred)
-        if self.preferred and (answer is None or answer.status != 200):
-            answer = await self.ask("POST", path, body, ip=self.pick(without=self.preferred))
+        answer = await self.ask("POST", path, body, ip=self.preferred_controller)
+        if self.preferred_controller and (answer is None or answer.status != 200):
+            answer = await self.ask("POST", path, body, ip=self.pick(without=self.preferred_controller))
         if answer is None or answer.status != 200:
             return None
         if phase == "ready":
--- a/tests/controlsim/apart.py
+++ b/tests/controlsim/apart.py
@@ -29,7 +29,7 @@
 SPLIT_LENGTHS_S = ((20.0, 40.0), (20.0, 40.0), (60.0, 80.0))
 POWER_RETURN_SPREAD_S = 1.5  # in which all machines of a zone return
 PROXIES, BACKENDS = 5, 10
-MOST_TAKEOVERS = 2  # during a bridge without a strike
+MAX_TAKEOVERS = 2  # during a bridge without a strike
 RECONFIRM_TIMEOUT_S = 5.0
 DOWNTIME_S = (0.2, 4.0)  # of a machine that is struck during the partition
 RESTART_COUNT = 8  # of a machine that restarts often
@@ -75,7 +75,7 @@
         ends_at = random.choice([begins_at + seconds * random.uniform(0.6, 0.9), world.faults_s + 60.0])
         world.add_backend(number, starts_at, ends_at - starts_at, crashes=random.random() < 0.3)
         own = [machine.ip for machine in world.machines.values() if machine.zone == world.backends[-1].zone]
-        world.backends[-1].preferred = random.choice(own)
+        world.backends[-1].preferred_controller = random.choice(own)
 
 
 def _begin_split(world: World, kind: str, seconds: float, second_fault: str) -> None:
@@ -174,7 +174,7 @@
 
 def _can_be_lost(world: World, victims: list[Machine]) -> bool:
     """Whether a controller still reaches a majority without the victims, and no more is lost than must be tolerated."""
-    if any(one.troubles or not one.is_running for one in victims):
+    if any(one.active_faults or not one.is_running for one in victims):
         return False
     if len(world.machines_in_trouble()) + len(victims) > TOLERANCE:
         return False
@@ -218,7 +218,7 @@
     world.judge.counts["takeovers in bridges without a strike"] += takeovers
     if split.seconds >= 60.0:
         world.judge.counts["bridges of 60 s without a strike"] += 1
-    if takeovers > MOST_TAKEOVERS:
+    if takeovers > MAX_TAKEOVERS:
         world.judge.breach("bridge", f"{takeovers} takeovers in {split.seconds:.0f} s")
 
 
--- a/tests/controlsim/in_step.py
+++ b/tests/controlsim/in_step.py
@@ -37,7 +37,7 @@
                 self._in_contact_since.pop(machine.ip, None)
 
     def _is_in_contact(self, machine: Machine) -> bool:
-        is_well = machine.controller is not None and not machine.is_frozen and not machine.troubles
+        is_well = machine.controller is not None and not machine.is_frozen and not machine.active_faults
         if machine.bridges and self._world.is_cut_from_primary(machine):
             return False
         return is_well and not machine.is_removed and machine.ip not in self._world.ips_without_majority
--- a/tests/controlsim/scenarios.py
+++ b/tests/controlsim/scenarios.py
@@ -547,7 +547,7 @@
     ips, seconds = list(world.machines), random.uniform(17.0, 21.0)
     victim = random.choice(ips)
     for backend in random.sample(world.backends, 5):
-        backend.preferred = random.choice(ips) if kind == "each from all others" else victim
+        backend.preferred_controller = random.choice(ips) if kind == "each from all others" else victim
     for ip in ips if kind == "each from all others" else [victim]:
         pairs = [(ip, other) for other in ips if other != ip]
         if kind != "one way":
--- a/tests/controlsim/stages.py
+++ b/tests/controlsim/stages.py
@@ -108,10 +108,10 @@
         self._calls += 1
         if path == "/api/report":
             self.world.stage_rules.asked(self.name, caller.transport.remote)
-            self._feed(caller, m.ReportAsked(self._calls))
+            self._feed(caller, m.ReportRequested(self._calls))
             return
         order = msgspec.structs.replace(msgspec.json.decode(body, type=m.Order), target=target)
-        response = self._feed(caller, m.Ordered(self._calls, order))
+        response = self._feed(caller, m.OrderReceived(self._calls, order))
         self.world.stage_rules.ordered(self.name, order, response.status)
         self.world.stage_rules.ordered_by[self.name] = caller.transport.remote
 
--- a/tests/controlsim/world.py
+++ b/tests/controlsim/world.py
@@ -56,7 +56,7 @@
         self.lives = 0
         self.is_removed = False
         self.recovered_at = 0.0  # time of its last start or stop, or begin or end of a fault
-        self.troubles = 0  # number of active faults
+        self.active_faults = 0  # number of active faults
         self.bridges = 0  # active cuts to one other zone, which leave it in contact with a majority
 
     @property
@@ -72,7 +72,7 @@
     @property
     def is_disturbed(self) -> bool:
         """Whether a fault is active on this machine, or its controller is down."""
-        return bool(self.troubles or self.bridges) or not self.is_running
+        return bool(self.active_faults or self.bridges) or not self.is_running
 
 
 class RecordingPlane:
@@ -472,12 +472,12 @@
         if loop is None or loop.is_frozen:
             return
         loop.freeze()
-        machine.troubles += 1
+        machine.active_faults += 1
         self.judge.note(f"{machine.ip} is frozen for {seconds:.1f} s")
         self.changed(machine)
 
         def thaw() -> None:
-            machine.troubles -= 1
+            machine.active_faults -= 1
             if not loop.is_dead:
                 self.judge.note(f"{machine.ip} is thawed")
                 loop.thaw()
@@ -492,12 +492,12 @@
     def cut_machines(self, machines: list[Machine], pairs: list[tuple[str, str]], seconds: float, why: str) -> None:
         """Cut one-way paths of several machines, which count as in trouble, for this long."""
         for machine in machines:
-            machine.troubles += 1
+            machine.active_faults += 1
         self._cut_paths(machines, pairs, why, seconds)
 
         def heal() -> None:
             for machine in machines:
-                machine.troubles -= 1
+                machine.active_faults -= 1
             self._heal_paths(machines, pairs)
 
         self.scheduler.after(seconds, heal)
@@ -575,7 +575,7 @@
             machine
             for machine in self.machines.values()
             if not machine.is_removed
-            and (machine.troubles or not machine.is_running or now - machine.recovered_at < CATCH_UP_TIMEOUT_S)
+            and (machine.active_faults or not machine.is_running or now - machine.recovered_at < CATCH_UP_TIMEOUT_S)
         ]
 
     def is_calm(self) -> bool:
@@ -634,7 +634,9 @@
             if machine.controller is not None:
                 for what in machine.controller.stage_balancer_driver.balancer.violations:
                     self.judge.breach("invariant", f"{machine.ip}: {what}")
-        is_in_trouble = any(one.troubles or not one.is_running for one in self.machines.values() if not one.is_removed)
+        is_in_trouble = any(
+            one.active_faults or not one.is_running for one in self.machines.values() if not one.is_removed
+        )
         self.stage_rules.check(self.staged, self.switch_s, self.scheduler.now if is_in_trouble else self.last_event)
 
     def _check_majority(self) -> None:
@@ -778,7 +780,7 @@
 
     def _settled_at(self) -> float:
         """Return when everything must have recovered, counted from the end of the last fault."""
-        is_troubled = any(machine.troubles or machine.bridges for machine in self.machines.values())
+        is_troubled = any(machine.active_faults or machine.bridges for machine in self.machines.values())
         return (self.scheduler.now if is_troubled else max(self.faults_s, self.last_event)) + RECOVERY_TIMEOUT_S
 
     def _check_end_state(self, changes: int, readings: int) -> None:
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -16,7 +16,7 @@
 from cranebank import background
 from cranebank.background import UNHANDLED, BackgroundTasks
 from cranebank.fleetlab.judge import judge
-from cranebank.fleetlab.lab_run import BAD_LINE
+from cranebank.fleetlab.lab_run import FORBIDDEN_LOG_LINE
 from cranebank.fleetlab.records import DayRecord
 from cranebank.invariants import violations
 from cranebank.programs.log_ring import LogRing
@@ -78,7 +78,7 @@
 
     asyncio.run(run())
     assert violations() == {UNHANDLED: 1}
-    assert any(BAD_LINE.search(line) for line in lines)
+    assert any(FORBIDDEN_LOG_LINE.search(line) for line in lines)
 
 
 def test_a_day_whose_processes_report_a_violation_is_not_kept() -> None:
--- a/tests/test_fleet_logs.py
+++ b/tests/test_fleet_logs.py
@@ -90,7 +90,7 @@
 ) -> None:
     output = ""
 
-    async def story(s: ProxyHarness) -> None:
+    async def scenario(s: ProxyHarness) -> None:
         await s.ask()
 
         def has_tally() -> bool:
@@ -100,7 +100,7 @@
 
         await until(has_tally)
 
-    play(tmp_path, story, UpstreamHost(), own=(f"log.tally_s={every}",))
+    play(tmp_path, scenario, UpstreamHost(), own=(f"log.tally_s={every}",))
     tallies = [tally for tally in map(fleetlog.parse, filter(str.strip, output.splitlines())) if tally.event == "tally"]
     served = sum(int(tally.fields.get("+answers_served", 0)) for tally in tallies)
     assert (bool(tallies), served) == (bool(every), int(bool(every)))
--- a/tests/test_lost_but_heard.py
+++ b/tests/test_lost_but_heard.py
@@ -96,12 +96,12 @@
         world.add_backend(2, CUT_AT + 0.5, 60.0)
         world.add_backend(3, 1.0, 14.0, crashes=True)
         for backend in world.backends:
-            backend.preferred = A
+            backend.preferred_controller = A
         world.scheduler.run_until(CUT_AT)
         for pair in pairs:
             world.network.cut(*pair)
         for machine in world.machines.values():
-            machine.troubles += 1
+            machine.active_faults += 1
             world.changed(machine)
         yield world
     finally:
--- a/tests/test_model_backend.py
+++ b/tests/test_model_backend.py
@@ -20,8 +20,8 @@
     HandleTaken,
     ModelBackend,
     Order,
-    Ordered,
-    ReportAsked,
+    OrderReceived,
+    ReportRequested,
     RequestReceived,
     Respond,
     TakeHandle,
@@ -233,9 +233,9 @@
     for call in (1, 2, 3):
         driver.ask(call)
     order = Order("stage", "prefill", "node-7", 41)
-    driver.do(Ordered(9, order))
+    driver.do(OrderReceived(9, order))
     assert (driver.answer(9).status, driver.answer(3).not_run) == (202, True)
-    driver.do(Ordered(10, order))
+    driver.do(OrderReceived(10, order))
     driver.ask(4)
     assert (driver.answer(10).status, driver.answer(4).status) == (409, 503)
     driver.run(20.0)
@@ -248,7 +248,7 @@
         (15, {"expected": 0, "stage": "decode"}, 409),
         (16, {"target": "i-2"}, 421),
     ):
-        driver.do(Ordered(call, msgspec.structs.replace(order, **changed)))
+        driver.do(OrderReceived(call, msgspec.structs.replace(order, **changed)))
         assert driver.answer(call).status == status, changed
 
 
@@ -257,9 +257,9 @@
     driver.ask(1, request(out=4000))
     driver.run(1.0)
     driver.ask(2, request("a2", out=4000))
-    driver.do(ReportAsked(8))
+    driver.do(ReportRequested(8))
     driver.run(1.5)
-    driver.do(ReportAsked(9))
+    driver.do(ReportRequested(9))
     reports = [msgspec.json.decode(driver.answer(call).body) for call in (8, 9)]
     assert [(report["active"], report["stage"], report["cache_total"]) for report in reports] == [
         (1, "decode", 10_000),
@@ -316,11 +316,11 @@
                 for taken_call in taking:
                     driver.do(HandleTaken(taken_call, random.random() < 0.8))
             case "order":
-                driver.do(Ordered(10_000 + call, Order("stage", random.choice(("prefill", "decode")), "n", call)))
+                driver.do(OrderReceived(10_000 + call, Order("stage", random.choice(("prefill", "decode")), "n", call)))
             case "delete":
                 driver.do(DeleteHandle(20_000 + call, f"i-1-{random.randrange(1, 60):x}"))
             case "report":
-                driver.do(ReportAsked(30_000 + call))
+                driver.do(ReportRequested(30_000 + call))
     for taken_call in [a.call for _, a in driver.log if isinstance(a, TakeHandle)]:
         driver.do(HandleTaken(taken_call, False))
     driver.run(driver.now + 100.0)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,7 @@
 from cranebank.fleetlab import campaign
 from cranebank.fleetlab.records import DayRecord
 from cranebank.fleetlab.soak import play
-from cranebank.fleetlab.soak_plan import SHORT, SHORT_APART, FaultKind, SoakPlan, draw
+from cranebank.fleetlab.soak_plan import SHORT, SHORT_APART, FaultKind, SoakPlan, draw_plan
 from cranebank.fleetlab.soak_verdict import SoakVerdict
 from cranebank.fleetlab.tally_judge import acknowledged_share
 
@@ -22,7 +22,7 @@
 
 
 def test_a_short_run_keeps_the_rules_and_serves(tmp_path: Path) -> None:
-    plan = draw(CI_SEED, SHORT)
+    plan = draw_plan(CI_SEED, SHORT)
     verdict = play(plan, tmp_path)
     assert not verdict.failures
     assert sum(verdict.faults.values()) == len(plan.episodes[0])
@@ -35,7 +35,7 @@
 
 
 def test_zones_apart_lose_no_tally_flood_no_cold_backend_and_keep_to_evacuations(tmp_path: Path) -> None:
-    plan = draw(MULTI_ZONE_SEED, SHORT_APART)
+    plan = draw_plan(MULTI_ZONE_SEED, SHORT_APART)
     verdict = play(plan, tmp_path)
     assert not verdict.failures
     assert sum(verdict.faults.values()) == len(plan.episodes[0])
@@ -63,8 +63,8 @@
 
 def test_what_a_failing_run_left_stays(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     script_verdicts(monkeypatch, [verdict(1), verdict(2, ("OUTAGE: all refused",))])
-    campaign.play_one(draw(1), tmp_path / "seed-1")
-    campaign.play_one(draw(2), tmp_path / "seed-2")
+    campaign.play_one(draw_plan(1), tmp_path / "seed-1")
+    campaign.play_one(draw_plan(2), tmp_path / "seed-2")
     assert {path.name for path in (tmp_path / "seed-1").iterdir()} == {"plan.json"}
     assert {path.name for path in (tmp_path / "seed-2").iterdir()} >= {"plan.json", "record.json", "disk-1", "run.log"}
 
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -10,18 +10,18 @@
 
 from cranebank.fleetlab.run_options import RunOptions
 from cranebank.fleetlab.soak_plan import (
-    APART,
     MAX_CONCURRENT_FAULTS,
+    MULTI_ZONE,
     MULTI_ZONE_KINDS,
+    SINGLE_ZONE,
     SINGLE_ZONE_KINDS,
     TRAITS,
-    USUAL,
     Fault,
     FaultGroup,
     FaultKind,
     PlanOptions,
     SoakPlan,
-    draw,
+    draw_plan,
     kinds_of,
     overlaps,
 )
@@ -35,15 +35,15 @@
 
 
 def test_a_seed_gives_the_same_plan_and_it_can_be_kept() -> None:
-    plan = draw(17)
-    assert draw(17) == plan
-    assert draw(18) != plan
+    plan = draw_plan(17)
+    assert draw_plan(17) == plan
+    assert draw_plan(18) != plan
     assert msgspec.json.decode(msgspec.json.encode(plan), type=SoakPlan) == plan
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_faults_overlap_and_no_more_than_three_at_a_time(seed: int) -> None:
-    for faults in draw(seed).episodes:
+    for faults in draw_plan(seed).episodes:
         assert len(faults) >= 2
         assert max(active_count(faults, fault.at) for fault in faults) in range(2, MAX_CONCURRENT_FAULTS + 1)
         for before, after in pairwise(faults):
@@ -54,21 +54,21 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_more_disks_are_lost_in_an_episode_than_may_be(seed: int) -> None:
-    plan = draw(seed)
+    plan = draw_plan(seed)
     for faults in plan.episodes:
         assert sum(TRAITS[fault.kind].loses_disk for fault in faults) <= plan.shape.tolerance
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_stage_that_leaves_for_good_leaves_in_the_last_episode(seed: int) -> None:
-    *first, last = draw(seed).episodes
+    *first, last = draw_plan(seed).episodes
     assert not any(TRAITS[fault.kind].is_final for faults in first for fault in faults)
     assert sum(TRAITS[fault.kind].is_final for fault in last) <= 1
 
 
-@pytest.mark.parametrize(("options", "kinds"), [(USUAL, SINGLE_ZONE_KINDS), (APART, MULTI_ZONE_KINDS)])
+@pytest.mark.parametrize(("options", "kinds"), [(SINGLE_ZONE, SINGLE_ZONE_KINDS), (MULTI_ZONE, MULTI_ZONE_KINDS)])
 def test_as_many_seeds_as_there_are_kinds_have_all_of_them(options: PlanOptions, kinds: tuple[FaultKind, ...]) -> None:
-    plans = [draw(seed, options) for seed in range(1, len(kinds) + 1)]
+    plans = [draw_plan(seed, options) for seed in range(1, len(kinds) + 1)]
     assert {fault.kind for plan in plans for faults in plan.episodes for fault in faults} == set(kinds)
 
 
@@ -77,7 +77,7 @@
 
 
 def test_a_plan_of_one_zone_is_the_one_that_it_was_before_there_were_zones() -> None:
-    plan = draw(17)
+    plan = draw_plan(17)
     digest = hashlib.sha256(msgspec.json.encode((plan.seed, plan.shape.controllers, plan.episodes))).hexdigest()
     assert digest[:16] == PLAN_17_DIGEST
     assert plan.options == RunOptions()
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_plan_of_several_zones_has_both_stages_of_each_service_in_each_zone(seed: int) -> None:
-    plan = draw(seed, APART)
+    plan = draw_plan(seed, MULTI_ZONE)
     assert (plan.shape.controllers, plan.shape.tolerance, plan.shape.zone_tolerance) == (5, 2, 1)
     assert plan.services is not None
     stages = [(service, stage) for service, stages in plan.services.items() for stage in stages]
@@ -99,7 +99,7 @@
 def test_only_the_kinds_that_are_asked_for_are_drawn() -> None:
     kinds = (FaultKind.KILL_PROXY, FaultKind.CUT_HALVES, FaultKind.WIPE_CONTROLLER)
     for seed in SEEDS:
-        drawn = {fault.kind for faults in draw(seed, PlanOptions(kinds)).episodes for fault in faults}
+        drawn = {fault.kind for faults in draw_plan(seed, PlanOptions(kinds)).episodes for fault in faults}
         assert drawn <= set(kinds)
 
 
--- a/tests/test_zones_apart.py
+++ b/tests/test_zones_apart.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from controlsim.apart import MOST_TAKEOVERS
+from controlsim.apart import MAX_TAKEOVERS
 from controlsim.scenarios import play
 
 from cranebank.control import membership
@@ -33,7 +33,7 @@
     played = play("apart", seed)
     assert played.breaches == []
     assert played.counts["bridges of 60 s without a strike"] == 1
-    assert played.counts["takeovers in a bridge"] <= MOST_TAKEOVERS
+    assert played.counts["takeovers in a bridge"] <= MAX_TAKEOVERS
 
 
 @pytest.mark.violates_invariants
