--- a/benchmarks/generator.py
+++ b/benchmarks/generator.py
@@ -18,7 +18,7 @@
 
 from cranebank.lab import records
 from cranebank.lab.arrivals import arrivals
-from cranebank.lab.exchange import Heard, Incoming, now_us
+from cranebank.lab.exchange import Incoming, ReceivedRequest, now_us
 from cranebank.lab.load import Generator
 from cranebank.lab.scenario import Scenario
 
@@ -32,14 +32,14 @@
         """Accept every connection."""
         return True
 
-    def deaf(self) -> bool:
+    def is_paused(self) -> bool:
         """Return False: the sink always reads."""
         return False
 
     def closed(self, connection: Incoming) -> None:
         """Do nothing: the sink keeps no state for a connection."""
 
-    def heard(self, connection: Incoming, request: Heard) -> None:
+    def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
         """Answer with the request's id, which the generator checks."""
         connection.answer(b"HTTP/1.1 200 OK\r\n", request.headers["x-request-id"].encode())
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -27,7 +27,7 @@
 
 from generator import Sink  # noqa: E402
 
-from cranebank.lab.exchange import Heard, Incoming, Pool  # noqa: E402
+from cranebank.lab.exchange import Incoming, Pool, ReceivedRequest  # noqa: E402
 from cranebank.lab.stage import Reply  # noqa: E402
 
 CONNECTIONS, HOSTS, BODY = 16, 4, b"x" * 512
@@ -38,7 +38,7 @@
 class Host(Sink):
     """A host that answers at once; also stands in for discovery, with watches that never report a change."""
 
-    def heard(self, connection: Incoming, request: Heard) -> None:
+    def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
         """Answer with the fixed body; keep a watch open."""
         if "watch" in request.target:
             connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/cranebank/cli/lab.py
+++ b/cranebank/cli/lab.py
@@ -68,7 +68,7 @@
     )
     for breach in result.verdict.breaches:
         click.echo(f"RULE BROKEN {breach.rule} x{breach.count}: {RULES[breach.rule]}; {'; '.join(breach.examples)}")
-    if result.verdict.kept:
+    if result.verdict.is_clean:
         click.echo(f"no rule broke ({result.verdict.requests} requests, {result.verdict.legs} legs judged)")
     if not result.usable:
         click.echo(f"NO RESULT: {result.why_not}")
@@ -110,7 +110,7 @@
     page = out / "report.html"
     report.write(page, report.run_page(scenario, result))
     click.echo(f"report: {page}")
-    return 0 if result.verdict.kept and result.usable else EXIT_PROBLEM_FOUND
+    return 0 if result.verdict.is_clean and result.usable else EXIT_PROBLEM_FOUND
 
 
 @click.command()
@@ -241,7 +241,7 @@
     unusable = experiment.run(file, folder, resume, click.echo, on)
     found = experiment.rows(folder)
     click.echo(f"results: {folder}")
-    return EXIT_PROBLEM_FOUND if unusable or any(not row.result.verdict.kept for row in found) else 0
+    return EXIT_PROBLEM_FOUND if unusable or any(not row.result.verdict.is_clean for row in found) else 0
 
 
 @lab.command()
@@ -431,7 +431,7 @@
     for path in sorted(p.parent for p in folder.glob("*/results.jsonl")):
         found = experiment.rows(path)
         service = experiment.figure(row.result.service for row in found if row.result.usable)
-        broken = sum(not row.result.verdict.kept for row in found)
+        broken = sum(not row.result.verdict.is_clean for row in found)
         rows.append((path.name, len(found), f"{service.mean:.4f}", broken))
     for path in sorted(p.parent for p in folder.glob("*/result.json")):
         rows.append((path.name, 1, "", ""))
--- a/cranebank/lab/clients.py
+++ b/cranebank/lab/clients.py
@@ -10,7 +10,7 @@
 from cranebank.lab import records
 from cranebank.lab.arrivals import Arrival
 from cranebank.lab.scenario import Scenario
-from cranebank.lab.stage import Ask, Out, Reply, Stage, Timer
+from cranebank.lab.stage import Ask, Environment, InFlight, Reply, Timer
 from cranebank.lab.streams import stream
 
 
@@ -23,9 +23,9 @@
         self.number, self.arrival, self.deadline, self.zone = number, arrival, deadline, zone
         self.tries = 0
         self.first_sent = -1
-        self.out: Out | None = None
+        self.out: InFlight | None = None
         self.timer: Timer | None = None
-        self.record: records.Asked
+        self.record: records.CallRecord
 
 
 class Clients:
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        stage: Environment,
         scenario: Scenario,
         rows: Sequence[Arrival],
         proxies: dict[str, int],
@@ -66,7 +66,7 @@
         proxy = self._pick(draws[request.tries % 4], request.zone)
         name = f"c{request.number}-{request.tries}"
         key = row.key if kind.effect != "safe" else ""
-        record = request.record = records.Asked(
+        record = request.record = records.CallRecord(
             id=name,
             root=f"c{request.number}",
             parent="",
@@ -85,7 +85,7 @@
         )
         until = record.deadline + self._slack
         if draws[4 + request.tries % 4] < scenario.clients.impatient:
-            until, record.gone = started_at + round(wait * (0.1 + 0.8 * draws[request.tries % 4])), True
+            until, record.client_left = started_at + round(wait * (0.1 + 0.8 * draws[request.tries % 4])), True
         request.timer = self._stage.at(until, self._give_up, request)
         ask = Ask(
             name, record.root, row.kind, row.tenant, key, row.work, record.deadline - now, row.hint, request.tries > 0
@@ -95,7 +95,7 @@
             request.zone,
             ask,
             lambda reply: self._done(request, reply),
-            lambda: self._stage.write(records.Spare(name)),
+            lambda: self._stage.write(records.ExtraAnswer(name)),
         )
 
     def _pick(self, draw: float, zone: int) -> str:
@@ -107,13 +107,13 @@
 
     def _give_up(self, request: Request) -> None:
         assert request.out is not None
-        request.out.leave()
+        request.out.cancel()
         self._end_try(request, request.out.reply)
 
     def _done(self, request: Request, reply: Reply) -> None:
         if request.timer is not None:
             request.timer.cancel()
-        request.record.gone = False
+        request.record.client_left = False
         if reply.trouble == "refused":
             self._avoided_until[request.record.proxy] = self._stage.now() + round(self._scenario.clients.notice_s * 1e6)
         self._end_try(request, reply)
@@ -122,7 +122,7 @@
         record, now = request.record, self._stage.now()
         record.done, record.sent = now, reply.sent
         record.status, record.digest, record.retry_after = reply.status, reply.digest, reply.retry_after
-        record.broke, record.named = reply.trouble == "broke", reply.named
+        record.was_cut_off, record.has_request_id = reply.trouble == "broke", reply.has_request_id
         if record.sent >= 0 > request.first_sent:
             request.first_sent = record.sent
         self._stage.write(record)
@@ -141,7 +141,7 @@
     def _retry_at(self, request: Request, reply: Reply, now: int) -> int | None:
         """Return when the client retries, with exponential backoff, or None if the class or the deadline forbids it."""
         clients, kind = self._scenario.clients, self._scenario.classes[request.arrival.kind]
-        if request.tries >= clients.retries or request.record.gone:
+        if request.tries >= clients.retries or request.record.client_left:
             return None
         is_safe_to_retry = reply.status in (429, 503) or reply.trouble in ("refused", "no connection left")
         if kind.effect == "unsafe" and not is_safe_to_retry:
--- a/cranebank/lab/discovery.py
+++ b/cranebank/lab/discovery.py
@@ -18,7 +18,7 @@
 from cranebank.http.socket_state import stop_accepting
 from cranebank.lab import records
 from cranebank.lab.child import Address, Go, Lines, Part, play, say
-from cranebank.lab.exchange import Heard, Incoming, now_us
+from cranebank.lab.exchange import Incoming, ReceivedRequest, now_us
 from cranebank.lab.plan import HostPlan, Notice, phantoms
 
 KEEPALIVE_INTERVAL_S = 2.0  # interval of the empty lines that keep a watch alive
@@ -35,7 +35,7 @@
         self._entries = {host.name: ("SERVING", 0) for host in hosts if not host.start}
         self._changes: list[tuple[int, str]] = []
 
-    def learn(self, notice: Notice) -> bool:
+    def apply(self, notice: Notice) -> bool:
         """Apply a notice of a host; return whether anything changed."""
         entry = (notice.state, notice.started)
         if notice.state == "DELETED":
@@ -76,7 +76,7 @@
         }
 
 
-class Desk:
+class CallQueue:
     """Handles calls one after another; a call that would wait for too long gets 503."""
 
     def __init__(self, call_s: float, timeout_s: float) -> None:
@@ -129,7 +129,7 @@
         self.connections.add(connection)
         return self._server is not None
 
-    def deaf(self) -> bool:
+    def is_paused(self) -> bool:
         """Return False: discovery always reads."""
         return False
 
@@ -138,7 +138,7 @@
         self.connections.discard(connection)
         self.watches.pop(connection, None)
 
-    def heard(self, connection: Incoming, request: Heard) -> None:
+    def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
         """Handle a call for the list or for a watch."""
         wait = self._service.desk.wait(time.monotonic())
         if wait is None or urlsplit(request.target).path != "/api/targets":
@@ -165,12 +165,12 @@
         now = service.now()
         for entry in entries:
             service.writer.write(
-                records.Told(
+                records.DiscoveryNotice(
                     now, self.proxy, str(entry["id"]), str(entry["state"]), entry_start(entry, service.epoch_ms)
                 )
             )
         if full:  # hosts that a full list leaves out were removed
-            service.writer.write(records.Told(now, self.proxy, "*", ",".join(names), 0))
+            service.writer.write(records.DiscoveryNotice(now, self.proxy, "*", ",".join(names), 0))
         return msgspec.json.encode({"version": registry.version, "full": full, "servers": entries}) + b"\n"
 
     def _write(self, connection: Incoming, line: bytes) -> None:
@@ -205,7 +205,7 @@
         scenario, plan = part.scenario, part.plan
         self.plan = plan
         self.writer = records.Writer(Path(part.records))
-        self.desk = Desk(scenario.discovery.call_ms / 1000, scenario.discovery.timeout_ms / 1000)
+        self.desk = CallQueue(scenario.discovery.call_ms / 1000, scenario.discovery.timeout_ms / 1000)
         self.registries = [
             Registry([h for h in plan.hosts if h.tier == index], scenario.zones, [kind.name for kind in tier.kind])
             for index, tier in enumerate(scenario.tiers)
@@ -224,7 +224,7 @@
         ip, port = self._addresses.get(name, ("127.0.0.1", 9))
         return f"{ip}:{port}"
 
-    def live(self, go: Go) -> None:
+    def schedule_plan(self, go: Go) -> None:
         """Schedule the notices and outages of the plan."""
         self.t0 = go.at
         self.epoch_ms = time.time() * 1000 + (go.at - now_us()) / 1000
@@ -242,7 +242,7 @@
 
     def _learn(self, notice: Notice) -> None:
         tier = self._tiers[notice.host]
-        if self.registries[tier].learn(notice):
+        if self.registries[tier].apply(notice):
             for port in self.ports:
                 if port.tier == tier:
                     port.push()
@@ -271,7 +271,7 @@
     line = await lines.next()
     if line is None:
         return
-    service.live(msgspec.json.decode(line, type=Go))
+    service.schedule_plan(msgspec.json.decode(line, type=Go))
     with contextlib.suppress(asyncio.CancelledError):
         await lines.next()
     service.writer.close()
--- a/cranebank/lab/exchange.py
+++ b/cranebank/lab/exchange.py
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class ReceivedRequest:
     """A request as received by a server connection."""
 
     first: int  # time of its first byte
@@ -73,13 +73,13 @@
     def connected(self, connection: Incoming) -> bool:
         """A connection was made; return whether it is accepted."""
 
-    def heard(self, connection: Incoming, request: Heard) -> None:
+    def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
         """A whole request was received."""
 
     def closed(self, connection: Incoming) -> None:
         """A connection was closed."""
 
-    def deaf(self) -> bool:
+    def is_paused(self) -> bool:
         """Whether received data must stay unread at present."""
 
 
@@ -89,7 +89,7 @@
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
         self._parser = httptools.HttpRequestParser(self)
-        self._request: Heard | None = None
+        self._request: ReceivedRequest | None = None
         self._unread: list[bytes] = []
         self.transport: asyncio.Transport
         self.owner: Any = None  # state that the listener keeps with the connection
@@ -102,19 +102,19 @@
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of a request, or keep them unread while the listener is deaf."""
-        if self._listener.deaf():
+        """Parse bytes of a request, or keep them unread while the listener is paused."""
+        if self._listener.is_paused():
             self._unread.append(data)
             return
         if self._request is None:
-            self._request = Heard(now_us())
+            self._request = ReceivedRequest(now_us())
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.transport.abort()
 
     def resume_reading(self) -> None:
-        """Process the data that arrived while the listener was deaf."""
+        """Process the data that arrived while the listener was paused."""
         unread, self._unread = self._unread, []
         if unread:
             self.data_received(b"".join(unread))
@@ -133,7 +133,7 @@
     def on_message_begin(self) -> None:
         """Start a request; pipelined requests start within the same data."""
         if self._request is None:
-            self._request = Heard(now_us())
+            self._request = ReceivedRequest(now_us())
 
     def on_url(self, url: bytes) -> None:
         """Store the request target."""
@@ -155,11 +155,11 @@
         request, self._request = self._request, None
         if request is not None:
             request.method = self._parser.get_method().decode()
-            self._listener.heard(self, request)
+            self._listener.handle_request(self, request)
 
 
 class PendingRequest:
-    """A request in flight; ``leave`` cancels it and closes its connection."""
+    """A request in flight; ``cancel`` drops it and closes its connection."""
 
     __slots__ = (
         "_connection",
@@ -170,8 +170,8 @@
         "is_cancelled",
         "is_on_new_connection",
         "name",
+        "on_extra_answer",
         "reply",
-        "spare",
         "t0",
     )
 
@@ -182,14 +182,21 @@
         name: str,
         t0: int,
         done: Callable[[Reply], None],
-        spare: Callable[[], None],
+        on_extra_answer: Callable[[], None],
     ) -> None:
-        self.address, self.data, self.name, self.t0, self.done, self.spare = address, data, name, t0, done, spare
+        self.address, self.data, self.name, self.t0, self.done, self.on_extra_answer = (
+            address,
+            data,
+            name,
+            t0,
+            done,
+            on_extra_answer,
+        )
         self.reply, self.body_start = Reply(), b""
         self.is_cancelled = self.is_on_new_connection = False
         self._connection: Outgoing | None = None
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Cancel the request; no callback is called after this."""
         self.is_cancelled = True
         if self._connection is not None:
@@ -225,7 +232,7 @@
         """Parse a part of an answer, and report an extra answer."""
         if self._pending is None:
             if self._answered is not None and data.startswith(b"HTTP/1.1 200"):
-                self._answered.spare()
+                self._answered.on_extra_answer()
             self.transport.abort()
             return
         self._has_data = True
@@ -265,10 +272,10 @@
         self._is_complete = False
         reply = pending.reply
         reply.status, reply.digest, pending.body_start = self._status, self._hash.hexdigest(), self._body_start
-        reply.named = reply.status != 200 or pending.name.encode() in self._body_start
+        reply.has_request_id = reply.status != 200 or pending.name.encode() in self._body_start
         reply.retry_after = self._retry_after
         if self._answer_count > 1:
-            pending.spare()
+            pending.on_extra_answer()
             self.transport.abort()
         elif self._keeps_connection and not self.transport.is_closing():
             self._pool.release(self, self._address)
@@ -330,13 +337,13 @@
         name: str,
         t0: int,
         done: Callable[[Reply], None],
-        spare: Callable[[], None] = lambda: None,
+        on_extra_answer: Callable[[], None] = lambda: None,
     ) -> PendingRequest:
-        """Send a request; ``done`` is called once unless it is cancelled before, ``spare`` on a second answer.
+        """Send a request; ``done`` is called once unless it is cancelled, ``on_extra_answer`` on a second answer.
 
         The body of a 200 must contain ``name``; times are relative to ``t0``.
         """
-        pending = PendingRequest(address, data, name, t0, done, spare)
+        pending = PendingRequest(address, data, name, t0, done, on_extra_answer)
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
--- a/cranebank/lab/host.py
+++ b/cranebank/lab/host.py
@@ -14,7 +14,7 @@
 from cranebank.lab import records
 from cranebank.lab.model import Admission, HostModel, Job, Phase
 from cranebank.lab.plan import NEVER, RESTART_DOWNTIME_US, STOP_LINGER_US, HostFault, HostPlan, spec_of
-from cranebank.lab.stage import Ask, Link, Out, Reply, Stage, Timer
+from cranebank.lab.stage import Ask, Environment, InFlight, Link, Reply, Timer
 from cranebank.lab.streams import stream
 
 BODY_BYTES = 300
@@ -25,25 +25,25 @@
     """A leg that a host works on."""
 
     link: Link
-    record: records.Seen
+    record: records.LegRecord
     ask: Ask
     deadline: int
     job: Job
     calls_left: int
     calls_made: int = 0
-    out: Out | None = None
+    out: InFlight | None = None
     timer: Timer | None = None
 
 
 class StandIn:
     """One host. Its owner calls ``opened``, ``request``, ``probe`` and ``lost``, and implements ``gate``."""
 
-    def __init__(self, stage: Stage, host: HostPlan) -> None:
+    def __init__(self, stage: Environment, host: HostPlan) -> None:
         self.stage, self.host = stage, host
         self.model = HostModel(spec_of(stage.scenario, host), host.start)
         self.links: dict[Link, None] = {}  # in order of opening, so that iteration is deterministic
         self.legs: dict[Leg, None] = {}
-        self.up = self.stopping = self.refusing = self.hushed = self.cut_off = False
+        self.up = self.stopping = self.refusing = self.is_frozen = self.cut_off = False
         self.reset = self.spoil = self.swallow = 0.0
         self.report_lateness = self.opened_count = self.most_open = self.refused = self._call_count = 0
         self.probes: dict[int, int] = {}
@@ -113,7 +113,7 @@
             variance = log(1 + kind.attempt_noise**2)
             own_work *= float(self._random.lognormal(-variance / 2, sqrt(variance)))
         calls = 0 if is_last_tier else int(tier.calls) + int(self._random.random() < tier.calls % 1.0)
-        record = records.Seen(
+        record = records.LegRecord(
             id=ask.id,
             host=self.host.name,
             first=first,
@@ -191,7 +191,7 @@
         deadline = leg.deadline if scenario.limits.passes_deadline else now + round(kind.deadline_ms * 1000)
         self._call_count += 1
         name = f"{self._prefix}-{self._call_count}"
-        call = records.Asked(
+        call = records.CallRecord(
             id=name,
             root=leg.ask.root,
             parent=leg.ask.id,
@@ -230,19 +230,19 @@
 
         ask = Ask(name, leg.ask.root, leg.ask.kind, leg.ask.tenant, call.key, leg.ask.work, deadline - now)
         leg.timer = stage.at(deadline, self._late, leg, call)
-        leg.out = stage.ask(self._proxy, self.host.zone, ask, done, lambda: stage.write(records.Spare(name)))
+        leg.out = stage.ask(self._proxy, self.host.zone, ask, done, lambda: stage.write(records.ExtraAnswer(name)))
 
-    def _record_call(self, call: records.Asked, reply: Reply) -> None:
+    def _record_call(self, call: records.CallRecord, reply: Reply) -> None:
         call.done, call.sent = self.stage.now(), reply.sent
         call.status, call.digest, call.retry_after = reply.status, reply.digest, reply.retry_after
-        call.broke, call.named = reply.trouble == "broke", reply.named
+        call.was_cut_off, call.has_request_id = reply.trouble == "broke", reply.has_request_id
         self.stage.write(call)
 
-    def _late(self, leg: Leg, call: records.Asked) -> None:
+    def _late(self, leg: Leg, call: records.CallRecord) -> None:
         """Give up a call at its deadline and fail its leg."""
         if leg.out is not None:
             out, leg.out = leg.out, None
-            out.leave()
+            out.cancel()
             self._record_call(call, out.reply)
             if leg.job.phase is Phase.CALLING:
                 self._advance_model()
@@ -283,7 +283,7 @@
         if leg.timer is not None:
             leg.timer.cancel()
         if leg.out is not None:
-            leg.out.leave()
+            leg.out.cancel()
             leg.out = None
         if leg.job.phase is not Phase.DONE:
             self.model.drop(leg.job)
@@ -294,7 +294,7 @@
 
     # Faults.
 
-    def live(self) -> None:
+    def schedule_plan(self) -> None:
         """Schedule the start, the stop and the faults that the plan has for this host."""
         if self.host.start:
             self.stage.at(self.host.start, self.start)
@@ -367,7 +367,7 @@
     def _hush(self, until: int, cut_off: bool) -> None:
         """Stop reading and working until ``until``; with ``cut_off``, new connections get no answer either."""
         self._advance_model()
-        self.hushed = True
+        self.is_frozen = True
         self.model.pause(until)
         if cut_off:
             self.cut_off = True
@@ -377,15 +377,15 @@
 
     def _wake(self, cut_off: bool) -> None:
         """End a freeze: after a cut-off, abort the connections and accept new ones; else read what arrived."""
-        self.hushed = False
+        self.is_frozen = False
         if cut_off:
             self.cut_off = False
             self._abort_links()
             self._accept()
             return
-        self._heard_again()
+        self._read_backlog()
 
-    def _heard_again(self) -> None:
+    def _read_backlog(self) -> None:
         """Read the data that arrived while the host was frozen."""
 
     def _slow(self, factor: float) -> None:
@@ -400,10 +400,10 @@
         self.gate(True)
         self.stage.at(self.host.stop + STOP_LINGER_US, self.kill)
 
-    def last(self) -> None:
+    def write_final_records(self) -> None:
         """Write the records that are only known at the end of the run."""
         for leg in list(self.legs):
             self._cancel_leg(leg, "stopped")
         for second, count in self.probes.items():
             self.stage.write(records.Probe(self.host.name, second, count))
-        self.stage.write(records.Links(self.host.name, self.opened_count, self.most_open, self.refused))
+        self.stage.write(records.ConnectionCounts(self.host.name, self.opened_count, self.most_open, self.refused))
--- a/cranebank/lab/hosts.py
+++ b/cranebank/lab/hosts.py
@@ -18,11 +18,11 @@
 from cranebank.http.socket_state import stop_accepting
 from cranebank.lab import records
 from cranebank.lab.child import Address, Go, Lines, Part, play, say
-from cranebank.lab.exchange import Heard, Incoming, Pool, now_us, request_bytes
+from cranebank.lab.exchange import Incoming, Pool, ReceivedRequest, now_us, request_bytes
 from cranebank.lab.host import StandIn
-from cranebank.lab.model import Repeats
+from cranebank.lab.model import SeenKeys
 from cranebank.lab.plan import HostPlan
-from cranebank.lab.stage import Ask, Out, Reply
+from cranebank.lab.stage import Ask, InFlight, Reply
 
 FLUSH_INTERVAL_S = 0.5
 INVALID_ANSWER = b"\x16\x03\x01 this is no answer \xff\xfe\r\n\r\n" * 3
@@ -30,7 +30,7 @@
 
 
 class SocketStage:
-    """Stage of the hosts of one process, on one event loop."""
+    """Environment of the hosts of one process, on one event loop."""
 
     def __init__(self, part: Part) -> None:
         self.scenario, self.plan = part.scenario, part.plan
@@ -39,7 +39,7 @@
         self.writer = records.Writer(Path(part.records))
         self.write = self.writer.write
         longest = max((kind.window_ms for kind in self.scenario.classes), default=0.0)
-        self.repeats = Repeats(round(longest * 1000) + 1)
+        self.repeats = SeenKeys(round(longest * 1000) + 1)
         self.kinds = {kind.name: index for index, kind in enumerate(self.scenario.classes)}
         self.proxies: dict[str, Address] = {}
 
@@ -51,9 +51,13 @@
         """Call ``do`` at a time after the start."""
         return asyncio.get_running_loop().call_later(max(0, when - self.now()) / 1e6, do, *arguments)
 
-    def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
+    def ask(
+        self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], on_extra_answer: Callable[[], None]
+    ) -> InFlight:
         """Send a request to a proxy; zones add no delay on sockets."""
-        return self.pool.ask(self.proxies[proxy], request_bytes(ask, self.scenario), ask.id, self.t0, done, spare)
+        return self.pool.ask(
+            self.proxies[proxy], request_bytes(ask, self.scenario), ask.id, self.t0, done, on_extra_answer
+        )
 
 
 class SocketLink:
@@ -143,15 +147,15 @@
         connection.owner = SocketLink(connection)
         return self.opened(connection.owner)
 
-    def deaf(self) -> bool:
+    def is_paused(self) -> bool:
         """Return whether received data must stay unread."""
-        return self.hushed
+        return self.is_frozen
 
     def closed(self, connection: Incoming) -> None:
         """Forget a closed connection."""
         self.lost(connection.owner)
 
-    def heard(self, connection: Incoming, request: Heard) -> None:
+    def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
         """Handle a probe or a leg."""
         link: SocketLink = connection.owner
         if link.request is not None:  # a connection carries one request at a time
@@ -182,7 +186,7 @@
             left=round(1000 * (int(wait) if wait.isdigit() else own_ms)),
         )
 
-    def _heard_again(self) -> None:
+    def _read_backlog(self) -> None:
         for link in list(self.links):
             assert isinstance(link, SocketLink)
             link.connection.resume_reading()
@@ -205,7 +209,7 @@
     stage.t0, stage.proxies = go.at, go.proxies
     for host in hosts:
         host.up = not host.host.start
-        host.live()
+        host.schedule_plan()
 
     async def flush() -> None:
         while True:
@@ -216,7 +220,7 @@
     await lines.next()
     task.cancel()
     for host in hosts:
-        host.last()
+        host.write_final_records()
     stage.writer.close()
     say({"done": True})
 
--- a/cranebank/lab/judge.py
+++ b/cranebank/lab/judge.py
@@ -54,7 +54,7 @@
     legs: int
 
     @property
-    def kept(self) -> bool:
+    def is_clean(self) -> bool:
         """Whether no rule was broken."""
         return not self.breaches
 
@@ -71,38 +71,42 @@
     def __init__(self, scenario: Scenario, plan: Plan) -> None:
         self._scenario, self._plan = scenario, plan
         self._slack = SOCKETS_SLACK_US + us(scenario.judge.slack_ms / 1000)
-        self._calls: dict[str, records.Asked] = {}
-        self._legs: dict[str, list[records.Seen]] = defaultdict(list)
-        self._notices: dict[tuple[str, str], list[records.Told]] = defaultdict(list)  # by proxy and host, in order
+        self._calls: dict[str, records.CallRecord] = {}
+        self._legs: dict[str, list[records.LegRecord]] = defaultdict(list)
+        self._notices: dict[tuple[str, str], list[records.DiscoveryNotice]] = defaultdict(
+            list
+        )  # by proxy and host, in order
         self._known_hosts: dict[str, set[str]] = defaultdict(set)
-        self._proxy_states: dict[str, list[records.Life]] = defaultdict(list)
+        self._proxy_states: dict[str, list[records.ProxyStateChange]] = defaultdict(list)
         self._host_starts: list[records.Started] = []
         self._extra_answers: list[str] = []
         self._breaches: dict[str, list[str]] = defaultdict(list)
 
     def take(self, record: records.Record) -> None:
         match record:
-            case records.Asked():
+            case records.CallRecord():
                 self._calls[record.id] = record
-            case records.Seen():
+            case records.LegRecord():
                 self._legs[record.id].append(record)
-            case records.Spare(name):
+            case records.ExtraAnswer(name):
                 self._extra_answers.append(name)
-            case records.Told():
+            case records.DiscoveryNotice():
                 self._record_notice(record)
-            case records.Life():
+            case records.ProxyStateChange():
                 self._proxy_states[record.proxy].append(record)
             case records.Started():
                 self._host_starts.append(record)
 
-    def _record_notice(self, notice: records.Told) -> None:
+    def _record_notice(self, notice: records.DiscoveryNotice) -> None:
         if notice.host != "*":
             self._notices[notice.proxy, notice.host].append(notice)
             self._known_hosts[notice.proxy].add(notice.host)
             return
         named = set(notice.state.split(","))  # a full list: hosts that it leaves out were removed
         for host in self._known_hosts[notice.proxy] - named:
-            self._notices[notice.proxy, host].append(records.Told(notice.at, notice.proxy, host, "DELETED", 0))
+            self._notices[notice.proxy, host].append(
+                records.DiscoveryNotice(notice.at, notice.proxy, host, "DELETED", 0)
+            )
 
     def verdict(self) -> Verdict:
         for call in self._calls.values():
@@ -132,27 +136,27 @@
     def _breach(self, rule: str, what: str) -> None:
         self._breaches[rule].append(what)
 
-    def _check_answer(self, call: records.Asked) -> None:
+    def _check_answer(self, call: records.CallRecord) -> None:
         legs, kind = self._legs.get(call.id, []), self._scenario.classes[call.kind]
         if call.status == 200:
             made = {leg.digest for leg in legs if leg.status == 200}
-            if call.digest not in made or not call.named:
+            if call.digest not in made or not call.has_request_id:
                 self._breach("bytes", f"{call.id} by {call.proxy}")
         elif call.status in DECLINES:
             if kind.effect == "unsafe" and any(leg.ran for leg in legs):
                 self._breach("decline", f"{call.id} by {call.proxy}")
         elif self._is_unanswered(call) and not self._proxy_died(call.proxy, call.sent, call.done):
-            why = "the connection was closed" if call.broke else "no answer arrived"
+            why = "the connection was closed" if call.was_cut_off else "no answer arrived"
             self._breach("unanswered", f"{call.id} by {call.proxy}: {why} by {call.done / 1e6:.3f} s")
 
     @staticmethod
-    def _is_unanswered(call: records.Asked) -> bool:
+    def _is_unanswered(call: records.CallRecord) -> bool:
         """Return whether a proxy accepted a request and never answered it.
 
         Hosts stop waiting at their deadline, so only clients can observe a missing answer.
         """
-        is_accepted = call.status == 0 and call.sent >= 0 and not call.gone
-        return is_accepted and (call.broke or call.caller == "client")
+        is_accepted = call.status == 0 and call.sent >= 0 and not call.client_left
+        return is_accepted and (call.was_cut_off or call.caller == "client")
 
     def _proxy_died(self, proxy: str, since: int, until: int) -> bool:
         """Return whether a proxy died while a request was in flight.
@@ -166,7 +170,7 @@
             for life in self._proxy_states.get(proxy, [])
         )
 
-    def _check_drain(self, name: str, leg: records.Seen) -> None:
+    def _check_drain(self, name: str, leg: records.LegRecord) -> None:
         call = self._calls.get(name)
         if call is None:
             return
@@ -180,7 +184,7 @@
         if late > self._slack:
             self._breach("drain", f"{name} by {call.proxy} to {leg.host}: {late / 1e6:.3f} s after the grace period")
 
-    def _check_repeats(self, name: str, legs: list[records.Seen]) -> None:
+    def _check_repeats(self, name: str, legs: list[records.LegRecord]) -> None:
         scenario, kind = self._scenario, self._scenario.classes[legs[0].kind]
         if len(legs) > scenario.limits.max_attempts:
             self._breach("attempts", f"{name}: {len(legs)} legs")
@@ -229,7 +233,7 @@
                 self._breach("cold", f"{host.name} {(leg.first - start.at) / 1e6:.3f} s after its start")
                 return
 
-    def _proxy_knew_start(self, leg: records.Seen, start: records.Started) -> bool:
+    def _proxy_knew_start(self, leg: records.LegRecord, start: records.Started) -> bool:
         call = self._calls.get(leg.id)
         notices = self._notices.get((call.proxy, leg.host), []) if call is not None else []
         return any(t.at <= leg.first and t.started and abs(t.started - start.at) < 1_000_000 for t in notices)
--- a/cranebank/lab/load.py
+++ b/cranebank/lab/load.py
@@ -22,10 +22,10 @@
 from cranebank.lab.child import Address, Go, Lines, Part, play, say
 from cranebank.lab.clients import Clients
 from cranebank.lab.exchange import Pool, now_us, request_bytes
-from cranebank.lab.model import Repeats
+from cranebank.lab.model import SeenKeys
 from cranebank.lab.plan import Plan, plan
 from cranebank.lab.scenario import Scenario
-from cranebank.lab.stage import Ask, Out, Reply
+from cranebank.lab.stage import Ask, InFlight, Reply
 
 LAUNCHES_PER_YIELD = 32  # requests sent before yielding to the event loop
 
@@ -40,7 +40,7 @@
 
 
 class Generator:
-    """Stage of the clients on sockets."""
+    """Environment of the clients on sockets."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
     ) -> None:
         self.scenario, self.write = scenario, write
         self.plan: Plan = plan(scenario)
-        self.repeats = Repeats(1)
+        self.repeats = SeenKeys(1)
         self._rows, self._proxies = rows, proxies
         self._pool = Pool(scenario.load.connections)
         self._all_done = asyncio.Event()
@@ -68,9 +68,13 @@
         """Call ``do`` at a time after the start."""
         return asyncio.get_running_loop().call_later(max(0, when - self.now()) / 1e6, do, *arguments)
 
-    def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
+    def ask(
+        self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], on_extra_answer: Callable[[], None]
+    ) -> InFlight:
         """Send a request to a proxy."""
-        return self._pool.ask(self._proxies[proxy], request_bytes(ask, self.scenario), ask.id, self._t0, done, spare)
+        return self._pool.ask(
+            self._proxies[proxy], request_bytes(ask, self.scenario), ask.id, self._t0, done, on_extra_answer
+        )
 
     async def play(self, t0: int) -> records.Generator:
         """Send all requests, with times relative to ``t0``, and return the lateness of the generator."""
--- a/cranebank/lab/model.py
+++ b/cranebank/lab/model.py
@@ -184,7 +184,7 @@
         """Run ``factor`` times slower from now on; 1 restores the speed."""
         self._slowdown = factor
 
-    def strain(self, now: int) -> float:
+    def load_per_capacity(self, now: int) -> float:
         """Return the requests per core divided by the current speed; the oracle policy compares hosts by it."""
         spec = self.spec
         speed = spec.speed * self.share(now) / self._slowdown
@@ -347,7 +347,7 @@
         return self._cold_work_sum > limit
 
 
-class Repeats:
+class SeenKeys:
     """Idempotency keys seen by the hosts of a tier: a repeat within the window has no effect.
 
     Keys are kept for the longest window, so memory is bounded by the request rate times ``max_window_us``.
--- a/cranebank/lab/records.py
+++ b/cranebank/lab/records.py
@@ -16,7 +16,7 @@
 NEVER = -1
 
 
-class Asked(msgspec.Struct, array_like=True, tag="asked"):
+class CallRecord(msgspec.Struct, array_like=True, tag="asked"):
     """A request to a proxy as the caller sees it: a client's try, or a host's call to the next tier."""
 
     id: str
@@ -35,18 +35,18 @@
     status: int  # 0: no answer
     digest: str  # digest of the answer's body
     retry_after: int = 0
-    gone: bool = False  # the caller gave up before its deadline
-    broke: bool = False  # the proxy closed the connection without a whole answer
-    named: bool = True  # whether the body contains the request id
+    client_left: bool = False  # the caller gave up before its deadline
+    was_cut_off: bool = False  # the proxy closed the connection without a whole answer
+    has_request_id: bool = True  # whether the body contains the request id
 
 
-class Spare(msgspec.Struct, array_like=True, tag="spare"):
+class ExtraAnswer(msgspec.Struct, array_like=True, tag="spare"):
     """A caller got a second answer to a request."""
 
     id: str
 
 
-class Seen(msgspec.Struct, array_like=True, tag="seen"):
+class LegRecord(msgspec.Struct, array_like=True, tag="seen"):
     """A leg as the host sees it."""
 
     id: str
@@ -65,7 +65,7 @@
     busy_until: int = NEVER  # when the host stopped working on it
 
 
-class Told(msgspec.Struct, array_like=True, tag="told"):
+class DiscoveryNotice(msgspec.Struct, array_like=True, tag="told"):
     """Discovery sent the state of a host to a proxy; host "*" marks a full list, with the host names in ``state``."""
 
     at: int
@@ -75,7 +75,7 @@
     started: int
 
 
-class Life(msgspec.Struct, array_like=True, tag="life"):
+class ProxyStateChange(msgspec.Struct, array_like=True, tag="life"):
     """A change of a proxy's state."""
 
     at: int
@@ -109,7 +109,7 @@
     descriptors: int
 
 
-class Links(msgspec.Struct, array_like=True, tag="links"):
+class ConnectionCounts(msgspec.Struct, array_like=True, tag="links"):
     """Connections to a host: opened in total, the most at once, and refused."""
 
     host: str
@@ -129,7 +129,18 @@
     seconds: float
 
 
-Record = Asked | Spare | Seen | Told | Life | Started | Probe | Sample | Links | Generator
+Record = (
+    CallRecord
+    | ExtraAnswer
+    | LegRecord
+    | DiscoveryNotice
+    | ProxyStateChange
+    | Started
+    | Probe
+    | Sample
+    | ConnectionCounts
+    | Generator
+)
 _READ = msgspec.json.Decoder(Record)
 
 
--- a/cranebank/lab/reference.py
+++ b/cranebank/lab/reference.py
@@ -138,9 +138,9 @@
 class Oracle(Reference):
     """Chooses the least loaded host by the true state of all hosts, which no real policy knows."""
 
-    def __init__(self, strain: Callable[[str], float], settings: api.Settings, seed: int) -> None:
+    def __init__(self, load_per_capacity: Callable[[str], float], settings: api.Settings, seed: int) -> None:
         def choose(random: Random, pool: list[str], _: dict[str, int]) -> str:
-            return min(pool, key=lambda host: (strain(host), random.random()))
+            return min(pool, key=lambda host: (load_per_capacity(host), random.random()))
 
         super().__init__(choose, settings, seed)
 
--- a/cranebank/lab/results.py
+++ b/cranebank/lab/results.py
@@ -77,7 +77,7 @@
     events: int = 0
 
 
-def outcome(tries: Sequence[records.Asked], scenario: Scenario) -> tuple[str, int]:
+def outcome(tries: Sequence[records.CallRecord], scenario: Scenario) -> tuple[str, int]:
     """Return the outcome of a request over its tries, and its latency in microseconds."""
     first, last = tries[0], tries[-1]
     kind = scenario.classes[first.kind]
@@ -88,7 +88,7 @@
         return ("late" if took <= us(kind.deadline_ms / 1000) else "failed"), took
     if last.status in DECLINES:
         return "declined", took
-    return ("unanswered" if last.status == 0 and last.sent >= 0 and not last.broke else "failed"), took
+    return ("unanswered" if last.status == 0 and last.sent >= 0 and not last.was_cut_off else "failed"), took
 
 
 def histogram() -> HdrHistogram:
@@ -105,20 +105,20 @@
 
 def summarise(scenario: Scenario, found: Sequence[records.Record], verdict: Verdict) -> Result:
     """Compute the result of one run."""
-    tries: dict[str, list[records.Asked]] = defaultdict(list)
-    calls, samples = list[records.Asked](), list[records.Sample]()
+    tries: dict[str, list[records.CallRecord]] = defaultdict(list)
+    calls, samples = list[records.CallRecord](), list[records.Sample]()
     legs, ran, probes, opened, most = Counter[str](), Counter[str](), Counter[str](), Counter[str](), Counter[str]()
     generator: records.Generator | None = None
     for record in found:
         match record:
-            case records.Asked():
+            case records.CallRecord():
                 (tries[record.root] if record.caller == "client" else calls).append(record)
-            case records.Seen():
+            case records.LegRecord():
                 legs[_tier(record.host)] += 1
                 ran[_tier(record.host)] += record.ran
             case records.Probe(host, _, count):
                 probes[_tier(host)] += count
-            case records.Links():
+            case records.ConnectionCounts():
                 opened[_tier(record.host)] += record.opened
                 most[_tier(record.host)] = max(most[_tier(record.host)], record.most)
             case records.Sample():
@@ -175,7 +175,7 @@
 
 
 def _classes(
-    scenario: Scenario, counted: dict[str, list[records.Asked]]
+    scenario: Scenario, counted: dict[str, list[records.CallRecord]]
 ) -> tuple[tuple[ClassResult, ...], float, float, tuple[Second, ...]]:
     ends: list[Counter[str]] = [Counter() for _ in scenario.classes]
     sent = [0] * len(scenario.classes)
--- a/cranebank/lab/run.py
+++ b/cranebank/lab/run.py
@@ -317,7 +317,7 @@
         except TimeoutError:
             return 0, b""
         finally:  # also if the run is cancelled
-            pending.leave()
+            pending.cancel()
 
     async def _save_counters(self) -> None:
         """Save the counters of each proxy to ``counters.json``."""
@@ -347,7 +347,9 @@
         return task
 
     def _record_state(self, proxy: _Proxy, state: str) -> None:
-        self._writer.write(records.Life(now_us() - self._t0 if self._t0 else records.NEVER, proxy.plan.name, state))
+        self._writer.write(
+            records.ProxyStateChange(now_us() - self._t0 if self._t0 else records.NEVER, proxy.plan.name, state)
+        )
 
     async def _apply_fault(self, fault: ProxyFault) -> None:
         """Kill or terminate a proxy and start it again, at the times of the fault."""
--- a/cranebank/lab/simulated/world.py
+++ b/cranebank/lab/simulated/world.py
@@ -24,10 +24,10 @@
 from cranebank.lab import records
 from cranebank.lab.arrivals import arrivals
 from cranebank.lab.clients import Clients
-from cranebank.lab.discovery import Desk, Registry
+from cranebank.lab.discovery import CallQueue, Registry
 from cranebank.lab.host import StandIn
 from cranebank.lab.judge import judge
-from cranebank.lab.model import Repeats
+from cranebank.lab.model import SeenKeys
 from cranebank.lab.plan import HostPlan, Notice, ProxyFault, ProxyPlan, phantoms, plan, us
 from cranebank.lab.reference import POLICIES, Oracle
 from cranebank.lab.results import Result, summarise
@@ -119,7 +119,7 @@
         """Receive a leg or a probe; a host that doesn't read keeps it on the link."""
         if not link.open:
             return
-        if self.hushed:
+        if self.is_frozen:
             link.unread = flight
         elif flight.leg is None:
             self.probe(link, True)
@@ -128,7 +128,7 @@
             left = max(0, flight.leg.deadline - self.world.kernel.now)
             self.request(link, Ask(ask.id, ask.root, ask.kind, ask.tenant, ask.key, ask.work, left), self.stage.now())
 
-    def _heard_again(self) -> None:
+    def _read_backlog(self) -> None:
         for link in list(self.links):
             assert isinstance(link, Link)
             if (flight := link.unread) is not None:
@@ -146,7 +146,7 @@
         self.reply = Reply()
         self.has_left = self.is_finished = False
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Give up: the proxy learns that its caller has left."""
         self.has_left = True
         world = self.proxy.world
@@ -503,7 +503,7 @@
     def __init__(self, world: World) -> None:
         scenario = world.scenario
         self._world = world
-        self._call_queue = Desk(scenario.discovery.call_ms / 1000, scenario.discovery.timeout_ms / 1000)
+        self._call_queue = CallQueue(scenario.discovery.call_ms / 1000, scenario.discovery.timeout_ms / 1000)
         self._registries = [
             Registry([h for h in world.plan.hosts if h.tier == index], scenario.zones, [k.name for k in tier.kind])
             for index, tier in enumerate(scenario.tiers)
@@ -517,7 +517,7 @@
         self._down = False
         self._host_cache: dict[tuple[str, str, int], rules.Host] = {}
 
-    def live(self) -> None:
+    def schedule_plan(self) -> None:
         """Schedule the plan's notices, outages and partitions."""
         for notice in self._world.plan.notices:
             self._world.kernel.at(notice.at, self._learn, notice)
@@ -601,10 +601,10 @@
         for name in names:
             state, started = registry.state(name)
             hosts.append(self._host(name, state, started))
-            world.write(records.Told(world.kernel.now, proxy.plan.name, name, state, started))
+            world.write(records.DiscoveryNotice(world.kernel.now, proxy.plan.name, name, state, started))
         kind = api.ListKind.ALL if full else api.ListKind.CHANGES
         if full:
-            world.write(records.Told(world.kernel.now, proxy.plan.name, "*", ",".join(names), 0))
+            world.write(records.DiscoveryNotice(world.kernel.now, proxy.plan.name, "*", ",".join(names), 0))
         update = rules.RoutingUpdate(kind, tuple(hosts))
         self._last_delivery_us[proxy] = at = max(world.kernel.now + delay, self._last_delivery_us.get(proxy, 0))
         world.kernel.at(at, self._deliver, proxy, proxy.rules, update, registry.version)
@@ -616,7 +616,7 @@
 
     def _learn(self, notice: Notice) -> None:
         tier = self._tiers[notice.host]
-        if self._registries[tier].learn(notice):
+        if self._registries[tier].apply(notice):
             for proxy in list(self._watching):
                 if proxy.plan.tier == tier:
                     self._push(proxy)
@@ -638,7 +638,7 @@
 
 
 class World:
-    """A run in simulated time; implements ``Stage`` for its hosts and clients."""
+    """A run in simulated time; implements ``Environment`` for its hosts and clients."""
 
     def __init__(
         self,
@@ -653,7 +653,7 @@
         self.write = self.records.append
         self.errors: list[str] = []
         longest_window_ms = max((kind.window_ms for kind in scenario.classes), default=0.0)
-        self.repeats = Repeats(round(longest_window_ms * 1000) + 1)
+        self.repeats = SeenKeys(round(longest_window_ms * 1000) + 1)
         self.make_decisions = make_decisions or self._policy()
         self._digests: dict[bytes, str] = {}
         net = scenario.net
@@ -681,17 +681,17 @@
     def _policy(self) -> Callable[[api.Settings, int], rules.Decisions]:
         name = self.scenario.policy
         if name == "oracle":
-            return lambda settings, seed: Oracle(self.strain, settings, seed)
+            return lambda settings, seed: Oracle(self.load_per_capacity, settings, seed)
         return Balancer if name == "cranebank" else POLICIES[name]
 
-    def strain(self, server: str) -> float:
+    def load_per_capacity(self, server: str) -> float:
         """Return a host's true state for the oracle: work per core over present speed; infinite if unusable."""
         host = self.hosts.get(server)
-        if host is None or not host.up or host.refusing or host.hushed or host.stopping:
+        if host is None or not host.up or host.refusing or host.is_frozen or host.stopping:
             return float("inf")
-        return host.model.strain(self.kernel.now)
+        return host.model.load_per_capacity(self.kernel.now)
 
-    # The interface ``Stage``.
+    # The interface ``Environment``.
 
     def now(self) -> int:
         """Return the microseconds since the start of the run."""
@@ -701,7 +701,9 @@
         """Schedule a call, in microseconds since the start of the run."""
         return self.kernel.at(when, callback, *arguments)
 
-    def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
+    def ask(
+        self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], on_extra_answer: Callable[[], None]
+    ) -> Out:
         """Send a request from a zone to a proxy."""
         out = Out(self.proxies[proxy], zone, ask, done)
         out.reply.sent = self.kernel.now
@@ -738,7 +740,7 @@
 
     def record_state(self, proxy: Proxy, state: str) -> None:
         """Record a change of a proxy's state."""
-        self.write(records.Life(self.kernel.now, proxy.plan.name, state))
+        self.write(records.ProxyStateChange(self.kernel.now, proxy.plan.name, state))
 
     def _suffer(self, fault: ProxyFault) -> None:
         """Apply a fault to a proxy: kill it or stop it, and schedule its restart."""
@@ -776,8 +778,8 @@
         """Run the scenario to its end."""
         for host in self.hosts.values():
             host.up = not host.host.start
-            host.live()
-        self.discovery.live()
+            host.schedule_plan()
+        self.discovery.schedule_plan()
         known = [self.discovery.known(tier) for tier in range(len(self.scenario.tiers))]
         for proxy in self.proxies.values():
             proxy.start(known[proxy.plan.tier])
@@ -788,7 +790,7 @@
             self.kernel.at(self._arrivals[0].at, self._launch, 0)
             self.kernel.run()
         for host in self.hosts.values():
-            host.last()
+            host.write_final_records()
         self.write(records.Generator(len(self._arrivals), 0, 0, 0, 0.0, self.kernel.now / 1e6))
 
     def result(self) -> Result:
--- a/cranebank/lab/stage.py
+++ b/cranebank/lab/stage.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from cranebank.lab import records
-from cranebank.lab.model import Repeats
+from cranebank.lab.model import SeenKeys
 from cranebank.lab.plan import Plan
 from cranebank.lab.scenario import Scenario
 
@@ -33,20 +33,20 @@
 
     status: int = 0
     digest: str = ""
-    named: bool = True  # whether the body contains the request id
+    has_request_id: bool = True  # whether the body contains the request id
     retry_after: int = 0  # microseconds
     trouble: str = ""
     sent: int = -1  # time of the request's last byte on the stage's clock; -1: never sent
 
 
-class Out(Protocol):
+class InFlight(Protocol):
     """A request in flight."""
 
     @property
     def reply(self) -> Reply:
         """The reply received so far."""
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Cancel the request; no callback is called after this."""
 
 
@@ -57,12 +57,12 @@
         """Cancel the call."""
 
 
-class Stage(Protocol):
+class Environment(Protocol):
     """Clock, timers, requests and records of one laboratory."""
 
     scenario: Scenario
     plan: Plan
-    repeats: Repeats
+    repeats: SeenKeys
 
     def now(self) -> int:
         """Return the microseconds since the start."""
@@ -70,8 +70,10 @@
     def at(self, when: int, do: Callable[..., Any], *arguments: Any) -> Timer:
         """Call ``do`` at a time after the start."""
 
-    def ask(self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], spare: Callable[[], None]) -> Out:
-        """Send a request to a proxy; ``done`` is called once unless it is cancelled, ``spare`` on a second answer."""
+    def ask(
+        self, proxy: str, zone: int, ask: Ask, done: Callable[[Reply], None], on_extra_answer: Callable[[], None]
+    ) -> InFlight:
+        """Send a request; ``done`` is called once unless it is cancelled, ``on_extra_answer`` on a second answer."""
 
     def write(self, record: records.Record) -> None:
         """Write a record."""
--- a/tests/faulty_proxy.py
+++ b/tests/faulty_proxy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from cranebank.lab.exchange import Heard, Incoming, PendingRequest, Pool
+from cranebank.lab.exchange import Incoming, PendingRequest, Pool, ReceivedRequest
 from cranebank.lab.stage import Reply
 
 
@@ -27,7 +27,7 @@
     def connected(self, connection: Incoming) -> bool:
         return True
 
-    def deaf(self) -> bool:
+    def is_paused(self) -> bool:
         return False
 
     def closed(self, connection: Incoming) -> None:
@@ -45,7 +45,7 @@
                     if entry["started_ms"] and self.breach == "cold":
                         self.first = entry  # send everything to the cold host
 
-    def heard(self, connection: Incoming, request: Heard) -> None:
+    def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
         if request.target.startswith("/-/"):
             connection.answer(b"HTTP/1.1 200 OK\r\n", b"{}")
             return
@@ -63,7 +63,7 @@
             case _:
                 self.leg(connection, request, self.first)
 
-    def leg(self, connection: Incoming, request: Heard, entry: dict[str, Any]) -> None:
+    def leg(self, connection: Incoming, request: ReceivedRequest, entry: dict[str, Any]) -> None:
         fields = "".join(f"{name}: {value}\r\n" for name, value in request.headers.items())
         data = f"{request.method} {request.target} HTTP/1.1\r\n{fields}\r\n".encode() + request.body
         host, _, port = entry["addr"].rpartition(":")
@@ -72,7 +72,12 @@
         pending.append(self.pool.ask((host, int(port)), data, "", 0, done))
 
     def done(
-        self, connection: Incoming, request: Heard, exchange: list[str], pending: list[PendingRequest], reply: Reply
+        self,
+        connection: Incoming,
+        request: ReceivedRequest,
+        exchange: list[str],
+        pending: list[PendingRequest],
+        reply: Reply,
     ) -> None:
         if connection.owner is not exchange:
             return
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -97,5 +97,5 @@
 ) -> None:
     """The judge checks drains, the cold budget and repeats; the share in time is over all proxies."""
     result = fleet(faults, **changes)
-    assert result.verdict.kept, result.verdict
+    assert result.verdict.is_clean, result.verdict
     assert result.in_time > min_in_time, result.in_time
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -78,7 +78,7 @@
     monkeypatch.setattr("cranebank.lab.run.play", lambda *_: found)
     assert main(["lab", "run", str(write(tmp_path / "s.toml")), "--out", str(tmp_path)]) == code
     output = capsys.readouterr().out
-    assert ("RULE BROKEN drain x2" in output, "NO RESULT" in output) == (not verdict.kept, bool(why_not))
+    assert ("RULE BROKEN drain x2" in output, "NO RESULT" in output) == (not verdict.is_clean, bool(why_not))
 
 
 # The second run is far too long to finish before the test interrupts it. The handler is reset because a shell that
@@ -184,7 +184,7 @@
     load = command("load", str(path), "--to", match[2], "--out", str(tmp_path / "asked.jsonl"))
     output, _ = load.communicate()
     assert load.returncode == 0, output
-    asked = [r for r in records.read([tmp_path / "asked.jsonl"]) if isinstance(r, records.Asked)]
+    asked = [r for r in records.read([tmp_path / "asked.jsonl"]) if isinstance(r, records.CallRecord)]
     assert len(asked) > 60
     assert all(record.status == 200 for record in asked)
     assert not (tmp_path / "out/records-load.jsonl").exists()  # emulate starts no load
--- a/tests/test_lab_faults.py
+++ b/tests/test_lab_faults.py
@@ -12,7 +12,7 @@
 
 from cranebank.lab import records
 from cranebank.lab.child import Part
-from cranebank.lab.discovery import Desk, Registry
+from cranebank.lab.discovery import CallQueue, Registry
 from cranebank.lab.exchange import Incoming, Pool, now_us, request_bytes
 from cranebank.lab.hosts import SocketHost, SocketStage
 from cranebank.lab.plan import NEVER, Notice, plan
@@ -45,7 +45,7 @@
         host = SocketHost(stage, stage.plan.hosts[0], ("127.0.0.1", 0))
         await host.listen()
         stage.t0, host.up = now_us(), True
-        host.live()
+        host.schedule_plan()
         pool, number = Pool(), iter(range(1000))
 
         async def ask(target: str = "", work: int = 10_000, wait: float = 3.0, fresh: bool = False) -> Reply:
@@ -62,14 +62,14 @@
                     BODY_STARTS[id(reply)] = pending.body_start
                     return reply
             except TimeoutError:
-                pending.leave()
+                pending.cancel()
                 return Reply(trouble="silent")
             except asyncio.CancelledError:
-                pending.leave()
+                pending.cancel()
                 raise
 
         await story(host, ask)
-        host.last()
+        host.write_final_records()
         stage.writer.close()
         pool.close()
         host.kill()
@@ -212,7 +212,7 @@
         assert sorted(reply.status for reply in seen) == [0, 200, 200, 200, 200]
 
     found = play_with_host(tmp_path, {"what": "slow", "size": 1.0}, story)
-    assert "cancelled" in [r.ended_by for r in found if isinstance(r, records.Seen)]
+    assert "cancelled" in [r.ended_by for r in found if isinstance(r, records.LegRecord)]
 
 
 @pytest.mark.parametrize(
@@ -241,10 +241,10 @@
         fault=[{"at_s": 0.8, "for_s": 1.2} | fault],
     )
     result = play(lab_scenario, tmp_path)
-    assert result.verdict.kept, result.verdict
+    assert result.verdict.is_clean, result.verdict
     counted = counters(tmp_path)["front-p0"]
     assert not expected_counters or any(counted.get(name) for name in expected_counters.split()), counted
-    lives = [r.state for r in records.read([tmp_path / "records-run.jsonl"]) if isinstance(r, records.Life)]
+    lives = [r.state for r in records.read([tmp_path / "records-run.jsonl"]) if isinstance(r, records.ProxyStateChange)]
     ends = {"proxy-kill": ["killed", "ready"], "proxy-restart": ["stopping", "ended", "ready"]}.get(fault["what"], [])
     assert lives == ["ready", *ends]
 
@@ -267,13 +267,13 @@
 
 
 def test_discovery_has_bounded_capacity_and_sends_changes_or_the_full_list() -> None:
-    desk = Desk(call_s=0.5, timeout_s=1.0)
+    desk = CallQueue(call_s=0.5, timeout_s=1.0)
     assert [desk.wait(10.0) for _ in range(4)] == [0.5, 1.0, 1.5, None]
     assert desk.wait(12.0) == 0.5
     registry = Registry(list(plan(scenario()).hosts), ("a",), ["std"])
     assert registry.since(0) == (True, ["front-std-0", "front-std-1"])
-    assert registry.learn(Notice(at=0, host="front-std-0", state="DRAINING"))
-    assert not registry.learn(Notice(at=0, host="front-std-0", state="DRAINING"))
+    assert registry.apply(Notice(at=0, host="front-std-0", state="DRAINING"))
+    assert not registry.apply(Notice(at=0, host="front-std-0", state="DRAINING"))
     assert (registry.version, registry.since(1), registry.since(2)) == (2, (False, ["front-std-0"]), (False, []))
     assert registry.entry("front-std-0", "x:1", 0.0)["state"] == "DRAINING"
 
@@ -284,17 +284,17 @@
         {"what": "discovery-late", "at_s": 0.0, "for_s": 3.0, "size": 1.0},
     ]
     result = play(scenario(seconds=3.0, fault=faults), tmp_path)
-    assert result.verdict.kept, result.verdict
+    assert result.verdict.is_clean, result.verdict
     notices = [
         r
         for r in records.read([tmp_path / "records-discovery.jsonl"])
-        if isinstance(r, records.Told) and r.state == "DRAINING"
+        if isinstance(r, records.DiscoveryNotice) and r.state == "DRAINING"
     ]
     assert notices and all(r.at >= 1_500_000 for r in notices)
     seen = [
         r
         for r in records.read(tmp_path.glob("records-hosts-*.jsonl"))
-        if isinstance(r, records.Seen) and r.host == notices[0].host
+        if isinstance(r, records.LegRecord) and r.host == notices[0].host
     ]
     assert any(500_000 < r.first < 1_500_000 for r in seen)  # the host was used until the notice arrived
     assert not [r for r in seen if r.first > notices[0].at + 1_200_000]
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -14,7 +14,7 @@
 from cranebank.config.checks import ConfigError
 from cranebank.lab import records
 from cranebank.lab.arrivals import arrivals, read_trace, write_trace
-from cranebank.lab.exchange import Heard, Incoming, now_us
+from cranebank.lab.exchange import Incoming, ReceivedRequest, now_us
 from cranebank.lab.judge import Verdict
 from cranebank.lab.load import Generator
 from cranebank.lab.plan import plan
@@ -98,13 +98,13 @@
         self.connections.add(connection)
         return True
 
-    def deaf(self) -> bool:
+    def is_paused(self) -> bool:
         return 0.0 <= time.monotonic() - self.began - self.stall[0] < self.stall[1]
 
     def closed(self, connection: Incoming) -> None:
         self.connections.discard(connection)
 
-    def heard(self, connection: Incoming, request: Heard) -> None:
+    def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
         connection.answer(b"HTTP/1.1 200 OK\r\n", request.headers["x-request-id"].encode())
 
     def wake(self) -> None:
@@ -112,7 +112,7 @@
             connection.resume_reading()
 
 
-def offer(lab_scenario: Scenario, proxy: Proxy, block: float = 0.0) -> tuple[list[records.Asked], Result]:
+def offer(lab_scenario: Scenario, proxy: Proxy, block: float = 0.0) -> tuple[list[records.CallRecord], Result]:
     found: list[records.Record] = []
 
     async def serve_and_generate() -> None:
@@ -131,7 +131,7 @@
         server.close()
 
     asyncio.run(serve_and_generate())
-    asked = [record for record in found if isinstance(record, records.Asked)]
+    asked = [record for record in found if isinstance(record, records.CallRecord)]
     return asked, summarise(lab_scenario, found, Verdict((), 0, 0))
 
 
@@ -156,7 +156,7 @@
 
 def test_clients_retry_as_the_class_allows() -> None:
     class Failing(Proxy):
-        def heard(self, connection: Incoming, request: Heard) -> None:
+        def handle_request(self, connection: Incoming, request: ReceivedRequest) -> None:
             connection.answer(b"HTTP/1.1 500 No\r\n")
 
     lab_scenario = scenario(seconds=0.5, load={"rate": 120.0}, clients={"retries": 2, "backoff_ms": 1.0})
--- a/tests/test_lab_model.py
+++ b/tests/test_lab_model.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranebank.lab.model import Admission, HostModel, HostSpec, Job, Phase, Repeats, SlowMode
+from cranebank.lab.model import Admission, HostModel, HostSpec, Job, Phase, SeenKeys, SlowMode
 
 MS = 1000
 
@@ -104,7 +104,7 @@
 
 
 def test_a_repeat_within_the_window_has_no_effect_and_keys_are_forgotten() -> None:
-    keys = Repeats(3000 * MS)
+    keys = SeenKeys(3000 * MS)
     assert [keys.first(t * MS, 0, "k", 3000 * MS) for t in (0, 2900, 3100)] == [True, False, True]
     for number in range(5000):
         keys.first((4000 + 10 * number) * MS, 0, f"k{number}", 3000 * MS)
--- a/tests/test_lab_simulated.py
+++ b/tests/test_lab_simulated.py
@@ -110,9 +110,9 @@
     world = World(config)
     world.play()
     verdict = judge(config, world.plan, world.records)
-    assert verdict.kept, verdict
+    assert verdict.is_clean, verdict
     assert not world.errors
-    clients = [r for r in world.records if isinstance(r, records.Asked) and r.caller == "client"]
+    clients = [r for r in world.records if isinstance(r, records.CallRecord) and r.caller == "client"]
     assert len({r.root for r in clients}) == world.clients.offered > 200
     assert sum(r.status == 200 for r in clients) > 0.5 * world.clients.offered
     for proxy in world.proxies.values():  # no state of requests is left
@@ -130,13 +130,13 @@
     )
     world = World(config)
     world.play()
-    assert judge(config, world.plan, world.records).kept
+    assert judge(config, world.plan, world.records).is_clean
     zones = {h.name: h.zone for h in world.plan.hosts}
-    asked = {r.id: world.proxies[r.proxy].plan.zone for r in world.records if isinstance(r, records.Asked)}
+    asked = {r.id: world.proxies[r.proxy].plan.zone for r in world.records if isinstance(r, records.CallRecord)}
     crossed = [
         r
         for r in world.records
-        if isinstance(r, records.Seen)
+        if isinstance(r, records.LegRecord)
         and 1_200_000 < r.first < 5_000_000
         and zones[r.host] != asked.get(r.id, zones[r.host])
     ]
@@ -144,7 +144,7 @@
     late = [
         r
         for r in world.records
-        if isinstance(r, records.Told) and r.state == "DRAINING" and world.proxies[r.proxy].plan.zone == 1
+        if isinstance(r, records.DiscoveryNotice) and r.state == "DRAINING" and world.proxies[r.proxy].plan.zone == 1
     ]
     assert late and min(r.at for r in late) > 5_000_000
 
@@ -242,7 +242,7 @@
         tier=[{"name": "front", "proxies": 12, "kind": kinds}],
     )
     result = play(config)
-    assert result.verdict.kept
+    assert result.verdict.is_clean
     assert result.in_time > 0.99
     connections = result.tiers[0].connections
     assert connections < 260 if subset else connections > 330
