--- a/cranebank/lab/host.py
+++ b/cranebank/lab/host.py
@@ -14,7 +14,7 @@
 from cranebank.lab import records
 from cranebank.lab.model import Admission, HostModel, Job, Phase
 from cranebank.lab.plan import NEVER, RESTART_DOWNTIME_US, STOP_LINGER_US, HostFault, HostPlan, spec_of
-from cranebank.lab.stage import Ask, Link, Out, Reply, Stage, Timer
+from cranebank.lab.stage import Ask, Environment, InFlight, Link, Reply, Timer
 from cranebank.lab.streams import stream
 
 BODY_BYTES = 300
@@ -25,25 +25,25 @@
     """A leg that a host works on."""
 
     link: Link
-    record: records.Seen
+    record: records.LegRecord
     ask: Ask
     deadline: int
     job: Job
     calls_left: int
     calls_made: int = 0
-    out: Out | None = None
+    out: InFlight | None = None
     timer: Timer | None = None
 
 
 class StandIn:
     """One host. Its owner calls ``opened``, ``request``, ``probe`` and ``lost``, and implements ``gate``."""
 
-    def __init__(self, stage: Stage, host: HostPlan) -> None:
+    def __init__(self, stage: Environment, host: HostPlan) -> None:
         self.stage, self.host = stage, host
         self.model = HostModel(spec_of(stage.scenario, host), host.start)
         self.links: dict[Link, None] = {}  # in order of opening, so that iteration is deterministic
         self.legs: dict[Leg, None] = {}
-        self.up = self.stopping = self.refusing = self.hushed = self.cut_off = False
+        self.up = self.stopping = self.refusing = self.is_frozen = self.cut_off = False
         self.reset = self.spoil = self.swallow = 0.0
         self.report_lateness = self.opened_count = self.most_open = self.refused = self._call_count = 0
         self.probes: dict[int, int] = {}
@@ -113,7 +113,7 @@
             variance = log(1 + kind.attempt_noise**2)
             own_work *= float(self._random.lognormal(-variance / 2, sqrt(variance)))
         calls = 0 if is_last_tier else int(tier.calls) + int(self._random.random() < tier.calls % 1.0)
-        record = records.Seen(
+        record = records.LegRecord(
             id=ask.id,
             host=self.host.name,
             first=first,
@@ -156,7 +156,8 @@
         for job in self.model.advance(self.stage.now()):
             self._phase_ended(job)
 
-    def _on_model_timer(self) -> None:
+    def _turn(self) -> None:
+        """End the phases of the model that are due, and set the timer for the next one."""
         self._timer = self._timer_at = None
         self._advance_model()
         self._schedule_model()
@@ -166,7 +167,7 @@
         if due != self._timer_at:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer = None if due is None else self.stage.at(due, self._on_model_timer)
+            self._timer = None if due is None else self.stage.at(due, self._turn)
             self._timer_at = due
 
     def _phase_ended(self, job: Job) -> None:
@@ -190,7 +191,7 @@
         deadline = leg.deadline if scenario.limits.passes_deadline else now + round(kind.deadline_ms * 1000)
         self._call_count += 1
         name = f"{self._prefix}-{self._call_count}"
-        call = records.Asked(
+        call = records.CallRecord(
             id=name,
             root=leg.ask.root,
             parent=leg.ask.id,
@@ -228,20 +229,20 @@
             self._schedule_model()
 
         ask = Ask(name, leg.ask.root, leg.ask.kind, leg.ask.tenant, call.key, leg.ask.work, deadline - now)
-        leg.timer = stage.at(deadline, self._call_timed_out, leg, call)
-        leg.out = stage.ask(self._proxy, self.host.zone, ask, done, lambda: stage.write(records.Spare(name)))
+        leg.timer = stage.at(deadline, self._late, leg, call)
+        leg.out = stage.ask(self._proxy, self.host.zone, ask, done, lambda: stage.write(records.ExtraAnswer(name)))
 
-    def _record_call(self, call: records.Asked, reply: Reply) -> None:
+    def _record_call(self, call: records.CallRecord, reply: Reply) -> None:
         call.done, call.sent = self.stage.now(), reply.sent
         call.status, call.digest, call.retry_after = reply.status, reply.digest, reply.retry_after
-        call.broke, call.named = reply.trouble == "broke", reply.named
+        call.was_cut_off, call.has_request_id = reply.trouble == "broke", reply.has_request_id
         self.stage.write(call)
 
-    def _call_timed_out(self, leg: Leg, call: records.Asked) -> None:
+    def _late(self, leg: Leg, call: records.CallRecord) -> None:
         """Give up a call at its deadline and fail its leg."""
         if leg.out is not None:
             out, leg.out = leg.out, None
-            out.leave()
+            out.cancel()
             self._record_call(call, out.reply)
             if leg.job.phase is Phase.CALLING:
                 self._advance_model()
@@ -282,7 +283,7 @@
         if leg.timer is not None:
             leg.timer.cancel()
         if leg.out is not None:
-            leg.out.leave()
+            leg.out.cancel()
             leg.out = None
         if leg.job.phase is not Phase.DONE:
             self.model.drop(leg.job)
@@ -293,12 +294,12 @@
 
     # Faults.
 
-    def live(self) -> None:
+    def schedule_plan(self) -> None:
         """Schedule the start, the stop and the faults that the plan has for this host."""
         if self.host.start:
             self.stage.at(self.host.start, self.start)
         if self.host.stop != NEVER:
-            self.stage.at(self.host.stop, self._stop)
+            self.stage.at(self.host.stop, self._leave)
         for fault in self.stage.plan.faults:
             if fault.host == self.host.name:
                 self._schedule_fault(fault)
@@ -337,20 +338,20 @@
                 later(at, self.kill)
                 later(at + RESTART_DOWNTIME_US, self.start)
             case "stop":
-                later(at, self._freeze, until, False)
+                later(at, self._hush, until, False)
             case "half-open":
-                later(at, self._freeze, until, True)
+                later(at, self._hush, until, True)
             case "pause":
                 when = at + int(self._random.random() * fault.every)
                 while when < until:
-                    later(when, self._freeze, when + round(fault.size * 1000), False)
+                    later(when, self._hush, when + round(fault.size * 1000), False)
                     when += fault.every
             case "slow":
-                later(at, self._set_slowdown, fault.size)
-                later(until, self._set_slowdown, 1.0)
+                later(at, self._slow, fault.size)
+                later(until, self._slow, 1.0)
             case "refuse":
                 later(at, self.gate, True)
-                later(until, self._reopen)
+                later(until, self._accept)
             case "reset" | "spoil" | "swallow":
                 later(at, setattr, self, fault.what, fault.size or 1.0)
                 later(until, setattr, self, fault.what, 0.0)
@@ -358,48 +359,51 @@
                 later(at, setattr, self, "report_lateness", round(fault.size * 1e6))
                 later(until, setattr, self, "report_lateness", 0)
 
-    def _reopen(self) -> None:
+    def _accept(self) -> None:
+        """Accept connections again unless the host is down or stopping."""
         if self.up and not self.stopping:
             self.gate(False)
 
-    def _freeze(self, until: int, cut_off: bool) -> None:
+    def _hush(self, until: int, cut_off: bool) -> None:
         """Stop reading and working until ``until``; with ``cut_off``, new connections get no answer either."""
         self._advance_model()
-        self.hushed = True
+        self.is_frozen = True
         self.model.pause(until)
         if cut_off:
             self.cut_off = True
             self.gate(True, silent=True)
         self._schedule_model()
-        self.stage.at(until, self._unfreeze, cut_off)
+        self.stage.at(until, self._wake, cut_off)
 
-    def _unfreeze(self, cut_off: bool) -> None:
-        self.hushed = False
+    def _wake(self, cut_off: bool) -> None:
+        """End a freeze: after a cut-off, abort the connections and accept new ones; else read what arrived."""
+        self.is_frozen = False
         if cut_off:
             self.cut_off = False
             self._abort_links()
-            self._reopen()
+            self._accept()
             return
-        self._heard_again()
+        self._read_backlog()
 
-    def _heard_again(self) -> None:
+    def _read_backlog(self) -> None:
         """Read the data that arrived while the host was frozen."""
 
-    def _set_slowdown(self, factor: float) -> None:
+    def _slow(self, factor: float) -> None:
+        """Slow the model down by ``factor``."""
         self._advance_model()
         self.model.slow(factor)
         self._schedule_model()
 
-    def _stop(self) -> None:
+    def _leave(self) -> None:
         """Stop a drained host: refuse connections and requests, finish those in progress, then exit."""
         self.stopping = True
         self.gate(True)
         self.stage.at(self.host.stop + STOP_LINGER_US, self.kill)
 
-    def last(self) -> None:
+    def write_final_records(self) -> None:
         """Write the records that are only known at the end of the run."""
         for leg in list(self.legs):
             self._cancel_leg(leg, "stopped")
         for second, count in self.probes.items():
             self.stage.write(records.Probe(self.host.name, second, count))
-        self.stage.write(records.Links(self.host.name, self.opened_count, self.most_open, self.refused))
+        self.stage.write(records.ConnectionCounts(self.host.name, self.opened_count, self.most_open, self.refused))
